--- a/assignment.go
+++ b/assignment.go
@@ -3,19 +3,19 @@
 import "slices"
 
 type (
-	// State is where an instance is between pools.
-	State string
+	// InstanceState is where an instance is between pools.
+	InstanceState string
 
 	// Assignment says which one pool an instance is in.
 	Assignment struct {
-		Instance InstanceID  `json:"instance"`
-		Rack     RackID      `json:"rack"`
-		Address  string      `json:"address"`
-		Slots    Slots       `json:"slots"`
-		Conns    int         `json:"conns"`
-		Pool     PoolID      `json:"pool"`
-		State    State       `json:"state"`
-		Jobs     []Placement `json:"jobs,omitempty"`
+		Instance InstanceID    `json:"instance"`
+		Rack     RackID        `json:"rack"`
+		Address  string        `json:"address"`
+		Slots    Slots         `json:"slots"`
+		Conns    int           `json:"conns"`
+		Pool     PoolID        `json:"pool"`
+		State    InstanceState `json:"state"`
+		Jobs     []Placement   `json:"jobs,omitempty"`
 		// Next is the pool that a draining instance goes to.
 		Next PoolID `json:"next,omitempty"`
 		// Generation of the plan that set State.
@@ -26,9 +26,9 @@
 		Waves []WaveID `json:"waves,omitempty"`
 		// Boots is the platform's count when the instance went out.
 		Boots uint64 `json:"boots,omitempty"`
-		// Strikes counts the times that the instance was quarantined.
-		Strikes int    `json:"strikes,omitempty"`
-		Reason  Reason `json:"reason"`
+		// QuarantineCount counts the times that the instance was quarantined.
+		QuarantineCount int    `json:"strikes,omitempty"`
+		Reason          Reason `json:"reason"`
 	}
 
 	// PlacementState is where a job is on an instance.
@@ -48,18 +48,18 @@
 
 // States of an instance.
 const (
-	// Joining: in its pool, its tasks are being started; no requests yet.
-	Joining State = "joining"
-	// Serving: takes requests for its running jobs.
-	Serving State = "serving"
-	// Draining: no new requests; what runs is let finish.
-	Draining State = "draining"
-	// Out: away for maintenance or reclaimed; carries nothing.
-	Out State = "out"
-	// Spare: carries nothing, ready to join a pool.
-	Spare State = "spare"
-	// Quarantined: failed everything it was given; carries nothing new.
-	Quarantined State = "quarantined"
+	// InstanceJoining: in its pool, its tasks are being started; no requests yet.
+	InstanceJoining InstanceState = "joining"
+	// InstanceServing: takes requests for its running jobs.
+	InstanceServing InstanceState = "serving"
+	// InstanceDraining: no new requests; what runs is let finish.
+	InstanceDraining InstanceState = "draining"
+	// InstanceOut: away for maintenance or reclaimed; carries nothing.
+	InstanceOut InstanceState = "out"
+	// InstanceSpare: carries nothing, ready to join a pool.
+	InstanceSpare InstanceState = "spare"
+	// InstanceQuarantined: failed everything it was given; carries nothing new.
+	InstanceQuarantined InstanceState = "quarantined"
 )
 
 // States of a placement.
@@ -72,11 +72,11 @@
 )
 
 // Active tells whether the instance counts towards its pool's size.
-func (a *Assignment) Active() bool { return a.State == Joining || a.State == Serving }
+func (a *Assignment) Active() bool { return a.State == InstanceJoining || a.State == InstanceServing }
 
-// Runs tells whether requests for a job may be sent to the instance.
-func (a *Assignment) Runs(job JobID) bool {
-	if a.State != Serving {
+// Serves tells whether requests for a job may be sent to the instance.
+func (a *Assignment) Serves(job JobID) bool {
+	if a.State != InstanceServing {
 		return false
 	}
 	p := a.Placement(job)
--- a/budget.go
+++ b/budget.go
@@ -3,9 +3,9 @@
 import "time"
 
 type (
-	// Ledger lists the planned disruptions of a service now allowed, over
+	// ServiceDisruptions lists the planned disruptions of a service now allowed, over
 	// all halls.
-	Ledger struct {
+	ServiceDisruptions struct {
 		Disruptions []Disruption `json:"disruptions"`
 	}
 
@@ -19,7 +19,7 @@
 )
 
 // Has tells whether an instance is in the ledger.
-func (l Ledger) Has(id InstanceID) bool {
+func (l ServiceDisruptions) Has(id InstanceID) bool {
 	for _, d := range l.Disruptions {
 		if d.Instance == id {
 			return true
@@ -29,15 +29,15 @@
 }
 
 // With returns the ledger with d added, once.
-func (l Ledger) With(d Disruption) Ledger {
+func (l ServiceDisruptions) With(d Disruption) ServiceDisruptions {
 	next := l.Without(d.Instance)
 	next.Disruptions = append(next.Disruptions, d)
 	return next
 }
 
 // Without returns the ledger without an instance.
-func (l Ledger) Without(id InstanceID) Ledger {
-	var next Ledger
+func (l ServiceDisruptions) Without(id InstanceID) ServiceDisruptions {
+	var next ServiceDisruptions
 	for _, d := range l.Disruptions {
 		if d.Instance != id {
 			next.Disruptions = append(next.Disruptions, d)
--- a/cmd/tamarind/delays.go
+++ b/cmd/tamarind/delays.go
@@ -43,7 +43,7 @@
 	}))
 }
 
-func printDelays(accounts []delays.Account, window, over time.Duration) error {
+func printDelays(accounts []delays.Breakdown, window, over time.Duration) error {
 	if len(accounts) == 0 {
 		fmt.Println("no submission ended in these logs")
 		return nil
@@ -68,18 +68,18 @@
 		return errors.Wrap(err, "delays")
 	}
 	for i := range all {
-		if over > 0 && all[i].Took > over {
+		if over > 0 && all[i].Duration > over {
 			printAccount(&all[i], begin)
 		}
 	}
 	return nil
 }
 
-func printAccount(a *delays.Account, begin time.Time) {
-	fmt.Printf("%s %s accepted %.2f took %.2f:", a.ID, a.Pool, a.Accepted.Sub(begin).Seconds(), a.Took.Seconds())
-	for i := len(a.Parts) - 1; i >= 0; i-- {
-		part := a.Parts[i]
-		fmt.Printf(" %s %.2f", part.Cause, part.Took.Seconds())
+func printAccount(a *delays.Breakdown, begin time.Time) {
+	fmt.Printf("%s %s accepted %.2f took %.2f:", a.ID, a.Pool, a.Accepted.Sub(begin).Seconds(), a.Duration.Seconds())
+	for i := len(a.Segments) - 1; i >= 0; i-- {
+		part := a.Segments[i]
+		fmt.Printf(" %s %.2f", part.Cause, part.Duration.Seconds())
 		if part.Worker != "" {
 			fmt.Printf(" (%s on %s)", part.Subtask[len(a.ID)+1:], part.Worker)
 		}
@@ -87,12 +87,12 @@
 	fmt.Println()
 }
 
-func printDelayRow(w *tabwriter.Writer, from time.Duration, accounts []delays.Account) {
+func printDelayRow(w *tabwriter.Writer, from time.Duration, accounts []delays.Breakdown) {
 	var total time.Duration
 	sums := map[delays.Cause]time.Duration{}
 	for i := range accounts {
-		total += accounts[i].Took
-		for cause, took := range accounts[i].By() {
+		total += accounts[i].Duration
+		for cause, took := range accounts[i].ByCause() {
 			sums[cause] += took
 		}
 	}
--- a/cmd/tamarind/explain.go
+++ b/cmd/tamarind/explain.go
@@ -80,7 +80,7 @@
 		for _, at := range a.Jobs {
 			fmt.Printf("job %s: %s since plan %d\n", at.Job, at.State, at.Generation)
 		}
-		if a.State != tw.Draining {
+		if a.State != tw.InstanceDraining {
 			return nil
 		}
 		return explainWait(ctx, o, all[i].Hall, a)
@@ -128,7 +128,7 @@
 		fmt.Printf("hall %s: not wanted there\n", plan.Hall)
 		return
 	}
-	for _, s := range plan.SetAside {
+	for _, s := range plan.Unplaced {
 		if s.Job == job.ID {
 			fmt.Printf("hall %s: set aside: %s\n", plan.Hall, s.Reason)
 			return
--- a/cmd/tamarind/main.go
+++ b/cmd/tamarind/main.go
@@ -75,7 +75,7 @@
 }
 
 func exitCode(err error) int {
-	var faults tw.Faults
+	var faults tw.ValidationErrors
 	var conflict *control.Conflict
 	switch {
 	case errors.As(err, &faults) || errors.Is(err, errUsage):
--- a/cmd/tamarind/plan.go
+++ b/cmd/tamarind/plan.go
@@ -72,7 +72,7 @@
 		Allowance:  map[tw.ServiceID]int{},
 	}
 	for _, i := range list.Instances {
-		if i.Role != tw.Entry {
+		if i.Role != tw.RoleEntry {
 			in.Instances = append(in.Instances, i)
 		}
 	}
@@ -97,7 +97,7 @@
 		fmt.Printf("%s %s: to drain when the budget allows (%s)\n", hall, w.Instance, w.Reason)
 		moves++
 	}
-	for _, s := range out.Plan.SetAside {
+	for _, s := range out.Plan.Unplaced {
 		fmt.Printf("%s job %s: set aside (%s)\n", hall, s.Job, s.Reason)
 	}
 	return moves
--- a/cmd/tamarind/queue.go
+++ b/cmd/tamarind/queue.go
@@ -59,7 +59,7 @@
 	status := queue.Command("status", queueStatusHelp)
 	status.Action(action(func() error {
 		return conn.useStore(*store, func(ctx context.Context, kv tw.KV) error {
-			survey, err := ledger.Take(ctx, kv)
+			survey, err := ledger.TakeSurvey(ctx, kv)
 			if err != nil {
 				return err
 			}
@@ -119,8 +119,8 @@
 	}
 	fmt.Fprintln(w, "POOL\tOWNER\tLIVES\tFENCE\tOPEN\tSUCCEEDED\tFAILED\tCANCELLED\tINBOX")
 	for _, p := range s.Pools {
-		fmt.Fprintf(w, "%s\t%s\t%t\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Owner.Pool, p.Owner.Daemon, p.Lives, p.Owner.Fence,
-			p.Open, p.Ended[tw.Succeeded], p.Ended[tw.Failed], p.Ended[tw.Cancelled], p.Inbox)
+		fmt.Fprintf(w, "%s\t%s\t%t\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Owner.Pool, p.Owner.Daemon, p.OwnerAlive, p.Owner.Fence,
+			p.Open, p.Ended[tw.SubmissionSucceeded], p.Ended[tw.SubmissionFailed], p.Ended[tw.SubmissionCancelled], p.Inbox)
 	}
 	return w.Flush()
 }
@@ -140,7 +140,7 @@
 // printSubmission prints JSON in any case: a record has too many parts for a
 // table.
 func printSubmission(ctx context.Context, kv tw.KV, id tw.SubmissionID) error {
-	record, err := ledger.Find(ctx, kv, id)
+	record, err := ledger.FindSubmission(ctx, kv, id)
 	if errors.Is(err, tw.ErrNotFound) {
 		return errors.Newf("nobody has kept a submission %s, or it ended more than two minutes ago", id)
 	}
--- a/cmd/tamarind/status.go
+++ b/cmd/tamarind/status.go
@@ -32,12 +32,12 @@
 		Pools        []poolStatus          `json:"pools"`
 		Spares       int                   `json:"spares"`
 		SparesNeeded int                   `json:"spares_needed"`
-		SetAside     []tw.SetAside         `json:"set_aside,omitempty"`
+		SetAside     []tw.UnplacedJob      `json:"set_aside,omitempty"`
 	}
 
 	poolStatus struct {
-		Pool   tw.PoolID        `json:"pool"`
-		States map[tw.State]int `json:"states"`
+		Pool   tw.PoolID                `json:"pool"`
+		States map[tw.InstanceState]int `json:"states"`
 	}
 )
 
@@ -91,7 +91,7 @@
 		Generation:   plan.Generation,
 		Revision:     plan.Revision,
 		SparesNeeded: plan.SparesNeeded,
-		SetAside:     plan.SetAside,
+		SetAside:     plan.Unplaced,
 	}
 	for _, d := range daemons {
 		if d.Hall == hall {
@@ -99,7 +99,7 @@
 		}
 	}
 	for _, pool := range config.Pools {
-		states := map[tw.State]int{}
+		states := map[tw.InstanceState]int{}
 		for i := range plan.Instances {
 			if a := &plan.Instances[i]; a.Pool == pool.ID {
 				states[a.State]++
@@ -108,7 +108,7 @@
 		h.Pools = append(h.Pools, poolStatus{Pool: pool.ID, States: states})
 	}
 	for i := range plan.Instances {
-		if plan.Instances[i].State == tw.Spare {
+		if plan.Instances[i].State == tw.InstanceSpare {
 			h.Spares++
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 		for _, p := range h.Pools {
 			fmt.Fprintf(out, "  pool %s\tserving %d\tjoining %d\tdraining %d\n", p.Pool,
-				p.States[tw.Serving], p.States[tw.Joining], p.States[tw.Draining])
+				p.States[tw.InstanceServing], p.States[tw.InstanceJoining], p.States[tw.InstanceDraining])
 		}
 		fmt.Fprintf(out, "  spares\t%d held\t%d needed\n", h.Spares, h.SparesNeeded)
 		for _, a := range h.SetAside {
--- a/control/absence.go
+++ b/control/absence.go
@@ -61,7 +61,7 @@
 		if in.ID == id {
 			return false
 		}
-		entries = entries || in.Role == tw.Entry
+		entries = entries || in.Role == tw.RoleEntry
 	}
 	return entries && id != ""
 }
--- a/control/absence_test.go
+++ b/control/absence_test.go
@@ -49,7 +49,7 @@
 // listed puts d2's instance into the platform's list, or takes it out.
 func (a *absentDaemon) listed(listed bool) {
 	if listed {
-		a.bed.platform.SetInstance(tw.Instance{ID: "d2", Role: tw.Entry, Hall: "h1"})
+		a.bed.platform.SetInstance(tw.Instance{ID: "d2", Role: tw.RoleEntry, Hall: "h1"})
 		return
 	}
 	a.bed.platform.RemoveInstance("d2")
@@ -140,7 +140,7 @@
 				a.bed.pace = Pace{}
 				a.list = &cutList{InstanceList: a.bed.platform}
 				a.bed.list = a.list
-				a.bed.platform.SetInstance(tw.Instance{ID: "d1", Role: tw.Entry, Hall: "h1"})
+				a.bed.platform.SetInstance(tw.Instance{ID: "d1", Role: tw.RoleEntry, Hall: "h1"})
 				a.listed(true)
 				_, err := a.bed.operator.Apply(t.Context(), source, "test", 0)
 				g.Expect(err).NotTo(HaveOccurred())
--- a/control/claims.go
+++ b/control/claims.go
@@ -46,14 +46,14 @@
 	claim := tw.Claim{Scope: scope, Body: body, Holder: c.self, Nonce: rand.Text(), State: tw.ClaimPending}
 	if standing := c.table.put(claim); standing != claim {
 		c.count("standing")
-		return claim, tw.ClaimResult{Standing: standing}
+		return claim, tw.ClaimResult{Existing: standing}
 	}
 	hall := c.hall()
 	kept, gone := 1, 0
 	answers := c.ask(ctx, c.holders(scope, hall), claim)
 	for answer := range answers {
 		switch {
-		case errors.Is(answer.err, tw.ErrGone):
+		case errors.Is(answer.err, tw.ErrNotListening):
 			gone++ // and what it held is gone with it
 		case answer.err != nil:
 		case answer.claim == claim:
@@ -61,7 +61,7 @@
 		case answer.claim.Holder != "":
 			c.count("standing")
 			c.giveUp(claim, answers, hall)
-			return claim, tw.ClaimResult{Standing: answer.claim}
+			return claim, tw.ClaimResult{Existing: answer.claim}
 		}
 	}
 	if kept < min(claimQuorum, len(hall)-gone) {
--- a/control/claims_test.go
+++ b/control/claims_test.go
@@ -50,7 +50,7 @@
 		all["d0"].table.put(standing) // d2 has missed it, or is new
 
 		_, refused := all["d1"].Claim(GinkgoT().Context(), "key", "body")
-		Expect(refused.Standing).To(Equal(standing))
+		Expect(refused.Existing).To(Equal(standing))
 		time.Sleep(100 * time.Millisecond) // until d2 has heard all
 		all["d0"].Settle(standing, tw.ClaimReleased)
 		Eventually(func() bool {
--- a/control/knowledge.go
+++ b/control/knowledge.go
@@ -75,7 +75,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.plan != nil && !plan.After(k.plan) {
+	if k.plan != nil && !plan.NewerThan(k.plan) {
 		return false, nil
 	}
 	k.planBody, k.plan = body, plan
@@ -139,7 +139,7 @@
 		Leaving:    map[tw.InstanceID]bool{},
 	}
 	for _, in := range k.list.Instances {
-		if in.Phase == tw.Leaving {
+		if in.Phase == tw.PhaseLeaving {
 			view.Leaving[in.ID] = true
 		}
 	}
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -14,8 +14,8 @@
 
 // heldLedger is a ledger as read, to be written by compare-and-swap.
 type heldLedger struct {
-	stored platform.Stored
-	ledger tw.Ledger
+	stored platform.Document
+	ledger tw.ServiceDisruptions
 }
 
 // withBudget decides again, with the allowances that the store gives, and
@@ -110,7 +110,7 @@
 // enter writes the drains into the ledgers, by compare-and-swap on what the
 // allowances were worked out from.
 func (p *planner) enter(ctx context.Context, ledgers map[tw.ServiceID]heldLedger, drains []fleet.Drain) error {
-	next := map[tw.ServiceID]tw.Ledger{}
+	next := map[tw.ServiceID]tw.ServiceDisruptions{}
 	for _, d := range drains {
 		for _, service := range d.Services {
 			ledger, begun := next[service]
@@ -156,7 +156,7 @@
 	if body == nil {
 		return nil, nil
 	}
-	var ledger tw.Ledger
+	var ledger tw.ServiceDisruptions
 	if err := json.Unmarshal(body, &ledger); err != nil {
 		return nil, err
 	}
@@ -174,7 +174,7 @@
 func (p *planner) drains(config *tw.FleetConfig, service tw.ServiceID) bool {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State != tw.Draining {
+		if a.State != tw.InstanceDraining {
 			continue
 		}
 		for _, at := range a.Jobs {
@@ -186,8 +186,8 @@
 	return false
 }
 
-func plainLedgers(in map[tw.ServiceID]heldLedger) map[tw.ServiceID]tw.Ledger {
-	out := map[tw.ServiceID]tw.Ledger{}
+func plainLedgers(in map[tw.ServiceID]heldLedger) map[tw.ServiceID]tw.ServiceDisruptions {
+	out := map[tw.ServiceID]tw.ServiceDisruptions{}
 	for service, held := range in {
 		out[service] = held.ledger
 	}
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -120,7 +120,7 @@
 		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
 		plan := b.plan()
 		for i := range plan.Instances {
-			if plan.Instances[i].Runs("j") {
+			if plan.Instances[i].Serves("j") {
 				id = plan.Instances[i].Instance
 			}
 		}
@@ -130,11 +130,11 @@
 	It("waits for work in flight at every daemon", func() {
 		b, _, two, id := drained()
 		two.setLoads(tw.Load{Instance: id, Job: "j", InFlight: 1})
-		b.platform.SetPhase(id, tw.Leaving)
-		Eventually(func() tw.State { return b.state(id) }, patient).Should(Equal(tw.Draining))
-		Consistently(func() tw.State { return b.state(id) }, "300ms").Should(Equal(tw.Draining))
+		b.platform.SetPhase(id, tw.PhaseLeaving)
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceDraining))
+		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		two.setLoads()
-		Eventually(func() tw.State { return b.state(id) }, patient).Should(Equal(tw.Out))
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceOut))
 	})
 
 	It("waits for work in flight on an instance that the list loses for a moment", func() {
@@ -143,12 +143,12 @@
 		two.setLoads(tw.Load{Instance: id, Job: "j", InFlight: 1})
 		lost := b.platform.Instance(id)
 		b.platform.RemoveInstance(id)
-		Eventually(func() tw.State { return b.state(id) }, patient).ShouldNot(Equal(tw.Serving))
-		Expect(b.state(id)).To(Equal(tw.Draining))
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).ShouldNot(Equal(tw.InstanceServing))
+		Expect(b.state(id)).To(Equal(tw.InstanceDraining))
 		b.platform.SetInstance(lost)
-		Consistently(func() tw.State { return b.state(id) }, "300ms").Should(Equal(tw.Draining))
+		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		two.setLoads()
-		Eventually(func() tw.State { return b.state(id) }, patient).Should(Equal(tw.Spare))
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceSpare))
 	})
 
 	It("waits for a daemon that is cut off, while a spare serves", func() {
@@ -158,12 +158,12 @@
 			planner = "d2"
 		}
 		b.network.setCut(planner, true) // the one that does not plan
-		b.platform.SetPhase(id, tw.Leaving)
-		Eventually(func() tw.State { return b.state(id) }, patient).Should(Equal(tw.Draining))
+		b.platform.SetPhase(id, tw.PhaseLeaving)
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceDraining))
 		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
-		Consistently(func() tw.State { return b.state(id) }, "300ms").Should(Equal(tw.Draining))
+		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		b.network.setCut(planner, false)
-		Eventually(func() tw.State { return b.state(id) }, patient).Should(Equal(tw.Out))
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceOut))
 	})
 
 	It("waits for work in flight at a daemon that the store's roster has lost", func() {
@@ -180,21 +180,21 @@
 		id := firstServing(b)
 		two.setLoads(tw.Load{Instance: id, Job: "j", InFlight: 1})
 		b.platform.Restore(tw.RosterKey("h1"), older)
-		b.platform.SetPhase(id, tw.Leaving)
-		Eventually(func() tw.State { return b.state(id) }, patient).ShouldNot(Equal(tw.Serving))
-		Consistently(func() tw.State { return b.state(id) }, "300ms").Should(Equal(tw.Draining))
+		b.platform.SetPhase(id, tw.PhaseLeaving)
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).ShouldNot(Equal(tw.InstanceServing))
+		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		two.setLoads()
-		Eventually(func() tw.State { return b.state(id) }, patient).Should(Equal(tw.Out))
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceOut))
 	})
 
 	It("waits no longer for a daemon that is attested to be gone", func() {
 		b, _, _, id := drained()
 		Expect(b.operator.documents.Update(GinkgoT().Context(), tw.RosterKey("h1"), addGhost)).To(Succeed())
-		b.platform.SetPhase(id, tw.Leaving)
-		Eventually(func() tw.State { return b.state(id) }, patient).Should(Equal(tw.Draining))
-		Consistently(func() tw.State { return b.state(id) }, "300ms").Should(Equal(tw.Draining))
+		b.platform.SetPhase(id, tw.PhaseLeaving)
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceDraining))
+		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		Expect(b.operator.Forget(GinkgoT().Context(), "h1", "ghost")).To(Succeed())
-		Eventually(func() tw.State { return b.state(id) }, patient).Should(Equal(tw.Out))
+		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceOut))
 	})
 })
 
@@ -218,8 +218,8 @@
 		key := tw.PlanKey("h1")
 		item, err := b.platform.Get(context.Background(), key)
 		Expect(err).NotTo(HaveOccurred())
-		b.platform.SetPhase("w3", tw.Leaving)
-		Eventually(func() tw.State { return b.state("w3") }, patient).Should(Equal(tw.Out))
+		b.platform.SetPhase("w3", tw.PhaseLeaving)
+		Eventually(func() tw.InstanceState { return b.state("w3") }, patient).Should(Equal(tw.InstanceOut))
 		b.platform.Restore(key, item)
 	},
 }
@@ -249,7 +249,7 @@
 		core, logs := observer.New(zap.InfoLevel)
 		b.log = zap.New(core)
 		b.apply(0)
-		_, err := b.operator.documents.Write(GinkgoT().Context(), tw.PlanKey("h1"), platform.Stored{}, tw.Plan{Hall: "h1", Generation: 5, Epoch: 50})
+		_, err := b.operator.documents.Write(GinkgoT().Context(), tw.PlanKey("h1"), platform.Document{}, tw.Plan{Hall: "h1", Generation: 5, Epoch: 50})
 		Expect(err).NotTo(HaveOccurred())
 		b.node("d1", b.platform)
 		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
@@ -276,7 +276,7 @@
 		})).To(Succeed())
 		lost := firstServing(b)
 		b.platform.RemoveInstance(lost)
-		Eventually(func() tw.State { return b.state(lost) }, patient).Should(BeEmpty())
+		Eventually(func() tw.InstanceState { return b.state(lost) }, patient).Should(BeEmpty())
 		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
 	})
 
@@ -331,7 +331,7 @@
 func firstServing(b *bed) tw.InstanceID {
 	plan := b.plan()
 	for i := range plan.Instances {
-		if plan.Instances[i].Runs("j") {
+		if plan.Instances[i].Serves("j") {
 			return plan.Instances[i].Instance
 		}
 	}
--- a/control/operator.go
+++ b/control/operator.go
@@ -210,7 +210,7 @@
 	d.Reached, d.Revision, d.Acked = true, resp.Self.Revision, resp.Self.Report.Acked
 }
 
-func (o *Operator) read(ctx context.Context) (tw.AcceptedConfig, platform.Stored, error) {
+func (o *Operator) read(ctx context.Context) (tw.AcceptedConfig, platform.Document, error) {
 	var current tw.AcceptedConfig
 	stored, err := o.documents.Read(ctx, tw.ConfigKey)
 	if err != nil || stored.Body == nil {
--- a/control/parts_test.go
+++ b/control/parts_test.go
@@ -156,9 +156,9 @@
 })
 
 var _ = Describe("an entry instance", func() {
-	entry := tw.Instance{ID: "e1", Role: tw.Entry}
-	other := tw.Instance{ID: "e2", Role: tw.Entry}
-	worker := tw.Instance{ID: "w1", Role: tw.Worker}
+	entry := tw.Instance{ID: "e1", Role: tw.RoleEntry}
+	other := tw.Instance{ID: "e2", Role: tw.RoleEntry}
+	worker := tw.Instance{ID: "w1", Role: tw.RoleWorker}
 	type row struct {
 		list []tw.Instance
 		gone bool
@@ -239,9 +239,9 @@
 		It(name+": a process that is not there is gone", func() {
 			peers, _ := peerImplementations[name](echo{})
 			_, err := peers.Sync(GinkgoT().Context(), "127.0.0.1:1", tw.SyncRequest{})
-			Expect(err).To(MatchError(tw.ErrGone))
+			Expect(err).To(MatchError(tw.ErrNotListening))
 			_, err = peers.Claim(GinkgoT().Context(), "127.0.0.1:1", tw.Claim{})
-			Expect(err).To(MatchError(tw.ErrGone))
+			Expect(err).To(MatchError(tw.ErrNotListening))
 		})
 	}
 })
@@ -309,7 +309,7 @@
 		network.setCut("d1", true)
 		_, result := all[0].Claim(GinkgoT().Context(), "key", "body")
 		Expect(result.Granted).To(BeFalse())
-		Expect(result.Standing.Holder).To(BeEmpty())
+		Expect(result.Existing.Holder).To(BeEmpty())
 	})
 
 	It("are granted by one daemon alone when the other's process is gone", func() {
--- a/control/peer_client.go
+++ b/control/peer_client.go
@@ -114,7 +114,7 @@
 
 func peerError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return fmt.Errorf("control: peer: %w: %w", tw.ErrGone, err)
+		return fmt.Errorf("control: peer: %w: %w", tw.ErrNotListening, err)
 	}
 	return fmt.Errorf("control: peer: %w: %w", tw.ErrUnavailable, err)
 }
--- a/control/planner.go
+++ b/control/planner.go
@@ -22,9 +22,9 @@
 	held    atomic.Bool
 	until   time.Time // the lease surely holds until then, by our own clock
 	renewAt time.Time
-	granted tw.Epoch        // the lease's
-	epoch   tw.Epoch        // the plans'; the same, unless the store has forgotten it
-	stored  platform.Stored // the plan as last read or written
+	granted tw.Epoch          // the lease's
+	epoch   tw.Epoch          // the plans'; the same, unless the store has forgotten it
+	stored  platform.Document // the plan as last read or written
 	loaded  bool
 	fenced  bool // nothing that was sent before the lease was taken can replace the plan
 	plan    tw.Plan
@@ -92,7 +92,7 @@
 		if !p.held.Load() || lease.Epoch != p.granted {
 			p.take(lease.Epoch)
 		}
-	case errors.Is(err, tw.ErrHeld):
+	case errors.Is(err, tw.ErrLeaseHeld):
 		p.drop()
 	}
 	return p.holds()
@@ -294,7 +294,7 @@
 func (p *planner) pending() bool {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State == tw.Draining || a.State == tw.Joining {
+		if a.State == tw.InstanceDraining || a.State == tw.InstanceJoining {
 			return true
 		}
 		for _, at := range a.Jobs {
--- a/control/planner_look.go
+++ b/control/planner_look.go
@@ -41,7 +41,7 @@
 	}
 	var err error
 	for _, i := range list.Instances {
-		if i.Role != tw.Entry {
+		if i.Role != tw.RoleEntry {
 			in.Instances = append(in.Instances, i)
 		}
 	}
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -90,8 +90,8 @@
 		b := newBed()
 		n, _ := b.node("d1", b.platform)
 		entry := tw.Disruption{Instance: "w0", Hall: "h1"}
-		_, err := b.operator.documents.Write(GinkgoT().Context(), tw.BudgetKey("s"), platform.Stored{},
-			tw.Ledger{Disruptions: []tw.Disruption{entry}})
+		_, err := b.operator.documents.Write(GinkgoT().Context(), tw.BudgetKey("s"), platform.Document{},
+			tw.ServiceDisruptions{Disruptions: []tw.Disruption{entry}})
 		Expect(err).NotTo(HaveOccurred())
 		late := newPlanner(n)
 		late.take(1)
--- a/control/suite_test.go
+++ b/control/suite_test.go
@@ -59,7 +59,7 @@
 	case n.cut[address] || n.cut[string(from)]:
 		return nil, tw.ErrUnavailable
 	case handler == nil:
-		return nil, tw.ErrGone
+		return nil, tw.ErrNotListening
 	}
 	return handler, nil
 }
@@ -147,7 +147,7 @@
 	for i := range 4 {
 		b.platform.SetInstance(tw.Instance{
 			ID:     tw.InstanceID(fmt.Sprintf("w%d", i)),
-			Role:   tw.Worker,
+			Role:   tw.RoleWorker,
 			Hall:   "h1",
 			Rack:   tw.RackID(fmt.Sprintf("r%d", i/2)),
 			Labels: map[string]string{"kind": "general"},
@@ -233,7 +233,7 @@
 	return roster.Members
 }
 
-func (b *bed) state(id tw.InstanceID) tw.State {
+func (b *bed) state(id tw.InstanceID) tw.InstanceState {
 	plan := b.plan()
 	if a := plan.Find(id); a != nil {
 		return a.State
@@ -257,7 +257,7 @@
 func serving(plan tw.Plan) int {
 	n := 0
 	for i := range plan.Instances {
-		if plan.Instances[i].Runs("j") {
+		if plan.Instances[i].Serves("j") {
 			n++
 		}
 	}
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -43,15 +43,15 @@
 		writeLine(w, http.StatusServiceUnavailable, "stopping")
 	case status.Revision == 0:
 		writeLine(w, http.StatusServiceUnavailable, "no configuration yet")
-	case !status.Registered && !relays(status):
+	case !status.Registered && !hasRelayPeer(status):
 		writeLine(w, http.StatusServiceUnavailable, "not registered, and no peer to relay to")
 	default:
 		writeLine(w, http.StatusOK, "ready")
 	}
 }
 
-// relays tells whether a peer could serve for this daemon.
-func relays(s control.Status) bool {
+// hasRelayPeer tells whether a peer could serve for this daemon.
+func hasRelayPeer(s control.Status) bool {
 	for _, m := range s.Members {
 		if m.ID != s.Self && len(m.Jobs) > 0 {
 			return true
--- a/daemon/config_news.go
+++ b/daemon/config_news.go
@@ -7,43 +7,43 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// configNews decides when a newer configuration, of which peers tell, is read from one
+// configFetchGate decides when a newer configuration, of which peers tell, is read from one
 // of them. The store brings it in most cases; who is turned away by the store has only
 // its peers, and must not serve by an old configuration for longer than the platform
 // allows.
-type configNews struct {
+type configFetchGate struct {
 	mu sync.Mutex
-	// have is the version in force when peers first told of a newer one, at from.
-	have tw.Version
-	from time.Time
+	// version is the version in force when peers first told of a newer one, at from.
+	version tw.Version
+	since   time.Time
 	// reading: a configuration is being read from a peer.
 	reading bool
 }
 
-// configLead is the time that a store which answers has to bring a version that peers
+// configFetchDelay is the time that a store which answers has to bring a version that peers
 // know of: a link of 10 Mbit/s takes 0.25 s for a large one, which is not to be
 // brought twice.
-const configLead = 400 * time.Millisecond
+const configFetchDelay = 400 * time.Millisecond
 
 // begin tells whether the newer version is to be read from a peer now. Then end is to be
 // called after it.
-func (n *configNews) begin(have, newer tw.Version, storeAnswers bool, now time.Time) bool {
+func (n *configFetchGate) begin(have, newer tw.Version, storeAnswers bool, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if newer <= have || n.reading {
 		return false
 	}
-	if n.from.IsZero() || n.have != have {
-		n.have, n.from = have, now
+	if n.since.IsZero() || n.version != have {
+		n.version, n.since = have, now
 	}
-	if storeAnswers && now.Sub(n.from) < configLead {
+	if storeAnswers && now.Sub(n.since) < configFetchDelay {
 		return false
 	}
 	n.reading = true
 	return true
 }
 
-func (n *configNews) end() {
+func (n *configFetchGate) end() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.reading = false
--- a/daemon/config_news_test.go
+++ b/daemon/config_news_test.go
@@ -44,7 +44,7 @@
 	for name, told := range newsCases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var n configNews
+			var n configFetchGate
 			for i, c := range told {
 				if !c.reading {
 					n.end()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -33,33 +33,33 @@
 
 	// Daemon is a running entry daemon.
 	Daemon struct {
-		settings Settings
-		log      *zap.Logger
-		metrics  *metrics.Set
-		gateway  *gateway.Gateway
-		node     *control.Node
-		callers  *drain.Server
-		others   []*drain.Server // for other daemons and operators
-		admin    string
-		member   tw.Member
-		stopping atomic.Bool
-		done     chan struct{}
+		settings        Settings
+		log             *zap.Logger
+		metrics         *metrics.Set
+		gateway         *gateway.Gateway
+		node            *control.Node
+		callerServer    *drain.Server
+		internalServers []*drain.Server // for other daemons and operators
+		admin           string
+		member          tw.Member
+		stopping        atomic.Bool
+		done            chan struct{}
 	}
 
-	// lateClaims lets the gateway be made before the node that keeps claims.
-	lateClaims struct{ tw.Claims }
+	// deferredClaims lets the gateway be made before the node that keeps claims.
+	deferredClaims struct{ tw.Claims }
 )
 
 const (
 	// headerTimeout bounds how long a caller may take to send its header.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// headerSlack lets the gateway refuse a header that is too large with a
+	// headerLimitFactor lets the gateway refuse a header that is too large with a
 	// reason, before the server does without one.
-	headerSlack = 4
-	// balancerNotice is how long a stopping daemon still takes requests
+	headerLimitFactor = 4
+	// readinessDelay is how long a stopping daemon still takes requests
 	// after it has said that it is not ready, so that the balancer sees it.
-	balancerNotice = time.Second
+	readinessDelay = time.Second
 )
 
 // New starts a daemon; Stop ends it.
@@ -81,7 +81,7 @@
 		Address:     peerAt.Addr().String(),
 		Gateway:     gatewayAt.Addr().String(),
 	}
-	claims := &lateClaims{}
+	claims := &deferredClaims{}
 	d.gateway = gateway.Config{
 		Clock:            c.Clock,
 		Log:              c.Log,
@@ -97,8 +97,8 @@
 	}.New()
 	d.node = c.node(d)
 	claims.Claims = d.node.Claims()
-	d.callers = d.serve(gatewayAt, &http.Server{Handler: d.gateway, MaxHeaderBytes: headerSlack * int(c.Settings.Limits.Header)})
-	d.others = []*drain.Server{
+	d.callerServer = d.serve(gatewayAt, &http.Server{Handler: d.gateway, MaxHeaderBytes: headerLimitFactor * int(c.Settings.Limits.Header)})
+	d.internalServers = []*drain.Server{
 		d.serve(peerAt, &http.Server{Handler: control.NewPeerServer(d.node), Protocols: control.ServerProtocols()}),
 		d.serve(adminAt, &http.Server{Handler: d.adminHandler()}),
 	}
@@ -169,14 +169,14 @@
 	}
 	defer close(d.done)
 	d.log.Info("daemon: stopping")
-	d.callers.Retire()
+	d.callerServer.StartDrain()
 	select {
-	case <-time.After(balancerNotice):
+	case <-time.After(readinessDelay):
 	case <-ctx.Done():
 	}
 	err := d.gateway.Stop(ctx)
 	d.node.Leave(ctx)
-	err = errors.CombineErrors(err, shutdown(ctx, append(d.others, d.callers)))
+	err = errors.CombineErrors(err, shutdown(ctx, append(d.internalServers, d.callerServer)))
 	d.log.Info("daemon: stopped")
 	return err
 }
@@ -187,7 +187,7 @@
 		return
 	}
 	defer close(d.done)
-	for _, s := range append(d.others, d.callers) {
+	for _, s := range append(d.internalServers, d.callerServer) {
 		_ = s.Close() // nobody is left to tell
 	}
 	d.node.Close()
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -31,26 +31,26 @@
 	// workers follows the list of workers while this daemon owns a pool, else
 	// it is nil: every read of it is paid for.
 	workers *member.Watcher
-	// round numbers the watchers of the list of workers, so that a former one
+	// generation numbers the watchers of the list of workers, so that a former one
 	// that is still ending changes nothing any more.
-	round  int
-	config *tw.QueueConfig
-	waves  map[int64]tw.MaintenanceWave
+	generation int
+	config     *tw.QueueConfig
+	waves      map[int64]tw.MaintenanceWave
 	// evacuations are the evacuated halls; nil until they are known.
 	evacuations *tw.Evacuations
-	listed      map[tw.WorkerID]listedWorker
+	decoded     map[tw.WorkerID]decodedEntry
 	byPool      map[tw.PoolID]map[tw.WorkerID]tw.WorkerEntry
-	everRead    bool
-	// unsound counts readings of entries that name no worker to use.
-	unsound *metrics.Counter
+	workersRead bool
+	// invalidEntries counts readings of entries that name no worker to use.
+	invalidEntries *metrics.Counter
 }
 
-// listedWorker is a worker's entry, decoded once a revision.
-type listedWorker struct {
+// decodedEntry is a worker's entry, decoded once a revision.
+type decodedEntry struct {
 	revision tw.KVRevision
 	entry    tw.WorkerEntry
-	// unsound is why the entry names no worker to use; empty if it does.
-	unsound string
+	// invalid is why the entry names no worker to use; empty if it does.
+	invalid string
 }
 
 const (
@@ -66,15 +66,15 @@
 func newDirectory(kv tw.KV, clock tw.Clock, log *zap.Logger, set *metrics.Set, workersChanged func()) *directory {
 	d := &directory{
 		kv: kv, clock: clock, log: log, workersChanged: workersChanged,
-		unsound: set.GetOrCreateCounter("tamarind_worker_entries_set_aside_total"),
-		waves:   map[int64]tw.MaintenanceWave{}, listed: map[tw.WorkerID]listedWorker{},
+		invalidEntries: set.GetOrCreateCounter("tamarind_worker_entries_set_aside_total"),
+		waves:          map[int64]tw.MaintenanceWave{}, decoded: map[tw.WorkerID]decodedEntry{},
 	}
 	set.GetOrCreateGauge("tamarind_evacuated_halls", d.evacuatedHalls)
 	return d
 }
 
-// followOperator begins to follow what operators write. The directory is not used before it.
-func (d *directory) followOperator() {
+// watchOperator begins to follow what operators write. The directory is not used before it.
+func (d *directory) watchOperator() {
 	d.operator = member.WatcherConfig{
 		KV: d.kv, Clock: d.clock, Log: d.log, Prefix: platform.OperatorPrefix, Wait: operatorWait, Changed: d.operatorChanged,
 	}.New()
@@ -82,28 +82,28 @@
 
 func (d *directory) close() {
 	d.operator.Close()
-	if watcher := d.detachWorkers(); watcher != nil {
+	if watcher := d.detachWorkerWatch(); watcher != nil {
 		watcher.Close()
 	}
 }
 
-// followWorkers begins to follow the list of workers, if it is not followed.
-func (d *directory) followWorkers() {
+// watchWorkers begins to follow the list of workers, if it is not followed.
+func (d *directory) watchWorkers() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.workers != nil {
 		return
 	}
-	d.round++
-	round := d.round
+	d.generation++
+	round := d.generation
 	d.workers = member.WatcherConfig{
 		KV: d.kv, Clock: d.clock, Log: d.log, Prefix: platform.WorkerPrefix, Wait: workersWait, Gap: workersGap,
-		Changed: func(items map[tw.Key]tw.KVItem, _ tw.KVRevision) { d.workersWritten(round, items) },
+		Changed: func(items map[tw.Key]tw.KVItem, _ tw.KVRevision) { d.updateWorkers(round, items) },
 	}.New()
 }
 
-// readWorkers has the list of workers read anew, if it is followed.
-func (d *directory) readWorkers() {
+// refreshWorkers has the list of workers read anew, if it is followed.
+func (d *directory) refreshWorkers() {
 	d.mu.Lock()
 	watcher := d.workers
 	d.mu.Unlock()
@@ -112,14 +112,14 @@
 	}
 }
 
-// detachWorkers stops following the list of workers. It returns the watcher, or
+// detachWorkerWatch stops following the list of workers. It returns the watcher, or
 // nil. The caller closes it without holding a lock: Close waits for a change
 // that is being taken up, which may need that lock.
-func (d *directory) detachWorkers() *member.Watcher {
+func (d *directory) detachWorkerWatch() *member.Watcher {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	watcher := d.workers
-	d.workers, d.everRead = nil, false
+	d.workers, d.workersRead = nil, false
 	return watcher
 }
 
@@ -170,34 +170,34 @@
 	if d.workers == nil {
 		return run.WorkerList{}, false
 	}
-	return run.WorkerList{Workers: d.byPool[pool], Settled: d.workers.Settled()}, d.everRead
+	return run.WorkerList{Workers: d.byPool[pool], StableSince: d.workers.AnsweringSince()}, d.workersRead
 }
 
 func (d *directory) operatorChanged(items map[tw.Key]tw.KVItem, at tw.KVRevision) {
-	d.offerEvacuations(platform.EvacuationsIn(maps.Keys(items), at), "store")
+	d.applyEvacuations(platform.EvacuationsFromKeys(maps.Keys(items), at), "store")
 	for key, item := range items {
 		switch {
 		case key == platform.QueueConfigKey:
-			d.readConfig(item.Value)
+			d.decodeConfig(item.Value)
 		case strings.HasPrefix(string(key), string(platform.WavePrefix)):
-			d.offerWave(item)
+			d.applyWave(item)
 		}
 	}
 }
 
-// readConfig puts the operators' configuration in force if it is newer.
-func (d *directory) readConfig(value []byte) {
+// decodeConfig puts the operators' configuration in force if it is newer.
+func (d *directory) decodeConfig(value []byte) {
 	config, err := platform.DecodeQueueConfig(value)
 	if err != nil {
 		d.log.Error("config: not readable", logsink.Err(err))
 		return
 	}
-	d.offerConfig(config, "store")
+	d.applyConfig(config, "store")
 }
 
-// offerConfig puts a configuration in force if it is newer. It never goes back: what
+// applyConfig puts a configuration in force if it is newer. It never goes back: what
 // was answered by a version must not be answered by an older one.
-func (d *directory) offerConfig(config *tw.QueueConfig, from string) {
+func (d *directory) applyConfig(config *tw.QueueConfig, from string) {
 	config.Prepare()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -210,7 +210,7 @@
 		zap.Int("organisations", len(config.Organisations)))
 }
 
-func (d *directory) offerWave(item tw.KVItem) {
+func (d *directory) applyWave(item tw.KVItem) {
 	wave, err := platform.DecodeWave(item.Value)
 	if err != nil {
 		d.log.Error("wave: not readable", zap.String("key", string(item.Key)), logsink.Err(err))
@@ -225,37 +225,37 @@
 	d.waves[wave.Number] = wave
 }
 
-// readEntry reads an entry of the list of workers. One that names no worker to use is set
+// decodeEntry reads an entry of the list of workers. One that names no worker to use is set
 // aside, and logged when its fault is a new one: its writer may go on writing it.
-func (d *directory) readEntry(item tw.KVItem, before listedWorker) listedWorker {
+func (d *directory) decodeEntry(item tw.KVItem, before decodedEntry) decodedEntry {
 	entry, err := platform.DecodeWorker(item)
 	if err == nil {
-		return listedWorker{revision: item.Revision, entry: entry}
+		return decodedEntry{revision: item.Revision, entry: entry}
 	}
-	d.unsound.Inc()
-	if err.Error() != before.unsound {
+	d.invalidEntries.Inc()
+	if err.Error() != before.invalid {
 		d.log.Error("worker: entry set aside", zap.String("key", string(item.Key)), logsink.Err(err))
 	}
-	return listedWorker{revision: item.Revision, unsound: err.Error()}
+	return decodedEntry{revision: item.Revision, invalid: err.Error()}
 }
 
-// workersWritten takes up the list of workers as the watcher of a round read it.
-func (d *directory) workersWritten(round int, items map[tw.Key]tw.KVItem) {
+// updateWorkers takes up the list of workers as the watcher of a round read it.
+func (d *directory) updateWorkers(round int, items map[tw.Key]tw.KVItem) {
 	d.mu.Lock()
-	if d.workers == nil || d.round != round {
+	if d.workers == nil || d.generation != round {
 		d.mu.Unlock()
 		return
 	}
-	listed := make(map[tw.WorkerID]listedWorker, len(items))
+	listed := make(map[tw.WorkerID]decodedEntry, len(items))
 	byPool := map[tw.PoolID]map[tw.WorkerID]tw.WorkerEntry{}
 	for key, item := range items {
-		id := platform.WorkerOfKey(key)
-		have, known := d.listed[id]
+		id := platform.WorkerFromKey(key)
+		have, known := d.decoded[id]
 		if !known || have.revision != item.Revision {
-			have = d.readEntry(item, have)
+			have = d.decodeEntry(item, have)
 		}
 		listed[id] = have
-		if have.unsound != "" {
+		if have.invalid != "" {
 			continue
 		}
 		pool := byPool[have.entry.Pool]
@@ -265,7 +265,7 @@
 		}
 		pool[id] = have.entry
 	}
-	d.listed, d.byPool, d.everRead = listed, byPool, true
+	d.decoded, d.byPool, d.workersRead = listed, byPool, true
 	d.mu.Unlock()
 	d.workersChanged()
 }
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -23,13 +23,13 @@
 	if err != nil {
 		return err
 	}
-	d.offerEvacuations(e, "store")
+	d.applyEvacuations(e, "store")
 	return nil
 }
 
-// offerEvacuations puts evacuations in force if they are newer than those that are known. Peers
+// applyEvacuations puts evacuations in force if they are newer than those that are known. Peers
 // offer what they know, or nil, as the store may turn this daemon away.
-func (d *directory) offerEvacuations(e *tw.Evacuations, from string) {
+func (d *directory) applyEvacuations(e *tw.Evacuations, from string) {
 	d.mu.Lock()
 	before := d.evacuations
 	if !e.NewerThan(before) {
--- a/daemon/evacuations_test.go
+++ b/daemon/evacuations_test.go
@@ -45,12 +45,12 @@
 		time.Sleep(100 * time.Millisecond)
 		r.kv.SetFaults(standin.KVFaults{Down: true})
 		later := r.d.Evacuations().Revision + 5
-		r.d.offerEvacuations(&tw.Evacuations{Revision: later, Halls: []tw.HallID{"a"}}, "b")
+		r.d.applyEvacuations(&tw.Evacuations{Revision: later, Halls: []tw.HallID{"a"}}, "b")
 		r.Expect(r.d.Evacuations().Has("a")).To(BeTrue())
-		r.d.offerEvacuations(&tw.Evacuations{Revision: later - 1}, "c")
-		r.d.offerEvacuations(nil, "c")
+		r.d.applyEvacuations(&tw.Evacuations{Revision: later - 1}, "c")
+		r.d.applyEvacuations(nil, "c")
 		r.Expect(r.d.Evacuations().Has("a")).To(BeTrue(), "older news have replaced newer ones")
-		r.d.offerEvacuations(&tw.Evacuations{Revision: later + 1}, "c")
+		r.d.applyEvacuations(&tw.Evacuations{Revision: later + 1}, "c")
 		r.Expect(r.d.Evacuations().Any()).To(BeFalse())
 	},
 	"by reading at a takeover, if the watch is silent": func(r *evacuationRig) {
@@ -76,7 +76,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := &evacuationRig{WithT: NewWithT(t), kv: standin.KVConfig{Latency: time.Millisecond}.New()}
 				r.d = newDirectory(r.kv, tw.SystemClock{}, zap.NewNop(), metrics.NewSet(), func() { r.changes.Add(1) })
-				r.d.followOperator()
+				r.d.watchOperator()
 				defer r.d.close()
 				c(r)
 			})
--- a/daemon/load.go
+++ b/daemon/load.go
@@ -11,34 +11,34 @@
 	"github.com/tamarindworks/tamarindworks/internal/traffic"
 )
 
-// loadLog tells at a bounded pace what fills the link of a daemon whose owners are short.
-type loadLog struct {
-	at   time.Time
-	last map[string]traffic.Count
+// trafficLog tells at a bounded pace what fills the link of a daemon whose owners are short.
+type trafficLog struct {
+	lastTime time.Time
+	last     map[string]traffic.Count
 }
 
 const (
-	// loadLogEvery is the pace of the lines, loadKinds bounds the kinds of messages that
+	// trafficLogInterval is the pace of the lines, loadKinds bounds the kinds of messages that
 	// one names, those with the most bytes.
-	loadLogEvery = time.Second
-	loadKinds    = 8
+	trafficLogInterval = time.Second
+	maxTrafficKinds    = 8
 )
 
-// tell writes a line about the messages since the last one, if it is due.
-func (l *loadLog) tell(now time.Time, meter *traffic.Meter, log *zap.Logger) {
-	since := now.Sub(l.at)
-	if since < loadLogEvery {
+// write writes a line about the messages since the last one, if it is due.
+func (l *trafficLog) write(now time.Time, meter *traffic.Meter, log *zap.Logger) {
+	since := now.Sub(l.lastTime)
+	if since < trafficLogInterval {
 		return
 	}
 	totals := meter.Totals()
-	if since < 2*loadLogEvery {
+	if since < 2*trafficLogInterval {
 		log.Info("daemon: traffic", l.fields(totals, since)...)
 	}
-	l.at, l.last = now, totals
+	l.lastTime, l.last = now, totals
 }
 
 // fields are kB a second by kind, and the messages a second.
-func (l *loadLog) fields(totals map[string]traffic.Count, since time.Duration) []zap.Field {
+func (l *trafficLog) fields(totals map[string]traffic.Count, since time.Duration) []zap.Field {
 	recent := map[string]traffic.Count{}
 	for kind, total := range totals {
 		before := l.last[kind]
@@ -59,7 +59,7 @@
 	fields := []zap.Field{
 		zap.Float64("sent_kb", perSecond(sent)/kilo), zap.Float64("received_kb", perSecond(received)/kilo),
 	}
-	for _, kind := range kinds[:min(loadKinds, len(kinds))] {
+	for _, kind := range kinds[:min(maxTrafficKinds, len(kinds))] {
 		c := recent[kind]
 		fields = append(fields, zap.Float64s(kind, []float64{
 			perSecond(c.Messages), perSecond(int64(c.Sent)) / kilo, perSecond(int64(c.Received)) / kilo,
--- a/daemon/owners.go
+++ b/daemon/owners.go
@@ -21,11 +21,11 @@
 type (
 	// owners are the pools that this daemon owns.
 	owners struct {
-		d       *QueueDaemon
-		ctx     context.Context
-		cancel  context.CancelFunc
-		done    chan struct{}
-		feeding sync.Mutex
+		d         *QueueDaemon
+		ctx       context.Context
+		cancel    context.CancelFunc
+		done      chan struct{}
+		workersMu sync.Mutex
 
 		mu       sync.Mutex
 		stopping bool
@@ -44,10 +44,10 @@
 )
 
 const (
-	// takeTimeout bounds a takeover: a slow store takes 240 ms for each of its calls,
+	// takeoverTimeout bounds a takeover: a slow store takes 240 ms for each of its calls,
 	// and a link of 2 Mbit/s up to 9 s for the submissions of all pools.
-	takeTimeout = 20 * time.Second
-	inboxWait   = 5 * time.Second
+	takeoverTimeout = 20 * time.Second
+	inboxWait       = 5 * time.Second
 )
 
 func newOwners(d *QueueDaemon) *owners {
@@ -58,7 +58,7 @@
 	}
 	go func() {
 		defer close(o.done)
-		o.watchStore()
+		o.monitorOwners()
 	}()
 	return o
 }
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// list names the pools that are owned or being taken.
-func (o *owners) list() []tw.PoolID {
+// pools names the pools that are owned or being taken.
+func (o *owners) pools() []tw.PoolID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []tw.PoolID
@@ -104,8 +104,8 @@
 	return out
 }
 
-// take makes this daemon the owner of a pool; it returns at once.
-func (o *owners) take(pool tw.PoolID, why string) {
+// startTakeover makes this daemon the owner of a pool; it returns at once.
+func (o *owners) startTakeover(pool tw.PoolID, why string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	managing := pool == maintenance.ManagerPool && o.manager != nil
@@ -114,7 +114,7 @@
 	}
 	o.taking[pool] = true
 	go func() {
-		err := o.open(pool, why)
+		err := o.takeOver(pool, why)
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		delete(o.taking, pool)
@@ -124,19 +124,19 @@
 	}()
 }
 
-func (o *owners) open(pool tw.PoolID, why string) error {
+func (o *owners) takeOver(pool tw.PoolID, why string) error {
 	d := o.d
 	d.log.Info("owner: takes pool", zap.String("pool", string(pool)), zap.String("why", why))
 	began := d.clock.Now()
-	ctx, cancel := context.WithTimeout(o.ctx, takeTimeout)
+	ctx, cancel := context.WithTimeout(o.ctx, takeoverTimeout)
 	defer cancel()
 	if pool != maintenance.ManagerPool {
-		d.directory.followWorkers()
+		d.directory.watchWorkers()
 	}
-	self := ledger.Owner{Pool: pool, Daemon: d.self.Daemon, Address: d.self.Address, Life: d.self.Life}
+	self := ledger.Owner{Pool: pool, Daemon: d.self.Daemon, Address: d.self.Address, Incarnation: d.self.Incarnation}
 	book, err := ledger.Config{KV: d.kv, Clock: d.clock, Log: d.log, Owner: self}.Open(ctx)
-	if errors.Is(err, ledger.ErrDeposed) {
-		d.members.Yielded(pool)
+	if errors.Is(err, ledger.ErrOwnershipLost) {
+		d.members.NotePoolLost(pool)
 	}
 	if err != nil {
 		return err
@@ -151,8 +151,8 @@
 		if err != nil {
 			return err
 		}
-		o.manage(book, self, recent)
-		d.members.Took(self)
+		o.startManager(book, self, recent)
+		d.members.RecordOwner(self)
 		return nil
 	}
 	loaded, err := book.Load(ctx)
@@ -161,46 +161,46 @@
 	}
 	owned := &ownedPool{}
 	owned.owner = run.Config{
-		Book: book, Loaded: loaded, Self: self, KV: d.kv, Orders: d.orders, Advisor: d.advisor, Census: d.census,
+		Book: book, Loaded: loaded, Self: self, KV: d.kv, Orders: d.orders, Advisor: d.advisor, MachineCache: d.machineCache,
 		Clock: d.clock, Log: d.log, Metrics: d.metrics, Bounds: d.bounds(),
 		Cores: d.settings.Limits.Cores, Link: d.settings.link(),
-		ReadWorkers: d.directory.readWorkers, Configuration: d.directory.Config,
-		Evacuations: d.directory.Evacuations,
-		Deposed:     func() { go o.drop(pool, owned) },
+		RefreshWorkers: d.directory.refreshWorkers, Configuration: d.directory.Config,
+		Evacuations:     d.directory.Evacuations,
+		OnOwnershipLost: func() { go o.closeOwner(pool, owned) },
 	}.New()
 	o.mu.Lock()
 	o.owned[pool] = owned
 	o.mu.Unlock()
-	d.members.Took(self)
-	o.feed(pool, owned.owner)
+	d.members.RecordOwner(self)
+	o.setWorkers(pool, owned.owner)
 	owned.inbox = o.watchInbox(pool, owned.owner)
 	d.log.Info("owner: pool taken", zap.String("pool", string(pool)), zap.Int64("fence", int64(self.Fence)),
 		zap.Duration("took", d.clock.Now().Sub(began)))
 	return nil
 }
 
-// manage starts to manage the machines.
-func (o *owners) manage(book *ledger.Book, self ledger.Owner, recent map[tw.InstanceID]time.Time) {
+// startManager starts to startManager the machines.
+func (o *owners) startManager(book *ledger.Book, self ledger.Owner, recent map[tw.InstanceID]time.Time) {
 	d := o.d
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.managerRecord = self
 	o.manager = maintenance.Config{
-		Book: book, Recent: recent, Holder: fmt.Sprintf("%s/%d", d.self.Daemon, d.self.Life), KV: d.kv, Machines: d.machines,
-		Census: d.census, Owners: d, Clock: d.clock, Log: d.log, Metrics: d.metrics,
+		Book: book, RecentlyChanged: recent, Holder: fmt.Sprintf("%s/%d", d.self.Daemon, d.self.Incarnation), KV: d.kv, Machines: d.machines,
+		MachineCache: d.machineCache, Owners: d, Clock: d.clock, Log: d.log, Metrics: d.metrics,
 		Waves: d.directory.Waves, Queue: d.directory.Config, Evacuations: d.directory.Evacuations, WaveStatus: platform.WaveStatus,
 		HolderTime: d.settings.Bounds.HolderTime.Std(), ParkAfter: d.settings.Machines.ParkAfter.Std(),
-		Deposed: func() { go o.dropManager() },
+		OnOwnershipLost: func() { go o.closeManager() },
 	}.New()
 }
 
-// dropManager forgets a manager that was deposed.
-func (o *owners) dropManager() {
+// closeManager forgets a manager that was deposed.
+func (o *owners) closeManager() {
 	o.mu.Lock()
 	manager := o.manager
 	o.manager = nil
 	o.mu.Unlock()
-	o.d.members.Yielded(maintenance.ManagerPool)
+	o.d.members.NotePoolLost(maintenance.ManagerPool)
 	if manager != nil {
 		manager.Close()
 	}
@@ -222,24 +222,24 @@
 					o.d.log.Error("inbox: message not readable", logsink.Err(err))
 					continue
 				}
-				owner.Inbox(o.ctx, message)
+				owner.HandleInbox(o.ctx, message)
 			}
 		},
 	}.New()
 }
 
-// feed hands the present list of workers to an owner. One call at a time, so
+// setWorkers hands the present list of workers to an owner. One call at a time, so
 // that an older list never follows a newer one.
-func (o *owners) feed(pool tw.PoolID, owner *run.Owner) {
-	o.feeding.Lock()
-	defer o.feeding.Unlock()
+func (o *owners) setWorkers(pool tw.PoolID, owner *run.Owner) {
+	o.workersMu.Lock()
+	defer o.workersMu.Unlock()
 	if list, read := o.d.directory.workerList(pool); read {
 		owner.SetWorkers(o.ctx, list)
 	}
 }
 
-// feedAll does so for all owners.
-func (o *owners) feedAll() {
+// setWorkersForAll does so for all owners.
+func (o *owners) setWorkersForAll() {
 	o.mu.Lock()
 	all := make(map[tw.PoolID]*run.Owner, len(o.owned))
 	for pool, owned := range o.owned {
@@ -247,18 +247,18 @@
 	}
 	o.mu.Unlock()
 	for pool, owner := range all {
-		o.feed(pool, owner)
+		o.setWorkers(pool, owner)
 	}
 }
 
-// drop forgets an owner that was deposed.
-func (o *owners) drop(pool tw.PoolID, owned *ownedPool) {
+// closeOwner forgets an owner that was deposed.
+func (o *owners) closeOwner(pool tw.PoolID, owned *ownedPool) {
 	o.mu.Lock()
 	if o.owned[pool] == owned {
 		delete(o.owned, pool)
 	}
 	o.mu.Unlock()
-	o.d.members.Yielded(pool)
+	o.d.members.NotePoolLost(pool)
 	owned.owner.Close()
 	if owned.inbox != nil {
 		owned.inbox.Close()
@@ -278,24 +278,24 @@
 	if manager != nil {
 		wg.Go(func() {
 			manager.Close()
-			o.passOn(ctx, record)
+			o.handOverPool(ctx, record)
 		})
 	}
 	for _, p := range owned {
 		wg.Go(func() {
 			p.owner.Drain(ctx)
 			p.inbox.Close()
-			o.passOn(ctx, p.owner.Record())
+			o.handOverPool(ctx, p.owner.Record())
 		})
 	}
 	wg.Wait()
 	o.cancel()
 }
 
-// passOn has the first successor that answers take a pool.
-func (o *owners) passOn(ctx context.Context, record ledger.Owner) {
+// handOverPool has the first successor that answers take a pool.
+func (o *owners) handOverPool(ctx context.Context, record ledger.Owner) {
 	for _, successor := range o.d.members.Successors(record.Pool) {
-		callCtx, cancel := context.WithTimeout(ctx, peerCallTime)
+		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		err := o.d.peers.Take(callCtx, successor.Address, record.Pool, record.Fence)
 		cancel()
 		o.d.log.Info("owner: pool handed over", zap.String("pool", string(record.Pool)),
--- a/daemon/peer_calls.go
+++ b/daemon/peer_calls.go
@@ -22,7 +22,7 @@
 )
 
 // Near implements tw.Relays.
-func (r relayPeers) Near(hall tw.HallID) []string { return r.members.Near(hall) }
+func (r relayPeers) Near(hall tw.HallID) []string { return r.members.RelayCandidates(hall) }
 
 // Start implements tw.Relays.
 func (r relayPeers) Start(ctx context.Context, address string, batch []tw.RelayedStart, answer func(tw.RelayedAnswer)) error {
@@ -31,15 +31,15 @@
 
 // Ping implements member.Handler.
 func (d *QueueDaemon) Ping(_ context.Context, m *member.PingRequest) (*member.PingResponse, error) {
-	if address, known := d.members.AddressOf(m.From); known && m.Config > d.directory.version() {
-		go d.fetchConfig(address, m.Config) // the answer must not wait for it
+	if address, known := d.members.AddressOf(m.From); known && m.ConfigVersion > d.directory.version() {
+		go d.fetchConfig(address, m.ConfigVersion) // the answer must not wait for it
 	}
-	d.directory.offerEvacuations(m.Evacuations, string(m.From))
-	doubts, owners := d.members.AnswerPing(m)
+	d.directory.applyEvacuations(m.Evacuations, string(m.From))
+	doubts, owners := d.members.HandlePing(m)
 	return &member.PingResponse{
-		Daemon: d.self.Daemon, Life: d.self.Life, Config: d.directory.version(), Owned: d.owners.records(),
-		StoreAnswers: d.members.StoreAnswers(), Evacuations: d.directory.Evacuations(),
-		Doubts: doubts, Owners: owners,
+		Daemon: d.self.Daemon, Incarnation: d.self.Incarnation, ConfigVersion: d.directory.version(), Owned: d.owners.records(),
+		StoreReachable: d.members.StoreReachable(), Evacuations: d.directory.Evacuations(),
+		Suspicions: doubts, Owners: owners,
 	}, nil
 }
 
@@ -100,7 +100,7 @@
 			zap.String("owner", string(owner.Daemon)), zap.Int64("fence", int64(owner.Fence)))
 		return &member.TakeResponse{}, nil
 	}
-	d.owners.take(m.Pool, "its owner hands it over")
+	d.owners.startTakeover(m.Pool, "its owner hands it over")
 	return &member.TakeResponse{}, nil
 }
 
--- a/daemon/queue_daemon.go
+++ b/daemon/queue_daemon.go
@@ -51,18 +51,18 @@
 		machines tw.Machines
 		advisor  tw.Advisor
 
-		self       member.Live
-		presence   *member.Presence
-		peers      *member.Peers
-		members    *member.Members
-		census     *run.Census
-		directory  *directory
-		owners     *owners
-		callers    *drain.Server
-		others     []*drain.Server // for the balancer, other daemons and metrics
-		stopping   atomic.Bool
-		configNews configNews
-		done       chan struct{}
+		self            member.DaemonRecord
+		presence        *member.Presence
+		peers           *member.Peers
+		members         *member.Members
+		machineCache    *run.MachineCache
+		directory       *directory
+		owners          *owners
+		callerServer    *drain.Server
+		internalServers []*drain.Server // for the balancer, other daemons and metrics
+		stopping        atomic.Bool
+		configFetch     configFetchGate
+		done            chan struct{}
 	}
 )
 
@@ -78,12 +78,12 @@
 	// configuration's own bounds are the same on present deployments.
 	callersHeaderTime = 3 * time.Second
 	callersIdleTime   = 15 * time.Second
-	// callersHeaderMost is above any limit that a configuration names.
-	callersHeaderMost = 64 << 10
-	// balancerTime is how long the platform's balancer still sends new
+	// callersMaxHeader is above any limit that a configuration names.
+	callersMaxHeader = 64 << 10
+	// balancerDrainTime is how long the platform's balancer still sends new
 	// connections after the daemon said that it is not ready: it asks each
 	// second and takes two misses.
-	balancerTime = 2500 * time.Millisecond
+	balancerDrainTime = 2500 * time.Millisecond
 )
 
 // New starts the daemon; Stop ends it.
@@ -107,21 +107,21 @@
 	if err != nil {
 		return nil, err
 	}
-	d.self = member.Live{
-		Daemon: s.ID, Life: tw.Incarnation(c.Clock.Now().UnixNano()), Hall: s.Hall,
+	d.self = member.DaemonRecord{
+		Daemon: s.ID, Incarnation: tw.Incarnation(c.Clock.Now().UnixNano()), Hall: s.Hall,
 		Address: listeners[2].Addr().String(), Cores: s.Limits.Cores,
 	}
 	d.log.Info("daemon: started", zap.String("daemon", string(s.ID)), zap.String("hall", string(s.Hall)),
-		zap.Uint64("life", uint64(d.self.Life)), zap.String("callers", listeners[0].Addr().String()))
-	if link := s.link(); link > 0 && link <= narrowLink {
+		zap.Uint64("life", uint64(d.self.Incarnation)), zap.String("callers", listeners[0].Addr().String()))
+	if link := s.link(); link > 0 && link <= slowLink {
 		d.peers.CompressSubmissions()
 	}
 	d.relay = relay.ServerConfig{Orders: c.Orders, Clock: c.Clock, Log: c.Log, Metrics: set}.New()
 	d.orders = relay.Config{
-		Direct: c.Orders, Relays: relayPeers{d}, Clock: c.Clock, Log: c.Log, Metrics: set, Link: s.link(),
+		Direct: c.Orders, Relays: relayPeers{d}, Clock: c.Clock, Log: c.Log, Metrics: set, LinkBandwidth: s.link(),
 	}.New()
-	d.duties()
-	d.listen(listeners)
+	d.startComponents()
+	d.startServers(listeners)
 	return d, nil
 }
 
@@ -146,43 +146,43 @@
 	}
 }
 
-// duties starts what runs beside the listeners.
-func (d *QueueDaemon) duties() {
-	d.directory = newDirectory(d.kv, d.clock, d.log, d.metrics, func() { d.owners.feedAll() })
+// startComponents starts what runs beside the listeners.
+func (d *QueueDaemon) startComponents() {
+	d.directory = newDirectory(d.kv, d.clock, d.log, d.metrics, func() { d.owners.setWorkersForAll() })
 	d.owners = newOwners(d)
-	d.directory.followOperator() // its changes go to the owners
+	d.directory.watchOperator() // its changes go to the owners
 	d.presence = member.PresenceConfig{
 		KV: d.kv, Clock: d.clock, Log: d.log, Self: d.self, MinTTL: d.settings.Platform.MinLease.Std(),
 	}.New()
-	d.census = run.CensusConfig{Machines: d.machines, Clock: d.clock, Log: d.log}.New()
+	d.machineCache = run.MachineCacheConfig{Machines: d.machines, Clock: d.clock, Log: d.log}.New()
 	d.members = member.Config{
 		KV: d.kv, Clock: d.clock, Log: d.log, Self: d.self, Peers: d.peers, Presence: d.presence,
-		Pools: d.directory.pools, Owned: d.owners.list, Version: d.directory.version,
-		Take: d.owners.take, NewerConfig: d.fetchConfig,
-		Evacuations: d.directory.Evacuations, HeardEvacuations: d.directory.offerEvacuations,
+		Pools: d.directory.pools, OwnedPools: d.owners.pools, ConfigVersion: d.directory.version,
+		TakeOver: d.owners.startTakeover, OnNewerConfig: d.fetchConfig,
+		Evacuations: d.directory.Evacuations, OnEvacuations: d.directory.applyEvacuations,
 	}.New()
 }
 
-// listen serves callers, the balancer, other daemons and metrics.
-func (d *QueueDaemon) listen(listeners []*net.TCPListener) {
+// startServers serves callers, the balancer, other daemons and metrics.
+func (d *QueueDaemon) startServers(listeners []*net.TCPListener) {
 	router := queue.RouterConfig{
 		Pools: d.owners, Members: d.members, Peers: d.peers, KV: d.kv, Clock: d.clock, Log: d.log,
 	}.New()
 	handler := queue.HandlerConfig{
 		Router: router, Codec: platform.Codec{}, Config: d.directory.Config, Clock: d.clock, Log: d.log, Metrics: d.metrics,
-		Keyed: platform.HasOrganisations(d.settings.Platform.Contracts),
+		RequireKeys: platform.HasOrganisations(d.settings.Platform.Contracts),
 	}.New()
 	readiness := http.NewServeMux()
 	readiness.HandleFunc("GET "+platform.ReadinessPath, d.ready)
 	figures := http.NewServeMux()
-	figures.HandleFunc("GET /metrics", d.figures)
-	d.callers = serve(listeners[0], &http.Server{
-		Handler: d.meter.Handler(handler), ReadHeaderTimeout: callersHeaderTime, IdleTimeout: callersIdleTime, MaxHeaderBytes: callersHeaderMost,
+	figures.HandleFunc("GET /metrics", d.serveMetrics)
+	d.callerServer = serve(listeners[0], &http.Server{
+		Handler: d.meter.Handler(handler), ReadHeaderTimeout: callersHeaderTime, IdleTimeout: callersIdleTime, MaxHeaderBytes: callersMaxHeader,
 	}, d.log)
 	others := []http.Handler{readiness, d.meter.Handler(member.NewHandler(d)), figures}
 	for n, at := range listeners[1:] {
 		server := &http.Server{Handler: others[n], ReadHeaderTimeout: callersHeaderTime}
-		d.others = append(d.others, serve(at, server, d.log))
+		d.internalServers = append(d.internalServers, serve(at, server, d.log))
 	}
 }
 
@@ -197,7 +197,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (d *QueueDaemon) figures(w http.ResponseWriter, _ *http.Request) {
+func (d *QueueDaemon) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	d.metrics.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
@@ -205,11 +205,11 @@
 // fetchConfig reads a newer configuration from a peer, unless the store brings it:
 // a link of 10 Mbit/s takes 0.25 s for a large one, and all peers tell of it at once.
 func (d *QueueDaemon) fetchConfig(address string, version tw.Version) {
-	if !d.configNews.begin(d.directory.version(), version, d.members.StoreAnswers(), d.clock.Now()) {
+	if !d.configFetch.begin(d.directory.version(), version, d.members.StoreReachable(), d.clock.Now()) {
 		return
 	}
-	defer d.configNews.end()
-	ctx, cancel := context.WithTimeout(context.Background(), peerCallTime)
+	defer d.configFetch.end()
+	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	resp, err := d.peers.Config(ctx, address)
 	if err != nil || resp.Config == nil {
@@ -217,11 +217,11 @@
 			zap.Uint64("version", uint64(version)), logsink.Err(err))
 		return
 	}
-	d.directory.offerConfig(resp.Config, address)
+	d.directory.applyConfig(resp.Config, address)
 }
 
-// peerCallTime bounds a call to a peer that no caller waits for.
-const peerCallTime = time.Second
+// peerCallTimeout bounds a call to a peer that no caller waits for.
+const peerCallTimeout = time.Second
 
 func (d *QueueDaemon) bounds() run.Bounds {
 	b := d.settings.Bounds
@@ -240,19 +240,19 @@
 	}
 	defer close(d.done)
 	d.log.Info("daemon: stopping")
-	d.callers.Retire()
-	quiet := d.clock.After(balancerTime)
+	d.callerServer.StartDrain()
+	quiet := d.clock.After(balancerDrainTime)
 	d.presence.Close(ctx)
 	d.owners.handOver(ctx)
 	select {
 	case <-quiet:
 	case <-ctx.Done():
 	}
-	err := errors.CombineErrors(d.callers.Shutdown(ctx), shutdown(ctx, d.others))
+	err := errors.CombineErrors(d.callerServer.Shutdown(ctx), shutdown(ctx, d.internalServers))
 	d.orders.Close()
 	d.members.Close()
 	d.directory.close()
-	d.census.Close()
+	d.machineCache.Close()
 	d.log.Info("daemon: stopped")
 	return err
 }
--- a/daemon/queue_settings.go
+++ b/daemon/queue_settings.go
@@ -101,46 +101,46 @@
 	return s, err
 }
 
-// Defaults fills what was left out. The bounds are those of the platform's
+// SetDefaults fills what was left out. The bounds are those of the platform's
 // present deployments.
-func (s *QueueSettings) Defaults() {
-	set(&s.Platform.MinLease, tw.Duration(time.Second))
-	set(&s.Limits.MemoryMB, 284)
-	set(&s.Limits.Cores, 0.4)
-	set(&s.Bounds.MaxHold, tw.Duration(6*time.Second))
-	set(&s.Bounds.StopTime, tw.Duration(400*time.Millisecond))
-	set(&s.Bounds.KeepEnded, tw.Duration(2*time.Minute))
-	set(&s.Bounds.HolderTime, tw.Duration(3*time.Second))
-	set(&s.Bounds.StopGrace, tw.Duration(6*time.Second))
+func (s *QueueSettings) SetDefaults() {
+	setDefault(&s.Platform.MinLease, tw.Duration(time.Second))
+	setDefault(&s.Limits.MemoryMB, 284)
+	setDefault(&s.Limits.Cores, 0.4)
+	setDefault(&s.Bounds.MaxHold, tw.Duration(6*time.Second))
+	setDefault(&s.Bounds.StopTime, tw.Duration(400*time.Millisecond))
+	setDefault(&s.Bounds.KeepEnded, tw.Duration(2*time.Minute))
+	setDefault(&s.Bounds.HolderTime, tw.Duration(3*time.Second))
+	setDefault(&s.Bounds.StopGrace, tw.Duration(6*time.Second))
 	// Bringing a machine back takes 1.5 s, in which its pool is short of it,
 	// and each move is paid for like two seconds of the machine. Measured on
 	// the bench against 3 s: see docs/DESIGN.md.
-	set(&s.Machines.ParkAfter, tw.Duration(time.Minute))
-	set(&s.Log.Level, "info")
+	setDefault(&s.Machines.ParkAfter, tw.Duration(time.Minute))
+	setDefault(&s.Log.Level, "info")
 }
 
 // Validate gathers all faults; the error is of type tw.Faults.
 func (s *QueueSettings) Validate() error {
-	var faults tw.Faults
-	need(&faults, "id", string(s.ID))
-	need(&faults, "hall", string(s.Hall))
-	address(&faults, "listen.callers", s.Listen.Callers)
-	address(&faults, "listen.readiness", s.Listen.Readiness)
-	address(&faults, "listen.peers", s.Listen.Peers)
+	var faults tw.ValidationErrors
+	checkRequired(&faults, "id", string(s.ID))
+	checkRequired(&faults, "hall", string(s.Hall))
+	checkAddress(&faults, "listen.callers", s.Listen.Callers)
+	checkAddress(&faults, "listen.readiness", s.Listen.Readiness)
+	checkAddress(&faults, "listen.peers", s.Listen.Peers)
 	if s.Listen.Metrics != "" {
-		address(&faults, "listen.metrics", s.Listen.Metrics)
+		checkAddress(&faults, "listen.metrics", s.Listen.Metrics)
 	}
-	address(&faults, "platform.store", s.Platform.Store)
-	address(&faults, "platform.machines", s.Platform.Machines)
+	checkAddress(&faults, "platform.store", s.Platform.Store)
+	checkAddress(&faults, "platform.machines", s.Platform.Machines)
 	if s.Platform.Advice != "" {
-		address(&faults, "platform.advice", s.Platform.Advice)
+		checkAddress(&faults, "platform.advice", s.Platform.Advice)
 	}
 	s.validateBounds(&faults)
-	logLevel(&faults, s.Log.Level)
+	checkLogLevel(&faults, s.Log.Level)
 	return faults.Err()
 }
 
-func (s *QueueSettings) validateBounds(faults *tw.Faults) {
+func (s *QueueSettings) validateBounds(faults *tw.ValidationErrors) {
 	bounds := map[string]tw.Duration{
 		"platform.min_lease":  s.Platform.MinLease,
 		"bounds.max_hold":     s.Bounds.MaxHold,
@@ -151,9 +151,9 @@
 		"machines.park_after": s.Machines.ParkAfter,
 	}
 	for _, field := range slices.Sorted(maps.Keys(bounds)) {
-		positive(faults, field, int64(bounds[field]))
+		checkPositive(faults, field, int64(bounds[field]))
 	}
-	positive(faults, "limits.memory_mb", s.Limits.MemoryMB)
+	checkPositive(faults, "limits.memory_mb", s.Limits.MemoryMB)
 	if s.Limits.Cores <= 0 {
 		faults.Add("limits.cores", "must be above 0")
 	}
@@ -165,8 +165,8 @@
 const (
 	// bytesPerMegabit is a megabit in bytes.
 	bytesPerMegabit = 1e6 / 8
-	// narrowLink is full before the processor of a small daemon is.
-	narrowLink tw.BytesPerSecond = 4 * bytesPerMegabit
+	// slowLink is full before the processor of a small daemon is.
+	slowLink tw.BytesPerSecond = 4 * bytesPerMegabit
 )
 
 // link is what the daemon's link carries; zero if that is not known.
--- a/daemon/queue_settings_test.go
+++ b/daemon/queue_settings_test.go
@@ -100,7 +100,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			_, err := load(t, c.text)
-			var faults tw.Faults
+			var faults tw.ValidationErrors
 			g.Expect(errors.As(err, &faults)).To(BeTrue())
 			for _, field := range c.says {
 				g.Expect(err.Error()).To(ContainSubstring(field))
--- a/daemon/ready_test.go
+++ b/daemon/ready_test.go
@@ -33,9 +33,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				kv := standin.KVConfig{Latency: time.Millisecond}.New()
-				membertest.Announce(kv, member.Live{Daemon: "b", Address: "b:1", Hall: "far"})
-				others := &membertest.Others{}
-				members, end := membertest.StartAmong(kv, member.Live{Daemon: "a", Address: "a:1", Hall: "near"}, others)
+				membertest.Announce(kv, member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"})
+				others := &membertest.Peers{}
+				members, end := membertest.StartWithPeers(kv, member.DaemonRecord{Daemon: "a", Address: "a:1", Hall: "near"}, others)
 				defer end()
 				d := &QueueDaemon{directory: &directory{}, members: members}
 				if c.configured {
@@ -44,7 +44,7 @@
 				d.stopping.Store(c.stopping)
 				time.Sleep(2 * time.Second)
 				kv.SetFaults(standin.KVFaults{Down: c.storeDown})
-				others.Cut.Store(c.cut)
+				others.Unresponsive.Store(c.cut)
 				time.Sleep(time.Second)
 				answer := httptest.NewRecorder()
 				d.ready(answer, nil)
--- a/daemon/report_test.go
+++ b/daemon/report_test.go
@@ -27,14 +27,14 @@
 		d, end := bareDaemon(newer)
 		defer end()
 		kv := standin.KVConfig{Latency: time.Millisecond}.New()
-		self := ledger.Owner{Pool: "p", Daemon: d.self.Daemon, Life: d.self.Life}
+		self := ledger.Owner{Pool: "p", Daemon: d.self.Daemon, Incarnation: d.self.Incarnation}
 		book, err := ledger.Config{KV: kv, Clock: d.clock, Log: d.log, Owner: self}.Open(t.Context())
 		g.Expect(err).NotTo(HaveOccurred())
 		self.Fence = book.Fence()
-		census := run.CensusConfig{Machines: standin.CloudConfig{}.New(), Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
+		census := run.MachineCacheConfig{Machines: standin.CloudConfig{}.New(), Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
 		defer census.Close()
 		former := run.Config{
-			Book: book, Self: self, KV: kv, Census: census, Clock: d.clock, Log: d.log, Metrics: metrics.NewSet(),
+			Book: book, Self: self, KV: kv, MachineCache: census, Clock: d.clock, Log: d.log, Metrics: metrics.NewSet(),
 		}.New()
 		defer former.Close()
 		d.owners.owned["p"] = &ownedPool{owner: former}
--- a/daemon/rescue.go
+++ b/daemon/rescue.go
@@ -16,75 +16,75 @@
 // of the machines.
 type ownership struct {
 	record ledger.Owner
-	// trouble is how long the store has taken no write of it, shortage how long this
+	// storeStalledFor is how long the store has taken no write of it, overloadedFor how long this
 	// daemon has been too slow for it; nil where that is not known.
-	trouble, shortage func(ctx context.Context) (time.Duration, error)
-	// drop ends it and asks nobody to take over, as somebody has already.
-	drop func()
+	storeStalledFor, overloadedFor func(ctx context.Context) (time.Duration, error)
+	// close ends it and asks nobody to take over, as somebody has already.
+	close func()
 }
 
 const (
-	// storeCheck is the pace at which owners are asked whether the store takes
+	// storeCheckInterval is the pace at which owners are asked whether the store takes
 	// their writes, storePatience how long it may not before others are asked
 	// to take over. A write of the slow store takes 240 ms: the patience is
 	// longer than three of them.
-	storeCheck    = 300 * time.Millisecond
-	storePatience = 900 * time.Millisecond
-	// shortPatience is how long an owner may be short of processor time or link before a
+	storeCheckInterval = 300 * time.Millisecond
+	storeStallTimeout  = 900 * time.Millisecond
+	// overloadTimeout is how long an owner may be short of processor time or link before a
 	// faster daemon takes its pool, reliefGap the least time between two such changes of
 	// a pool.
-	shortPatience = time.Second
-	reliefGap     = 5 * time.Second
+	overloadTimeout = time.Second
+	offloadCooldown = 5 * time.Second
 )
 
-// watchStore has other daemons take the pools of this one while it does not
+// monitorOwners has other daemons take the pools of this one while it does not
 // reach the metadata store but they do. At the same pace it stops following the
 // list of workers once no pool is left that needs it. It runs until the
 // daemon's owners end.
-func (o *owners) watchStore() {
+func (o *owners) monitorOwners() {
 	// asked counts how often others were asked to take each pool since the store
 	// last took a write of it, so that each time another one is asked.
 	asked := map[tw.PoolID]int{}
 	relieved := map[tw.PoolID]time.Time{}
-	var load loadLog
+	var load trafficLog
 	for {
 		select {
 		case <-o.ctx.Done():
 			return
-		case <-o.d.clock.After(storeCheck):
+		case <-o.d.clock.After(storeCheckInterval):
 		}
-		o.unfollowWorkers()
+		o.unwatchWorkers()
 		for _, own := range o.ownerships() {
 			pool := own.record.Pool
-			trouble, err := own.trouble(o.ctx)
+			trouble, err := own.storeStalledFor(o.ctx)
 			switch {
-			case err != nil || trouble <= storePatience:
+			case err != nil || trouble <= storeStallTimeout:
 				delete(asked, pool)
 				now := o.d.clock.Now()
-				short := o.shortFor(own)
+				short := o.overloadedFor(own)
 				if short > 0 {
-					load.tell(now, o.d.meter, o.d.log)
+					load.write(now, o.d.meter, o.d.log)
 				}
-				if short >= shortPatience && now.Sub(relieved[pool]) > reliefGap && o.relieve(own, short) {
+				if short >= overloadTimeout && now.Sub(relieved[pool]) > offloadCooldown && o.offload(own, short) {
 					relieved[pool] = now
 				}
 			case o.superseded(own.record):
-				own.drop()
+				own.close()
 			default:
-				o.callRescuer(own.record, trouble, asked[pool])
+				o.requestTakeover(own.record, trouble, asked[pool])
 				asked[pool]++
 			}
 		}
 	}
 }
 
-// unfollowWorkers stops following the list of workers if this daemon owns no
+// unwatchWorkers stops following the list of workers if this daemon owns no
 // pool and takes none: every read of the list is paid for.
-func (o *owners) unfollowWorkers() {
+func (o *owners) unwatchWorkers() {
 	o.mu.Lock()
 	var watcher *member.Watcher
 	if len(o.owned) == 0 && len(o.taking) == 0 {
-		watcher = o.d.directory.detachWorkers()
+		watcher = o.d.directory.detachWorkerWatch()
 	}
 	o.mu.Unlock()
 	if watcher != nil {
@@ -99,12 +99,12 @@
 	var out []ownership
 	for pool, p := range o.owned {
 		out = append(out, ownership{
-			record: p.owner.Record(), trouble: p.owner.StoreTrouble, shortage: p.owner.Shortage,
-			drop: func() { o.drop(pool, p) },
+			record: p.owner.Record(), storeStalledFor: p.owner.StoreOutage, overloadedFor: p.owner.Shortage,
+			close: func() { o.closeOwner(pool, p) },
 		})
 	}
 	if o.manager != nil {
-		out = append(out, ownership{record: o.managerRecord, trouble: o.manager.StoreTrouble, drop: o.dropManager})
+		out = append(out, ownership{record: o.managerRecord, storeStalledFor: o.manager.StoreOutage, close: o.closeManager})
 	}
 	return out
 }
@@ -121,26 +121,26 @@
 	return true
 }
 
-// shortFor is how long this daemon has been too slow for an ownership.
-func (o *owners) shortFor(own ownership) time.Duration {
-	if own.shortage == nil {
+// overloadedFor is how long this daemon has been too slow for an ownership.
+func (o *owners) overloadedFor(own ownership) time.Duration {
+	if own.overloadedFor == nil {
 		return 0
 	}
-	short, err := own.shortage(o.ctx)
+	short, err := own.overloadedFor(o.ctx)
 	if err != nil {
 		return 0 // the owner has ended
 	}
 	return short
 }
 
-// relieve has a faster daemon take a pool for which this one is too slow. It goes on with the
+// offload has a faster daemon take a pool for which this one is too slow. It goes on with the
 // pool until that one has it.
-func (o *owners) relieve(own ownership, short time.Duration) bool {
-	peer, found := o.d.members.Relief(own.record.Pool)
+func (o *owners) offload(own ownership, short time.Duration) bool {
+	peer, found := o.d.members.FasterSuccessor(own.record.Pool)
 	if !found {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(o.ctx, peerCallTime)
+	ctx, cancel := context.WithTimeout(o.ctx, peerCallTimeout)
 	defer cancel()
 	err := o.d.peers.Take(ctx, peer.Address, own.record.Pool, own.record.Fence)
 	o.d.log.Info("owner: too slow for the pool, a faster daemon is asked to take it",
@@ -149,15 +149,15 @@
 	return true
 }
 
-// callRescuer asks one daemon that reaches the store to take a pool; asked is
+// requestTakeover asks one daemon that reaches the store to take a pool; asked is
 // how often others were asked before. If that daemon does not take it, the next
 // round of watchStore asks another one.
-func (o *owners) callRescuer(record ledger.Owner, trouble time.Duration, asked int) {
-	peer, found := o.d.members.Rescuer(record.Pool, asked)
+func (o *owners) requestTakeover(record ledger.Owner, trouble time.Duration, asked int) {
+	peer, found := o.d.members.TakeoverTarget(record.Pool, asked)
 	if !found {
 		return
 	}
-	ctx, cancel := context.WithTimeout(o.ctx, peerCallTime)
+	ctx, cancel := context.WithTimeout(o.ctx, peerCallTimeout)
 	defer cancel()
 	err := o.d.peers.Take(ctx, peer.Address, record.Pool, record.Fence)
 	o.d.log.Warn("owner: store takes no writes of this daemon, another is asked to take the pool",
--- a/daemon/rescue_test.go
+++ b/daemon/rescue_test.go
@@ -21,35 +21,35 @@
 
 func (stuckKV) Get(ctx context.Context, _ tw.Key) (tw.KVItem, error) {
 	<-ctx.Done()
-	return tw.KVItem{}, tw.ErrUnclear
+	return tw.KVItem{}, tw.ErrAmbiguous
 }
 
 func (stuckKV) Range(ctx context.Context, _ tw.Key) ([]tw.KVItem, tw.KVRevision, error) {
 	<-ctx.Done()
-	return nil, 0, tw.ErrUnclear
+	return nil, 0, tw.ErrAmbiguous
 }
 
 func (stuckKV) Commit(ctx context.Context, _ tw.KVTxn) (tw.KVRevision, error) {
 	<-ctx.Done()
-	return 0, tw.ErrUnclear
+	return 0, tw.ErrAmbiguous
 }
 
 // bareDaemon is a daemon without listeners that knows the owner of the pool "p"
 // by the word of a peer.
 func bareDaemon(known ledger.Owner) (d *QueueDaemon, end func()) {
 	kv := standin.KVConfig{Latency: time.Millisecond}.New()
-	self := member.Live{Daemon: "a", Life: 1, Address: "a:1"}
+	self := member.DaemonRecord{Daemon: "a", Incarnation: 1, Address: "a:1"}
 	d = &QueueDaemon{kv: stuckKV{}, clock: tw.SystemClock{}, log: zap.NewNop(), self: self}
 	d.directory = &directory{kv: d.kv, clock: d.clock, log: d.log}
 	members, endMembers := membertest.Start(kv, self)
 	d.members = members
-	d.members.Took(known)
+	d.members.RecordOwner(known)
 	d.owners = newOwners(d)
 	return d, func() {
 		synctest.Wait() // a takeover has begun, and is stuck
 		d.owners.cancel()
 		<-d.owners.done
-		if watcher := d.directory.detachWorkers(); watcher != nil {
+		if watcher := d.directory.detachWorkerWatch(); watcher != nil {
 			watcher.Close()
 		}
 		endMembers()
@@ -59,7 +59,7 @@
 // fenceCases are the fences of the owner that this daemon knows and of the one
 // who asks it to take the pool, and what follows.
 var fenceCases = map[string]struct {
-	known, asking     tw.Fence
+	known, asking     tw.FencingToken
 	taken, superseded bool
 }{
 	"the owner asks":               {known: 4, asking: 4, taken: true},
@@ -73,12 +73,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				known := ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Life: 1, Fence: c.known}
+				known := ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Incarnation: 1, Fence: c.known}
 				d, end := bareDaemon(known)
 				defer end()
 				_, err := d.Take(t.Context(), &member.TakeRequest{Pool: "p", Fence: c.asking})
 				g.Expect(err).NotTo(HaveOccurred())
-				g.Expect(len(d.owners.list()) > 0).To(Equal(c.taken))
+				g.Expect(len(d.owners.pools()) > 0).To(Equal(c.taken))
 				g.Expect(d.owners.superseded(ledger.Owner{Pool: "p", Daemon: "a", Fence: c.asking})).To(Equal(c.superseded))
 			})
 		})
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -74,88 +74,88 @@
 	return s, nil
 }
 
-// Defaults fills what was left out.
-func (s *Settings) Defaults() {
-	set(&s.Platform.Timeout, tw.Duration(2*time.Second))
-	set(&s.Platform.CallsPerSecond, 10)
-	set(&s.Limits.Body, 8<<20)
-	set(&s.Limits.HeldBody, 64<<10)
-	set(&s.Limits.Header, 32<<10)
-	set(&s.Limits.Connections, 8)
-	set(&s.Limits.DialTimeout, tw.Duration(500*time.Millisecond))
-	set(&s.Limits.StopTimeout, tw.Duration(30*time.Second))
-	set(&s.Limits.KeyLifetime, tw.Duration(10*time.Minute))
-	set(&s.Log.Level, "info")
+// SetDefaults fills what was left out.
+func (s *Settings) SetDefaults() {
+	setDefault(&s.Platform.Timeout, tw.Duration(2*time.Second))
+	setDefault(&s.Platform.CallsPerSecond, 10)
+	setDefault(&s.Limits.Body, 8<<20)
+	setDefault(&s.Limits.HeldBody, 64<<10)
+	setDefault(&s.Limits.Header, 32<<10)
+	setDefault(&s.Limits.Connections, 8)
+	setDefault(&s.Limits.DialTimeout, tw.Duration(500*time.Millisecond))
+	setDefault(&s.Limits.StopTimeout, tw.Duration(30*time.Second))
+	setDefault(&s.Limits.KeyLifetime, tw.Duration(10*time.Minute))
+	setDefault(&s.Log.Level, "info")
 }
 
 // Validate gathers all faults; the error is of type tw.Faults.
 func (s *Settings) Validate() error {
-	var faults tw.Faults
-	need(&faults, "id", string(s.ID))
-	need(&faults, "hall", string(s.Hall))
-	need(&faults, "instance", string(s.Instance))
-	address(&faults, "listen.gateway", s.Listen.Gateway)
-	address(&faults, "listen.peer", s.Listen.Peer)
-	address(&faults, "listen.admin", s.Listen.Admin)
+	var faults tw.ValidationErrors
+	checkRequired(&faults, "id", string(s.ID))
+	checkRequired(&faults, "hall", string(s.Hall))
+	checkRequired(&faults, "instance", string(s.Instance))
+	checkAddress(&faults, "listen.gateway", s.Listen.Gateway)
+	checkAddress(&faults, "listen.peer", s.Listen.Peer)
+	checkAddress(&faults, "listen.admin", s.Listen.Admin)
 	s.validatePlatform(&faults)
 	for _, p := range s.Peers {
-		address(&faults, "peers", p)
+		checkAddress(&faults, "peers", p)
 	}
 	s.validateLimits(&faults)
-	logLevel(&faults, s.Log.Level)
+	checkLogLevel(&faults, s.Log.Level)
 	return faults.Err()
 }
 
-func (s *Settings) validatePlatform(faults *tw.Faults) {
+func (s *Settings) validatePlatform(faults *tw.ValidationErrors) {
 	u, err := url.Parse(s.Platform.URL)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
 		faults.Add("platform.url", "is %q, must be a URL such as \"http://10.0.0.1:7000\"", s.Platform.URL)
 	}
-	positive(faults, "platform.timeout", int64(s.Platform.Timeout))
+	checkPositive(faults, "platform.timeout", int64(s.Platform.Timeout))
 	if s.Platform.CallsPerSecond < 0 {
 		faults.Add("platform.calls_per_second", "must be above 0")
 	}
 }
 
-func (s *Settings) validateLimits(faults *tw.Faults) {
-	positive(faults, "limits.body", int64(s.Limits.Body))
-	positive(faults, "limits.held_body", int64(s.Limits.HeldBody))
-	positive(faults, "limits.header", int64(s.Limits.Header))
-	positive(faults, "limits.connections", int64(s.Limits.Connections))
-	positive(faults, "limits.dial_timeout", int64(s.Limits.DialTimeout))
-	positive(faults, "limits.stop_timeout", int64(s.Limits.StopTimeout))
-	positive(faults, "limits.key_lifetime", int64(s.Limits.KeyLifetime))
+func (s *Settings) validateLimits(faults *tw.ValidationErrors) {
+	checkPositive(faults, "limits.body", int64(s.Limits.Body))
+	checkPositive(faults, "limits.held_body", int64(s.Limits.HeldBody))
+	checkPositive(faults, "limits.header", int64(s.Limits.Header))
+	checkPositive(faults, "limits.connections", int64(s.Limits.Connections))
+	checkPositive(faults, "limits.dial_timeout", int64(s.Limits.DialTimeout))
+	checkPositive(faults, "limits.stop_timeout", int64(s.Limits.StopTimeout))
+	checkPositive(faults, "limits.key_lifetime", int64(s.Limits.KeyLifetime))
 	if s.Limits.Body > 0 && s.Limits.HeldBody > s.Limits.Body {
 		faults.Add("limits.held_body", "is over limits.body")
 	}
 }
 
-func set[T comparable](at *T, rest T) {
+func setDefault[T comparable](at *T, rest T) {
 	var zero T
 	if *at == zero {
 		*at = rest
 	}
 }
 
-func need(faults *tw.Faults, field, value string) {
+func checkRequired(faults *tw.ValidationErrors, field, value string) {
 	if value == "" {
 		faults.Add(field, "is missing")
 	}
 }
 
-func positive(faults *tw.Faults, field string, value int64) {
+func checkPositive(faults *tw.ValidationErrors, field string, value int64) {
 	if value <= 0 {
 		faults.Add(field, "must be above 0")
 	}
 }
 
-func logLevel(faults *tw.Faults, level string) {
+func checkLogLevel(faults *tw.ValidationErrors, level string) {
 	if !slices.Contains(logLevels, level) {
 		faults.Add("log.level", "is %q, must be one of %s", level, strings.Join(logLevels, ", "))
 	}
 }
 
-func address(faults *tw.Faults, field, value string) {
+func checkAddress(faults *tw.ValidationErrors, field, value string) {
 	host, _, err := net.SplitHostPort(value)
 	switch {
 	case value == "":
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -96,7 +96,7 @@
 
 func faultsOf(source string, v tomlfile.Validator) []string {
 	err := tomlfile.Decode([]byte(source), v)
-	var faults tw.Faults
+	var faults tw.ValidationErrors
 	if err != nil && !errors.As(err, &faults) {
 		Fail(err.Error())
 	}
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -35,10 +35,10 @@
 
 	It("gives no new work to a leaving instance after 3 s, and cuts nothing", func() {
 		leaving := f.serving("h1", "boards")[0]
-		defer f.setPhase(leaving, tw.Live)
+		defer f.setPhase(leaving, tw.PhaseLive)
 		var before, after int
 		r := underLoad(f.load(1000, 200), func() {
-			f.setPhase(leaving, tw.Leaving)
+			f.setPhase(leaving, tw.PhaseLeaving)
 			time.Sleep(3 * time.Second)
 			before = f.ranOn(leaving)
 			time.Sleep(time.Second)
@@ -79,23 +79,23 @@
 	It("moves nothing past a frozen daemon, and goes on when it thaws", func() {
 		paused := f.daemons["h1-e1"]
 		leaving := f.serving("h1", "leases")[0]
-		defer f.setPhase(leaving, tw.Live)
+		defer f.setPhase(leaving, tw.PhaseLive)
 		r := underLoad(f.load(900, 150), func() {
 			paused.signal(syscall.SIGSTOP)
-			f.setPhase(leaving, tw.Leaving)
-			Eventually(func() tw.State {
+			f.setPhase(leaving, tw.PhaseLeaving)
+			Eventually(func() tw.InstanceState {
 				plan := f.plan("h1")
 				return plan.Find(leaving).State
-			}, patient, "50ms").Should(Equal(tw.Draining))
-			Consistently(func() tw.State {
+			}, patient, "50ms").Should(Equal(tw.InstanceDraining))
+			Consistently(func() tw.InstanceState {
 				plan := f.plan("h1")
 				return plan.Find(leaving).State
-			}, "2s", "100ms").Should(Equal(tw.Draining))
+			}, "2s", "100ms").Should(Equal(tw.InstanceDraining))
 			paused.signal(syscall.SIGCONT)
-			Eventually(func() tw.State {
+			Eventually(func() tw.InstanceState {
 				plan := f.plan("h1")
 				return plan.Find(leaving).State
-			}, patient, "50ms").Should(Equal(tw.Out))
+			}, patient, "50ms").Should(Equal(tw.InstanceOut))
 		})
 		expectNoFaults(r)
 	})
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -182,7 +182,7 @@
 	var out []tw.InstanceID
 	for i := range plan.Instances {
 		a := &plan.Instances[i]
-		if a.Pool == pool && a.State == tw.Serving && len(a.Jobs) > 0 && a.Runs(a.Jobs[0].Job) {
+		if a.Pool == pool && a.State == tw.InstanceServing && len(a.Jobs) > 0 && a.Serves(a.Jobs[0].Job) {
 			out = append(out, a.Instance)
 		}
 	}
@@ -284,7 +284,7 @@
 	resp.Body.Close()
 }
 
-func (f *fleet) setPhase(id tw.InstanceID, phase tw.Phase) {
+func (f *fleet) setPhase(id tw.InstanceID, phase tw.InstancePhase) {
 	GinkgoHelper()
 	query := url.Values{"id": {string(id)}, "phase": {string(phase)}}
 	resp, err := http.Post(f.url+standin.PathPhase+"?"+query.Encode(), "", nil)
--- a/faults.go
+++ b/faults.go
@@ -6,24 +6,24 @@
 )
 
 type (
-	// Fault is one thing wrong with a configuration.
-	Fault struct {
-		Field string // path such as "pools[2].instances"
-		Line  int    // line in the source, 0 if unknown
-		What  string
+	// ValidationError is one thing wrong with a configuration.
+	ValidationError struct {
+		Field   string // path such as "pools[2].instances"
+		Line    int    // line in the source, 0 if unknown
+		Message string
 	}
 
-	// Faults gathers every fault, so that an operator sees all of them at once.
-	Faults []Fault
+	// ValidationErrors gathers every fault, so that an operator sees all of them at once.
+	ValidationErrors []ValidationError
 )
 
 // Add notes a fault of a field; format and args are as for fmt.Sprintf.
-func (f *Faults) Add(field, format string, args ...any) {
-	*f = append(*f, Fault{Field: field, What: fmt.Sprintf(format, args...)})
+func (f *ValidationErrors) Add(field, format string, args ...any) {
+	*f = append(*f, ValidationError{Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
 // Error lists all faults, one a line.
-func (f Faults) Error() string {
+func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
 		lines[i] = fault.String()
@@ -32,7 +32,7 @@
 }
 
 // Err is nil if there are no faults.
-func (f Faults) Err() error {
+func (f ValidationErrors) Err() error {
 	if len(f) == 0 {
 		return nil
 	}
@@ -40,9 +40,9 @@
 }
 
 // String is "line 3: pools[0].id: what is wrong".
-func (f Fault) String() string {
+func (f ValidationError) String() string {
 	if f.Line == 0 {
-		return fmt.Sprintf("%s: %s", f.Field, f.What)
+		return fmt.Sprintf("%s: %s", f.Field, f.Message)
 	}
-	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Field, f.What)
+	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Field, f.Message)
 }
--- a/fleet/actions.go
+++ b/fleet/actions.go
@@ -38,7 +38,7 @@
 				orders.Start = append(orders.Start, tw.Task{ID: id, Job: at.Job, Instance: a.Instance})
 			}
 		}
-		if a.State == tw.Out && a.Wave != "" || a.State == tw.Quarantined {
+		if a.State == tw.InstanceOut && a.Wave != "" || a.State == tw.InstanceQuarantined {
 			orders.Reboot = append(orders.Reboot, Reboot{Instance: a.Instance, Boots: a.Boots})
 		}
 	}
@@ -53,7 +53,7 @@
 // mayStop tells whether nobody can have work in a task any more.
 func (in *Input) mayStop(a *tw.Assignment, at *tw.Placement) bool {
 	switch {
-	case a.State == tw.Draining:
+	case a.State == tw.InstanceDraining:
 		return in.released(a.Instance, "", a.Generation)
 	case at.State == tw.PlacementStopping:
 		return in.released(a.Instance, at.Job, at.Generation)
--- a/fleet/allowances_test.go
+++ b/fleet/allowances_test.go
@@ -16,7 +16,7 @@
 		for i := range n {
 			plan.Instances = append(plan.Instances, tw.Assignment{
 				Instance: tw.InstanceID(string(hall) + string(instance(i))),
-				State:    tw.Serving,
+				State:    tw.InstanceServing,
 				Jobs:     []tw.Placement{{Job: "jp0", State: tw.PlacementRunning}},
 			})
 		}
@@ -24,7 +24,7 @@
 	}
 	type row struct {
 		plans  map[tw.HallID]tw.Plan
-		ledger tw.Ledger
+		ledger tw.ServiceDisruptions
 		budget int
 		want   int
 	}
@@ -32,7 +32,7 @@
 		"all available":               {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3), "h2": running("h2", 3)}, budget: 1, want: 1},
 		"a hall that cannot be read":  {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3)}, budget: 2, want: 0},
 		"a loss uses the budget up":   {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3), "h2": running("h2", 2)}, budget: 1, want: 0},
-		"another drain in the ledger": {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3), "h2": running("h2", 3)}, ledger: tw.Ledger{Disruptions: []tw.Disruption{{Instance: "h2w000"}}}, budget: 1, want: 0},
+		"another drain in the ledger": {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3), "h2": running("h2", 3)}, ledger: tw.ServiceDisruptions{Disruptions: []tw.Disruption{{Instance: "h2w000"}}}, budget: 1, want: 0},
 		"more than wanted":            {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 4), "h2": running("h2", 3)}, budget: 1, want: 2},
 	}
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
@@ -43,7 +43,7 @@
 			got := Allowances(BudgetInput{
 				Config:  c,
 				Plans:   rows[name].plans,
-				Ledgers: map[tw.ServiceID]tw.Ledger{"sp0": rows[name].ledger},
+				Ledgers: map[tw.ServiceID]tw.ServiceDisruptions{"sp0": rows[name].ledger},
 			})
 			Expect(got["sp0"]).To(Equal(rows[name].want))
 		})
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -10,7 +10,7 @@
 // on the same slack.
 type BudgetInput struct {
 	Config  *tw.FleetConfig
-	Ledgers map[tw.ServiceID]tw.Ledger
+	Ledgers map[tw.ServiceID]tw.ServiceDisruptions
 	// Plans are those of the halls that can be vouched for: readable, and
 	// with a planner that holds its lease. Other halls count as unavailable.
 	Plans map[tw.HallID]tw.Plan
@@ -46,7 +46,7 @@
 // count adds a hall's running replicas. Jobs that can never run there are not
 // missed; those set aside for a loss or for failing are.
 func (in *BudgetInput) count(plan *tw.Plan, wanted, available map[tw.ServiceID]int) {
-	for _, s := range plan.SetAside {
+	for _, s := range plan.Unplaced {
 		never := s.Reason.Code == tw.ReasonNoPool || s.Reason.Code == tw.ReasonTooLarge
 		if job := in.Config.Job(s.Job); job != nil && never {
 			wanted[job.Service] -= job.Replicas
@@ -56,7 +56,7 @@
 		a := &plan.Instances[i]
 		for _, at := range a.Jobs {
 			job := in.Config.Job(at.Job)
-			if job != nil && a.Runs(at.Job) && !in.Ledgers[job.Service].Has(a.Instance) {
+			if job != nil && a.Serves(at.Job) && !in.Ledgers[job.Service].Has(a.Instance) {
 				available[job.Service]++
 			}
 		}
--- a/fleet/decide.go
+++ b/fleet/decide.go
@@ -59,7 +59,7 @@
 		matches:   map[tw.InstanceID]map[tw.PoolID]bool{},
 	}
 	p.plan.Hall = in.Hall
-	p.plan.SetAside = nil
+	p.plan.Unplaced = nil
 	for _, i := range in.Instances {
 		p.listed[i.ID] = i
 	}
@@ -109,7 +109,7 @@
 }
 
 // set moves an instance to a state.
-func (p *pass) set(a *tw.Assignment, state tw.State, code tw.ReasonCode, detail string) {
+func (p *pass) set(a *tw.Assignment, state tw.InstanceState, code tw.ReasonCode, detail string) {
 	a.State = state
 	a.Generation = p.gen
 	a.Reason = tw.Reason{Code: code, Detail: detail}
@@ -118,7 +118,7 @@
 // drain begins a handover; next is where the instance goes, or "".
 func (p *pass) drain(a *tw.Assignment, next tw.PoolID, reason tw.Reason) {
 	a.Next = next
-	p.set(a, tw.Draining, reason.Code, reason.Detail)
+	p.set(a, tw.InstanceDraining, reason.Code, reason.Detail)
 }
 
 // setPlacement moves a placement to a state.
--- a/fleet/decide_test.go
+++ b/fleet/decide_test.go
@@ -35,12 +35,12 @@
 	},
 	"an instance leaves and stays after all: it is a spare again": {
 		happens: func(h *hall) {
-			h.find("w000").Phase = tw.Leaving
+			h.find("w000").Phase = tw.PhaseLeaving
 			h.settle()
-			Expect(h.state("w000")).To(Equal(tw.Out))
-			h.find("w000").Phase = tw.Live
+			Expect(h.state("w000")).To(Equal(tw.InstanceOut))
+			h.find("w000").Phase = tw.PhaseLive
 		},
-		then: func(h *hall) { Expect(h.state("w000")).To(Equal(tw.Spare)) },
+		then: func(h *hall) { Expect(h.state("w000")).To(Equal(tw.InstanceSpare)) },
 	},
 	"the list loses an instance for a moment: it drains before it is used again": {
 		happens: func(h *hall) {
@@ -50,23 +50,23 @@
 			h.settle()
 			h.in.Instances = append(h.in.Instances, lost)
 			h.settle()
-			Expect(h.state("w000")).To(Equal(tw.Draining))
+			Expect(h.state("w000")).To(Equal(tw.InstanceDraining))
 			h.paused["d1"] = false
 		},
-		then: func(h *hall) { Expect(h.state("w000")).To(Equal(tw.Spare)) },
+		then: func(h *hall) { Expect(h.state("w000")).To(Equal(tw.InstanceSpare)) },
 	},
 	"a daemon is paused: the move waits for it": {
 		happens: func(h *hall) {
 			h.paused["d2"] = true
-			h.find("w000").Phase = tw.Leaving
+			h.find("w000").Phase = tw.PhaseLeaving
 			h.settle()
 		},
 		then: func(h *hall) {
-			Expect(h.state("w000")).To(Equal(tw.Draining))
+			Expect(h.state("w000")).To(Equal(tw.InstanceDraining))
 			Expect(h.serving("jp0")).To(HaveLen(3))
 			h.paused["d2"] = false
 			h.settle()
-			Expect(h.state("w000")).To(Equal(tw.Out))
+			Expect(h.state("w000")).To(Equal(tw.InstanceOut))
 		},
 	},
 	"the platform loses a task: it is started again under a new id": {
@@ -109,7 +109,7 @@
 			Expect(h.setAside("bad")).To(Equal(tw.ReasonFailing))
 			Expect(h.serving("jp0")).To(HaveLen(3))
 			for _, a := range h.in.Plan.Instances {
-				Expect(a.State).NotTo(Equal(tw.Quarantined), "%s is not to blame", a.Instance)
+				Expect(a.State).NotTo(Equal(tw.InstanceQuarantined), "%s is not to blame", a.Instance)
 			}
 		},
 	},
@@ -132,7 +132,7 @@
 			first := h.serving("jp0")[0]
 			h.in.Health = map[tw.InstanceID]Health{first: {Failed: 9}}
 			h.pass()
-			Expect(h.state(first)).To(Equal(tw.Draining))
+			Expect(h.state(first)).To(Equal(tw.InstanceDraining))
 			h.in.Health = nil
 		},
 		then: func(h *hall) { Expect(h.serving("jp0")).To(HaveLen(3)) },
@@ -163,7 +163,7 @@
 		},
 		then: func(h *hall) {
 			Expect(h.serving("jp0")).To(HaveLen(3))
-			Expect(h.state("w000")).To(Equal(tw.Spare))
+			Expect(h.state("w000")).To(Equal(tw.InstanceSpare))
 		},
 	},
 	"measured use is above the declared size: the pool grows": {
@@ -241,7 +241,7 @@
 		out := Decide(h.in)
 		a := out.Plan.Find("w000")
 		Expect(a).NotTo(BeNil())
-		Expect(a.State).To(Equal(tw.Draining))
+		Expect(a.State).To(Equal(tw.InstanceDraining))
 	})
 
 	It("gives an instance that comes back to no pool while tasks of its former one run there", func() {
@@ -259,11 +259,11 @@
 		h.settle()
 		h.in.Instances = append(h.in.Instances, back)
 		h.settle()
-		Expect(h.state(id)).To(Equal(tw.Spare))
+		Expect(h.state(id)).To(Equal(tw.InstanceSpare))
 		h.deaf[id] = false
 		h.settle()
 		Expect(h.in.Plan.Find(id).Pool).To(Equal(tw.PoolID("p1")))
-		Expect(h.state(id)).To(Equal(tw.Serving))
+		Expect(h.state(id)).To(Equal(tw.InstanceServing))
 	})
 
 	It("keeps the budget and the bound on moves through a wave", func() {
@@ -276,7 +276,7 @@
 			changed := h.pass().Changed
 			draining := 0
 			for _, a := range h.in.Plan.Instances {
-				if a.State == tw.Draining {
+				if a.State == tw.InstanceDraining {
 					draining++
 				}
 			}
--- a/fleet/hall_test.go
+++ b/fleet/hall_test.go
@@ -56,7 +56,7 @@
 		Hall:   "h1",
 		Rack:   tw.RackID(fmt.Sprintf("r%d", i/rackSize)),
 		Labels: map[string]string{"kind": "general"},
-		Phase:  tw.Live,
+		Phase:  tw.PhaseLive,
 		Cores:  16,
 		Memory: 32_000,
 		Slots:  8,
@@ -80,7 +80,7 @@
 		})
 		c.Services = append(c.Services, tw.Service{ID: tw.ServiceID("s" + id), MaxUnavailable: 1})
 	}
-	c.Defaults()
+	c.SetDefaults()
 	return c
 }
 
@@ -186,14 +186,14 @@
 func (h *hall) serving(job tw.JobID) []tw.InstanceID {
 	var out []tw.InstanceID
 	for i := range h.in.Plan.Instances {
-		if a := &h.in.Plan.Instances[i]; a.Runs(job) {
+		if a := &h.in.Plan.Instances[i]; a.Serves(job) {
 			out = append(out, a.Instance)
 		}
 	}
 	return out
 }
 
-func (h *hall) state(id tw.InstanceID) tw.State {
+func (h *hall) state(id tw.InstanceID) tw.InstanceState {
 	if a := h.in.Plan.Find(id); a != nil {
 		return a.State
 	}
@@ -201,7 +201,7 @@
 }
 
 func (h *hall) setAside(job tw.JobID) tw.ReasonCode {
-	for _, s := range h.in.Plan.SetAside {
+	for _, s := range h.in.Plan.Unplaced {
 		if s.Job == job {
 			return s.Reason.Code
 		}
--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -21,11 +21,11 @@
 // advance returns false if the instance leaves the plan.
 func (p *pass) advance(a *tw.Assignment) bool {
 	switch a.State {
-	case tw.Draining:
+	case tw.InstanceDraining:
 		return p.advanceDraining(a)
-	case tw.Out, tw.Quarantined:
+	case tw.InstanceOut, tw.InstanceQuarantined:
 		p.advanceOut(a)
-	case tw.Joining, tw.Serving:
+	case tw.InstanceJoining, tw.InstanceServing:
 		p.advanceStopping(a)
 	}
 	return true
@@ -55,20 +55,20 @@
 	next := a.Next
 	a.Pool, a.Next = tw.SparePool, ""
 	switch {
-	case in.Phase == tw.Leaving:
-		p.set(a, tw.Out, tw.ReasonLeaving, "")
+	case in.Phase == tw.PhaseLeaving:
+		p.set(a, tw.InstanceOut, tw.ReasonLeaving, "")
 	case a.Wave != "":
 		a.Boots = in.Boots
-		p.set(a, tw.Out, tw.ReasonWave, string(a.Wave))
+		p.set(a, tw.InstanceOut, tw.ReasonWave, string(a.Wave))
 	case code == tw.ReasonFailing:
 		a.Boots = in.Boots
-		a.Strikes++
-		p.set(a, tw.Quarantined, tw.ReasonFailing, "")
+		a.QuarantineCount++
+		p.set(a, tw.InstanceQuarantined, tw.ReasonFailing, "")
 	case next != "" && p.in.Config.Pool(next) != nil:
 		a.Pool = next
-		p.set(a, tw.Joining, tw.ReasonDrained, detail)
+		p.set(a, tw.InstanceJoining, tw.ReasonDrained, detail)
 	default:
-		p.set(a, tw.Spare, tw.ReasonDrained, detail)
+		p.set(a, tw.InstanceSpare, tw.ReasonDrained, detail)
 	}
 }
 
@@ -79,21 +79,21 @@
 // wanted back and has left to us after all.
 func (p *pass) advanceOut(a *tw.Assignment) {
 	in := p.listed[a.Instance]
-	if in.Phase != tw.Live {
+	if in.Phase != tw.PhaseLive {
 		return
 	}
 	if a.Reason.Code == tw.ReasonLeaving {
-		p.set(a, tw.Spare, tw.ReasonNew, "not leaving after all")
+		p.set(a, tw.InstanceSpare, tw.ReasonNew, "not leaving after all")
 		return
 	}
-	if in.Boots <= a.Boots || a.Strikes >= maxStrikes {
+	if in.Boots <= a.Boots || a.QuarantineCount >= maxStrikes {
 		return
 	}
 	if a.Wave != "" {
 		a.Waves = append(a.Waves, a.Wave)
 	}
 	a.Wave = ""
-	p.set(a, tw.Spare, tw.ReasonMaintained, "")
+	p.set(a, tw.InstanceSpare, tw.ReasonMaintained, "")
 }
 
 // advanceStopping takes away placements that nobody uses any more.
--- a/fleet/jobs.go
+++ b/fleet/jobs.go
@@ -144,7 +144,7 @@
 	}
 	running := 0
 	for _, m := range p.members(pool.ID) {
-		if m.Runs(job.ID) {
+		if m.Serves(job.ID) {
 			running++
 		}
 	}
--- a/fleet/ledger_property_test.go
+++ b/fleet/ledger_property_test.go
@@ -16,7 +16,7 @@
 	config   *tw.FleetConfig
 	plans    map[tw.HallID]tw.Plan
 	versions map[tw.HallID]int // of the plans
-	ledger   tw.Ledger
+	ledger   tw.ServiceDisruptions
 	version  int // of the ledger
 	planners map[tw.HallID]*ledgerPlanner
 	paused   []*ledgerPlanner
@@ -26,7 +26,7 @@
 type ledgerPlanner struct {
 	hall          tw.HallID
 	stage         ledgerStage
-	ledger        tw.Ledger
+	ledger        tw.ServiceDisruptions
 	ledgerVersion int
 	planVersion   int
 	plans         map[tw.HallID]tw.Plan
@@ -59,7 +59,7 @@
 		for i := range ledgerReplicas {
 			plan.Instances = append(plan.Instances, tw.Assignment{
 				Instance: tw.InstanceID(fmt.Sprintf("%s-w%d", hall, i)),
-				State:    tw.Serving,
+				State:    tw.InstanceServing,
 				Jobs:     []tw.Placement{{Job: "jp0", State: tw.PlacementRunning}},
 			})
 		}
@@ -109,11 +109,11 @@
 // compare-and-swap let it.
 func (w *ledgerWorld) enter(p *ledgerPlanner) {
 	p.stage = readingLedger
-	allowed := Allowances(BudgetInput{Config: w.config, Plans: p.plans, Ledgers: map[tw.ServiceID]tw.Ledger{"sp0": p.ledger}})
+	allowed := Allowances(BudgetInput{Config: w.config, Plans: p.plans, Ledgers: map[tw.ServiceID]tw.ServiceDisruptions{"sp0": p.ledger}})
 	plan := p.plans[p.hall]
 	for i := range plan.Instances {
 		a := &plan.Instances[i]
-		if a.Runs("jp0") && allowed["sp0"] > 0 && w.version == p.ledgerVersion {
+		if a.Serves("jp0") && allowed["sp0"] > 0 && w.version == p.ledgerVersion {
 			w.ledger = w.ledger.With(tw.Disruption{Instance: a.Instance, Hall: p.hall})
 			w.version++
 			p.pick, p.stage = a.Instance, writing
@@ -130,13 +130,13 @@
 	}
 	plan := w.plans[p.hall]
 	plan = plan.Clone()
-	plan.Find(p.pick).State = tw.Draining
+	plan.Find(p.pick).State = tw.InstanceDraining
 	w.plans[p.hall] = plan
 	w.versions[p.hall]++
 	running := 0
 	for _, plan := range w.plans {
 		for i := range plan.Instances {
-			if plan.Instances[i].Runs("jp0") {
+			if plan.Instances[i].Serves("jp0") {
 				running++
 			}
 		}
@@ -156,10 +156,10 @@
 	plan = plan.Clone()
 	for i := range plan.Instances {
 		switch a := &plan.Instances[i]; a.State {
-		case tw.Draining:
-			a.State = tw.Out
-		case tw.Out:
-			a.State = tw.Serving
+		case tw.InstanceDraining:
+			a.State = tw.InstanceOut
+		case tw.InstanceOut:
+			a.State = tw.InstanceServing
 		}
 	}
 	w.plans[p.hall] = plan
@@ -171,7 +171,7 @@
 	p := w.draw(t)
 	plan := w.plans[p.hall]
 	for i := range plan.Instances {
-		if plan.Instances[i].State == tw.Draining || p.stage == writing {
+		if plan.Instances[i].State == tw.InstanceDraining || p.stage == writing {
 			return
 		}
 	}
--- a/fleet/moves.go
+++ b/fleet/moves.go
@@ -72,7 +72,7 @@
 func (p *pass) replacing(pool tw.PoolID) bool {
 	for _, a := range p.members(pool) {
 		starting := slices.ContainsFunc(a.Jobs, func(at tw.Placement) bool { return at.State == tw.PlacementStarting })
-		if a.State == tw.Joining || starting {
+		if a.State == tw.InstanceJoining || starting {
 			return true
 		}
 	}
@@ -104,7 +104,7 @@
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
 		unplanned := a.Reason.Code == tw.ReasonLost || a.Reason.Code == tw.ReasonLeaving
-		if a.State == tw.Draining && !unplanned {
+		if a.State == tw.InstanceDraining && !unplanned {
 			n++
 		}
 	}
@@ -130,7 +130,7 @@
 func (p *pass) replicas(a *tw.Assignment) map[tw.ServiceID]int {
 	n := map[tw.ServiceID]int{}
 	for _, at := range a.Jobs {
-		if job := p.jobs[at.Job]; job != nil && a.Runs(at.Job) {
+		if job := p.jobs[at.Job]; job != nil && a.Serves(at.Job) {
 			n[job.Service]++
 		}
 	}
@@ -143,7 +143,7 @@
 	seen := map[tw.ServiceID]bool{}
 	for _, at := range a.Jobs {
 		job := p.jobs[at.Job]
-		if job != nil && a.Runs(at.Job) && !seen[job.Service] {
+		if job != nil && a.Serves(at.Job) && !seen[job.Service] {
 			seen[job.Service] = true
 			out = append(out, job.Service)
 		}
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		a.Rack, a.Address, a.Slots, a.Conns = in.Rack, in.Address, in.Slots, in.Connections
-		if in.Phase == tw.Leaving {
+		if in.Phase == tw.PhaseLeaving {
 			p.observeLeaving(a)
 		}
 	}
@@ -27,7 +27,7 @@
 		planned[p.plan.Instances[i].Instance] = true
 	}
 	for _, in := range p.in.Instances {
-		if !planned[in.ID] && in.Phase == tw.Live {
+		if !planned[in.ID] && in.Phase == tw.PhaseLive {
 			p.admit(in)
 		}
 	}
@@ -42,7 +42,7 @@
 		Conns:    in.Connections,
 		Pool:     tw.SparePool,
 	}
-	p.set(&a, tw.Spare, tw.ReasonNew, "")
+	p.set(&a, tw.InstanceSpare, tw.ReasonNew, "")
 	p.plan.Instances = append(p.plan.Instances, a)
 }
 
@@ -50,7 +50,7 @@
 // as draining until every daemon has acknowledged: the list lags, and if the
 // instance comes back nobody may still send it work of its old pool.
 func (p *pass) observeLost(a *tw.Assignment) {
-	if a.State == tw.Draining && a.Reason.Code == tw.ReasonLost {
+	if a.State == tw.InstanceDraining && a.Reason.Code == tw.ReasonLost {
 		return
 	}
 	p.drain(a, "", tw.Reason{Code: tw.ReasonLost})
@@ -58,10 +58,10 @@
 
 func (p *pass) observeLeaving(a *tw.Assignment) {
 	switch a.State {
-	case tw.Joining, tw.Serving:
+	case tw.InstanceJoining, tw.InstanceServing:
 		p.drain(a, "", tw.Reason{Code: tw.ReasonLeaving})
-	case tw.Spare:
-		p.set(a, tw.Out, tw.ReasonLeaving, "")
+	case tw.InstanceSpare:
+		p.set(a, tw.InstanceOut, tw.ReasonLeaving, "")
 	}
 }
 
@@ -79,8 +79,8 @@
 			p.observePlacement(a, &a.Jobs[j])
 		}
 		ready := slices.ContainsFunc(a.Jobs, func(at tw.Placement) bool { return at.State == tw.PlacementRunning })
-		if a.State == tw.Joining && ready {
-			p.set(a, tw.Serving, tw.ReasonTasksRunning, a.Reason.Detail)
+		if a.State == tw.InstanceJoining && ready {
+			p.set(a, tw.InstanceServing, tw.ReasonTasksRunning, a.Reason.Detail)
 		}
 	}
 }
--- a/fleet/pools.go
+++ b/fleet/pools.go
@@ -63,7 +63,7 @@
 }
 
 func (p *pass) setAside(job *tw.Job, code tw.ReasonCode, detail string) {
-	p.plan.SetAside = append(p.plan.SetAside, tw.SetAside{Job: job.ID, Reason: tw.Reason{Code: code, Detail: detail}})
+	p.plan.Unplaced = append(p.plan.Unplaced, tw.UnplacedJob{Job: job.ID, Reason: tw.Reason{Code: code, Detail: detail}})
 }
 
 // maxFailures is on how many instances a job may fail before it is set aside.
@@ -164,7 +164,7 @@
 			continue
 		}
 		a.Pool = short.pool.ID
-		p.set(a, tw.Joining, tw.ReasonNeeded, fmt.Sprintf("%s had %d of %d", short.pool.ID, short.active, short.need))
+		p.set(a, tw.InstanceJoining, tw.ReasonNeeded, fmt.Sprintf("%s had %d of %d", short.pool.ID, short.active, short.need))
 		short.active++
 	}
 }
@@ -196,7 +196,7 @@
 			racks[a.Rack]++
 		}
 		// One that the list had lost may come back with tasks of its former pool.
-		idle := a.State == tw.Spare && p.onTask[a.Instance] == 0
+		idle := a.State == tw.InstanceSpare && p.onTask[a.Instance] == 0
 		if idle && p.eligible(a, pool) && p.doomed[a.Instance].Code == "" {
 			candidates = append(candidates, a)
 		}
@@ -206,7 +206,7 @@
 	}
 	return slices.MinFunc(candidates, func(a, b *tw.Assignment) int {
 		return cmp.Or(
-			cmp.Compare(a.Strikes, b.Strikes),
+			cmp.Compare(a.QuarantineCount, b.QuarantineCount),
 			cmp.Compare(racks[a.Rack], racks[b.Rack]),
 			cmp.Compare(all[a.Rack], all[b.Rack]),
 			cmp.Compare(len(p.matches[a.Instance]), len(p.matches[b.Instance])),
@@ -217,7 +217,7 @@
 
 func (p *pass) eligible(a *tw.Assignment, pool *tw.Pool) bool {
 	in, ok := p.listed[a.Instance]
-	return ok && in.Phase == tw.Live && p.matches[in.ID][pool.ID]
+	return ok && in.Phase == tw.PhaseLive && p.matches[in.ID][pool.ID]
 }
 
 // takeFromSurplus asks pools that have more than they need for an instance
@@ -230,7 +230,7 @@
 			if lacks <= 0 || n.active <= n.need {
 				break
 			}
-			if a.Pool != n.pool.ID || a.State != tw.Serving || !p.eligible(a, short.pool) || p.doomed[a.Instance].Code != "" {
+			if a.Pool != n.pool.ID || a.State != tw.InstanceServing || !p.eligible(a, short.pool) || p.doomed[a.Instance].Code != "" {
 				continue
 			}
 			p.doomed[a.Instance] = tw.Reason{Code: tw.ReasonTaken, Detail: string(short.pool.ID)}
@@ -245,7 +245,7 @@
 	n := 0
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State == tw.Draining && a.Next == pool {
+		if a.State == tw.InstanceDraining && a.Next == pool {
 			n++
 		}
 	}
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -35,7 +35,7 @@
 }
 
 func (p *pass) inQuarantine(a *tw.Assignment) bool {
-	return a.State == tw.Quarantined || a.State == tw.Draining && a.Reason.Code == tw.ReasonFailing
+	return a.State == tw.InstanceQuarantined || a.State == tw.InstanceDraining && a.Reason.Code == tw.ReasonFailing
 }
 
 // failsAll tells whether all tasks or all recent requests failed.
@@ -57,11 +57,11 @@
 func (p *pass) worksElsewhere(a *tw.Assignment) bool {
 	for i := range p.plan.Instances {
 		b := &p.plan.Instances[i]
-		if b.Instance == a.Instance || b.State != tw.Serving || p.failsAll(b) {
+		if b.Instance == a.Instance || b.State != tw.InstanceServing || p.failsAll(b) {
 			continue
 		}
 		for _, at := range a.Jobs {
-			if b.Runs(at.Job) {
+			if b.Serves(at.Job) {
 				return true
 			}
 		}
--- a/fleet/waves.go
+++ b/fleet/waves.go
@@ -45,9 +45,9 @@
 	}
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State == tw.Spare && room > 0 && p.due(a, w) {
+		if a.State == tw.InstanceSpare && room > 0 && p.due(a, w) {
 			a.Wave, a.Boots = w.ID, p.listed[a.Instance].Boots
-			p.set(a, tw.Out, tw.ReasonWave, string(w.ID))
+			p.set(a, tw.InstanceOut, tw.ReasonWave, string(w.ID))
 			room--
 		}
 	}
@@ -55,7 +55,7 @@
 	taken := map[tw.InstanceID]bool{}
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State != tw.Serving || room <= 0 || !p.due(a, w) {
+		if a.State != tw.InstanceServing || room <= 0 || !p.due(a, w) {
 			continue
 		}
 		replacement := p.freeSpare(a.Pool, taken)
@@ -74,7 +74,7 @@
 // due tells whether a wave still has to maintain an instance.
 func (p *pass) due(a *tw.Assignment, w *tw.Wave) bool {
 	in, listed := p.listed[a.Instance]
-	return listed && in.Phase == tw.Live && a.Wave == "" && !a.Maintained(w.ID) &&
+	return listed && in.Phase == tw.PhaseLive && a.Wave == "" && !a.Maintained(w.ID) &&
 		w.Instances.Matches(p.in.Config.LabelsOf(in))
 }
 
@@ -83,7 +83,7 @@
 	pool := p.in.Config.Pool(id)
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if pool != nil && a.State == tw.Spare && !taken[a.Instance] && p.eligible(a, pool) {
+		if pool != nil && a.State == tw.InstanceSpare && !taken[a.Instance] && p.eligible(a, pool) {
 			return a
 		}
 	}
--- a/fleet/world_test.go
+++ b/fleet/world_test.go
@@ -142,7 +142,7 @@
 	for i := range d.plan.Instances {
 		a := &d.plan.Instances[i]
 		for _, at := range a.Jobs {
-			if !a.Runs(at.Job) || !rapid.Bool().Draw(t, "send") {
+			if !a.Serves(at.Job) || !rapid.Bool().Draw(t, "send") {
 				continue
 			}
 			w.checkPool(t, id, a)
@@ -263,12 +263,12 @@
 	for _, job := range config.Jobs {
 		before, after := 0, 0
 		for i := range w.stored.Instances {
-			if w.stored.Instances[i].Runs(job.ID) {
+			if w.stored.Instances[i].Serves(job.ID) {
 				before++
 			}
 		}
 		for i := range out.Plan.Instances {
-			if out.Plan.Instances[i].Runs(job.ID) {
+			if out.Plan.Instances[i].Serves(job.ID) {
 				after++
 			}
 		}
@@ -358,7 +358,7 @@
 
 func (w *world) phase(t *rapid.T) {
 	if in := w.instances[w.drawInstance(t)]; in != nil {
-		in.Phase = rapid.SampledFrom([]tw.Phase{tw.Live, tw.Live, tw.Leaving}).Draw(t, "phase")
+		in.Phase = rapid.SampledFrom([]tw.InstancePhase{tw.PhaseLive, tw.PhaseLive, tw.PhaseLeaving}).Draw(t, "phase")
 	}
 }
 
--- a/fleet_config.go
+++ b/fleet_config.go
@@ -20,26 +20,26 @@
 	Spares Spares                           `toml:"spares"`
 }
 
-// Defaults fills what was left out.
-func (c *FleetConfig) Defaults() {
+// SetDefaults fills what was left out.
+func (c *FleetConfig) SetDefaults() {
 	for i := range c.Jobs {
-		c.Jobs[i].Defaults()
+		c.Jobs[i].SetDefaults()
 	}
 	for i := range c.Services {
-		c.Services[i].Defaults()
+		c.Services[i].SetDefaults()
 	}
 	for i := range c.Teams {
-		c.Teams[i].Defaults()
+		c.Teams[i].SetDefaults()
 	}
 	for i := range c.Waves {
-		c.Waves[i].Defaults()
+		c.Waves[i].SetDefaults()
 	}
-	c.Spares.Defaults()
+	c.Spares.SetDefaults()
 }
 
 // Validate gathers all faults; the error is of type Faults.
 func (c *FleetConfig) Validate() error {
-	var faults Faults
+	var faults ValidationErrors
 	c.validateParts(&faults)
 	c.validateUnique(&faults)
 	c.validateReferences(&faults)
@@ -102,7 +102,7 @@
 	return set
 }
 
-func (c *FleetConfig) validateParts(faults *Faults) {
+func (c *FleetConfig) validateParts(faults *ValidationErrors) {
 	if len(c.Halls) == 0 {
 		faults.Add("halls", "is missing: list every data hall")
 	}
@@ -128,7 +128,7 @@
 	c.Spares.validate("spares", faults)
 }
 
-func (c *FleetConfig) validateUnique(faults *Faults) {
+func (c *FleetConfig) validateUnique(faults *ValidationErrors) {
 	seen := map[string]bool{}
 	once := func(kind string, i int, id string) {
 		name := kind + "/" + id
@@ -154,7 +154,7 @@
 	}
 }
 
-func (c *FleetConfig) validateReferences(faults *Faults) {
+func (c *FleetConfig) validateReferences(faults *ValidationErrors) {
 	services := map[ServiceID]bool{}
 	for _, s := range c.Services {
 		services[s.ID] = true
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -102,9 +102,9 @@
 
 func (s *scheduler) maxWait(line *jobLine, class tw.Class) time.Duration {
 	switch class {
-	case tw.Quick:
-		return max(quickWaitFloor, seconds(quickWaitShare*line.mean(tw.Quick)))
-	case tw.Normal:
+	case tw.ClassQuick:
+		return max(quickWaitFloor, seconds(quickWaitShare*line.mean(tw.ClassQuick)))
+	case tw.ClassNormal:
 		return maxNormalWait
 	}
 	return maxLongWait
--- a/gateway/claimed.go
+++ b/gateway/claimed.go
@@ -15,7 +15,7 @@
 	}
 	claim, result := g.cfg.Claims.Claim(ctx, ex.scope(ex.job), ex.digest())
 	if !result.Granted {
-		return claimRefusal(claim, result.Standing)
+		return claimRefusal(claim, result.Existing)
 	}
 	state := tw.ClaimPending // also if the answer is cut and this panics
 	defer func() { g.cfg.Claims.Settle(claim, state) }()
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -140,9 +140,9 @@
 
 func rank(c tw.Class) int {
 	switch c {
-	case tw.Quick:
+	case tw.ClassQuick:
 		return 0
-	case tw.Normal:
+	case tw.ClassNormal:
 		return 1
 	}
 	return 2
--- a/gateway/failure_test.go
+++ b/gateway/failure_test.go
@@ -284,9 +284,9 @@
 	}
 	rows := map[string]row{
 		"granted":               {result: tw.ClaimResult{Granted: true}, status: 200, outcome: Answered, runs: 1},
-		"held by another":       {result: tw.ClaimResult{Standing: tw.Claim{Holder: "d2", State: tw.ClaimPending}}, status: 409, reason: ReasonKeyInProgress, outcome: Unknown},
-		"answered before":       {result: tw.ClaimResult{Standing: tw.Claim{Holder: "d2", State: tw.ClaimAnswered}}, status: 409, reason: ReasonKeyAnswered, outcome: Answered},
-		"used for another body": {result: tw.ClaimResult{Standing: tw.Claim{Holder: "d2", Body: "other"}}, status: 422, reason: ReasonKeyMismatch, outcome: NotRun},
+		"held by another":       {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", State: tw.ClaimPending}}, status: 409, reason: ReasonKeyInProgress, outcome: Unknown},
+		"answered before":       {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", State: tw.ClaimAnswered}}, status: 409, reason: ReasonKeyAnswered, outcome: Answered},
+		"used for another body": {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", Body: "other"}}, status: 422, reason: ReasonKeyMismatch, outcome: NotRun},
 		"not kept by enough":    {result: tw.ClaimResult{}, status: 503, reason: ReasonKeyUnavailable, outcome: NotRun},
 	}
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
@@ -295,9 +295,9 @@
 			u := script(func(conn net.Conn, _ int) bool { say(conn, ok("own")); return true })
 			claims := &fixedClaims{result: r.result}
 			g := serve(Config{Claims: claims}, viewOf(8, u.address))
-			if r.result.Standing.Holder != "" && r.result.Standing.Body == "" {
+			if r.result.Existing.Holder != "" && r.result.Existing.Body == "" {
 				ex := exchange{in: mustRequest("POST", g.url+"/"), body: payload{held: []byte("x")}}
-				claims.result.Standing.Body = ex.digest()
+				claims.result.Existing.Body = ex.digest()
 			}
 			got := g.ask("POST", "/", "x", HeaderKey, "k")
 			Expect(got.status).To(Equal(r.status), got.body)
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -43,8 +43,8 @@
 		return reserveMargin * l.busy(urgent, now) / float64(slots) * l.hold(urgent, class)
 	}
 	return reserve{
-		tw.Normal: min(max(part(tw.Quick, tw.Normal), minNormalReserve), maxNormalReserve),
-		tw.Long:   min(max(part(tw.Quick, tw.Long)+part(tw.Normal, tw.Long), minLongReserve), maxLongReserve),
+		tw.ClassNormal: min(max(part(tw.ClassQuick, tw.ClassNormal), minNormalReserve), maxNormalReserve),
+		tw.ClassLong:   min(max(part(tw.ClassQuick, tw.ClassLong)+part(tw.ClassNormal, tw.ClassLong), minLongReserve), maxLongReserve),
 	}
 }
 
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -61,7 +61,7 @@
 // classWeight is how the time of the slots is divided between classes that
 // wait; by turns alone, long work would get most of it. Long work keeps a
 // floor, so that it ends.
-var classWeight = map[tw.Class]float64{tw.Quick: 8, tw.Normal: 4, tw.Long: 1}
+var classWeight = map[tw.Class]float64{tw.ClassQuick: 8, tw.ClassNormal: 4, tw.ClassLong: 1}
 
 func newScheduler(cfg Config) *scheduler {
 	return &scheduler{
@@ -105,7 +105,7 @@
 }
 
 func (s *scheduler) installInstance(a *tw.Assignment, since time.Time) {
-	if a.State != tw.Serving || s.view.Leaving[a.Instance] {
+	if a.State != tw.InstanceServing || s.view.Leaving[a.Instance] {
 		return
 	}
 	w := s.workers[a.Instance]
@@ -122,7 +122,7 @@
 	w.address = a.Address
 	w.share = share(s.view.Members, s.view.Self, a.Instance, a.Slots)
 	for _, at := range a.Jobs {
-		if a.Runs(at.Job) {
+		if a.Serves(at.Job) {
 			w.jobs[at.Job] = true
 			line := s.line(at.Job)
 			line.workers = append(line.workers, w)
--- a/gateway/scheduler_test.go
+++ b/gateway/scheduler_test.go
@@ -44,7 +44,7 @@
 func (d *desk) fill() []*grant {
 	var out []*grant
 	for {
-		g, w, _ := d.put(d.want(tw.Quick, ""))
+		g, w, _ := d.put(d.want(tw.ClassQuick, ""))
 		if g == nil {
 			if w != nil {
 				d.mu.Lock()
@@ -83,14 +83,14 @@
 		held := d.fill()
 		waiters := map[*waiter]string{}
 		for range 200 {
-			_, w, _ := d.put(d.want(tw.Normal, ""))
+			_, w, _ := d.put(d.want(tw.ClassNormal, ""))
 			waiters[w] = "before"
 		}
 		// Normal requests have all turns for a while.
 		Expect(d.served(200, &held, waiters)["before"]).To(BeNumerically(">", 180))
 		waiters = map[*waiter]string{}
 		for range 300 {
-			for _, class := range []tw.Class{tw.Normal, tw.Long} {
+			for _, class := range []tw.Class{tw.ClassNormal, tw.ClassLong} {
 				_, w, refusal := d.put(d.want(class, ""))
 				Expect(refusal).To(BeNil())
 				waiters[w] = string(class)
@@ -107,7 +107,7 @@
 		waiters := map[*waiter]string{}
 		for range 200 {
 			for _, team := range []tw.TeamID{"a", "b"} {
-				_, w, _ := d.put(d.want(tw.Normal, team))
+				_, w, _ := d.put(d.want(tw.ClassNormal, team))
 				waiters[w] = string(team)
 			}
 		}
@@ -121,14 +121,14 @@
 		held := d.fill()
 		waiters := map[*waiter]string{}
 		for range maxQueued {
-			_, w, refusal := d.put(d.want(tw.Long, "a"))
+			_, w, refusal := d.put(d.want(tw.ClassLong, "a"))
 			Expect(refusal).To(BeNil())
 			waiters[w] = "flood"
 		}
-		_, w, refusal := d.put(d.want(tw.Long, "b"))
+		_, w, refusal := d.put(d.want(tw.ClassLong, "b"))
 		Expect(refusal).To(BeNil())
 		waiters[w] = "late"
-		_, _, refusal = d.put(d.want(tw.Long, "a"))
+		_, _, refusal = d.put(d.want(tw.ClassLong, "a"))
 		Expect(refusal.Reason).To(Equal(ReasonQueueFull))
 		refused := 0
 		for w := range waiters {
@@ -151,7 +151,7 @@
 		d.fill()
 		admitted := 0
 		for range 1000 {
-			if _, w, _ := d.put(d.want(tw.Quick, "")); w != nil {
+			if _, w, _ := d.put(d.want(tw.ClassQuick, "")); w != nil {
 				admitted++
 			}
 		}
@@ -162,26 +162,26 @@
 	It("keeps a place for quick requests among long ones", func() {
 		d := newDesk(viewOf(8, "a"))
 		for range 100 {
-			d.put(d.want(tw.Long, ""))
-			d.put(d.want(tw.Normal, ""))
+			d.put(d.want(tw.ClassLong, ""))
+			d.put(d.want(tw.ClassNormal, ""))
 		}
-		g, _, _ := d.put(d.want(tw.Quick, ""))
+		g, _, _ := d.put(d.want(tw.ClassQuick, ""))
 		Expect(g).NotTo(BeNil())
 	})
 
 	It("keeps more places for quick requests the more of them come", func() {
 		d := newDesk(viewOf(8, "a", "b", "c", "d"))
 		for range 4000 { // 400 a second of 10 ms each: 4 of 32 slots
-			g, _, _ := d.put(d.want(tw.Quick, ""))
+			g, _, _ := d.put(d.want(tw.ClassQuick, ""))
 			d.clock.Advance(2500 * time.Microsecond)
 			if g != nil {
 				d.release(g, releaseOK)
 			}
 		}
-		d.jobs["job"].service[tw.Quick] = 0.030 // 12 of 32 slots
-		d.jobs["job"].service[tw.Long] = 3
+		d.jobs["job"].service[tw.ClassQuick] = 0.030 // 12 of 32 slots
+		d.jobs["job"].service[tw.ClassLong] = 3
 		for range 100 {
-			d.put(d.want(tw.Long, ""))
+			d.put(d.want(tw.ClassLong, ""))
 		}
 		free := 32 - d.running
 		Expect(free).To(BeNumerically(">=", 12))
@@ -191,7 +191,7 @@
 	It("refuses at once what would miss its deadline", func() {
 		d := newDesk(viewOf(8, "a"))
 		d.fill()
-		a := d.want(tw.Normal, "")
+		a := d.want(tw.ClassNormal, "")
 		a.deadline = d.clock.Now().Add(time.Millisecond)
 		_, w, refusal := d.put(a)
 		Expect(w).To(BeNil())
@@ -201,18 +201,18 @@
 
 	It("bounds a team's requests", func() {
 		d := newDesk(viewOf(8, "a"))
-		g, _, _ := d.put(d.want(tw.Normal, "small"))
+		g, _, _ := d.put(d.want(tw.ClassNormal, "small"))
 		Expect(g).NotTo(BeNil())
-		_, _, refusal := d.put(d.want(tw.Normal, "small"))
+		_, _, refusal := d.put(d.want(tw.ClassNormal, "small"))
 		Expect(refusal.Reason).To(Equal(ReasonTeamQuota))
 		d.release(g, releaseOK)
-		g, _, _ = d.put(d.want(tw.Normal, "small"))
+		g, _, _ = d.put(d.want(tw.ClassNormal, "small"))
 		Expect(g).NotTo(BeNil())
 	})
 
 	It("refuses at once when every instance has been tried", func() {
 		d := newDesk(viewOf(8, "a", "b"))
-		a := d.want(tw.Normal, "")
+		a := d.want(tw.ClassNormal, "")
 		a.tried = map[tw.InstanceID]bool{"w0": true, "w1": true}
 		_, w, refusal := d.put(a)
 		Expect(w).To(BeNil())
@@ -224,7 +224,7 @@
 		held := d.fill()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, refusal := d.acquire(ctx, d.want(tw.Normal, ""))
+		_, refusal := d.acquire(ctx, d.want(tw.ClassNormal, ""))
 		Expect(refusal.Reason).To(Equal(ReasonCallerGone))
 		for _, g := range held {
 			d.release(g, releaseOK)
@@ -236,9 +236,9 @@
 
 // viewChange is a change of the view that must stop new work to w0.
 var viewChanges = map[string]func(v *tw.View){
-	"draining":            func(v *tw.View) { v.Plan.Instances[0].State = tw.Draining },
+	"draining":            func(v *tw.View) { v.Plan.Instances[0].State = tw.InstanceDraining },
 	"listed as leaving":   func(v *tw.View) { v.Leaving = map[tw.InstanceID]bool{"w0": true} },
-	"in quarantine":       func(v *tw.View) { v.Plan.Instances[0].State = tw.Quarantined },
+	"in quarantine":       func(v *tw.View) { v.Plan.Instances[0].State = tw.InstanceQuarantined },
 	"stopping the job":    func(v *tw.View) { v.Plan.Instances[0].Jobs[0].State = tw.PlacementStopping },
 	"starting the job":    func(v *tw.View) { v.Plan.Instances[0].Jobs[0].State = tw.PlacementStarting },
 	"no longer planned":   func(v *tw.View) { v.Plan.Instances = v.Plan.Instances[1:] },
@@ -253,7 +253,7 @@
 			viewChanges[name](&view)
 			d.install(view)
 			for range 20 {
-				g, _, _ := d.put(d.want(tw.Normal, ""))
+				g, _, _ := d.put(d.want(tw.ClassNormal, ""))
 				if g != nil {
 					Expect(g.worker.id).NotTo(Equal(tw.InstanceID("w0")))
 				}
@@ -263,7 +263,7 @@
 
 	It("still counts what is in flight on an instance that went", func() {
 		d := newDesk(viewOf(8, "a"))
-		g, _, _ := d.put(d.want(tw.Normal, ""))
+		g, _, _ := d.put(d.want(tw.ClassNormal, ""))
 		d.install(viewOf(8))
 		Expect(d.loads()).To(ConsistOf(tw.Load{Instance: "w0", Job: "job", InFlight: 1}))
 		d.release(g, releaseOK)
@@ -273,7 +273,7 @@
 	It("refuses those who wait for a job that nothing carries any more", func() {
 		d := newDesk(viewOf(8, "a"))
 		d.fill()
-		_, w, _ := d.put(d.want(tw.Normal, ""))
+		_, w, _ := d.put(d.want(tw.ClassNormal, ""))
 		d.install(viewOf(8))
 		Expect((<-w.ready).refusal.Reason).To(Equal(ReasonNoInstance))
 	})
@@ -284,7 +284,7 @@
 		d := newDesk(viewOf(8, "a", "b", "c", "d"))
 		counts := map[tw.InstanceID]int{}
 		for range 16 {
-			g, _, _ := d.put(d.want(tw.Quick, ""))
+			g, _, _ := d.put(d.want(tw.ClassQuick, ""))
 			counts[g.worker.id]++
 		}
 		for _, n := range counts {
@@ -295,7 +295,7 @@
 	It("passes by instances that fail, but never most of them", func() {
 		d := newDesk(viewOf(8, "a", "b", "c", "d", "e", "f"))
 		for range 100 {
-			g, _, _ := d.put(d.want(tw.Quick, ""))
+			g, _, _ := d.put(d.want(tw.ClassQuick, ""))
 			if g == nil {
 				break
 			}
@@ -318,7 +318,7 @@
 	It("passes by one of two that fails, and never both", func() {
 		d := newDesk(viewOf(8, "a", "b"))
 		for range 40 {
-			g, _, _ := d.put(d.want(tw.Quick, ""))
+			g, _, _ := d.put(d.want(tw.ClassQuick, ""))
 			if g == nil {
 				break
 			}
--- a/gateway/suite_test.go
+++ b/gateway/suite_test.go
@@ -34,15 +34,15 @@
 		Teams: []tw.Team{{ID: "a"}, {ID: "b", Weight: 3}, {ID: "small", MaxInFlight: 1}},
 		Services: []tw.Service{{ID: "svc", Routes: []tw.Route{
 			{Path: "/", Job: "job"},
-			{Path: "/quick", Job: "job", Class: tw.Quick},
-			{Path: "/long", Job: "job", Class: tw.Long},
+			{Path: "/quick", Job: "job", Class: tw.ClassQuick},
+			{Path: "/long", Job: "job", Class: tw.ClassLong},
 			{Path: "/once", Job: "job", Repeatable: &no},
 			{Path: "/again", Job: "job", Repeatable: &yes},
 			{Path: "/short", Job: "job", Timeout: tw.Duration(200 * time.Millisecond)},
 			{Path: "/nowhere", Job: "unplaced"},
 		}}},
 	}
-	c.Defaults()
+	c.SetDefaults()
 	return c
 }
 
@@ -55,7 +55,7 @@
 			Address:  address,
 			Slots:    slots,
 			Pool:     "p",
-			State:    tw.Serving,
+			State:    tw.InstanceServing,
 			Jobs:     []tw.Placement{{Job: "job", State: tw.PlacementRunning}},
 		})
 	}
--- a/instance.go
+++ b/instance.go
@@ -1,8 +1,8 @@
 package tamarindworks
 
 type (
-	// Phase is what the platform says of an instance.
-	Phase string
+	// InstancePhase is what the platform says of an instance.
+	InstancePhase string
 
 	// Role tells workers from entry instances in the platform's list.
 	Role string
@@ -15,7 +15,7 @@
 		Rack    RackID            `json:"rack"`
 		Address string            `json:"address"` // IP:port that serves requests
 		Labels  map[string]string `json:"labels,omitempty"`
-		Phase   Phase             `json:"phase"`
+		Phase   InstancePhase     `json:"phase"`
 		Boots   uint64            `json:"boots"` // grows with each reboot
 		Cores   Cores             `json:"cores"`
 		Memory  Megabytes         `json:"memory_mb"`
@@ -35,12 +35,12 @@
 
 // Phases.
 const (
-	Live    Phase = "live"
-	Leaving Phase = "leaving"
+	PhaseLive    InstancePhase = "live"
+	PhaseLeaving InstancePhase = "leaving"
 )
 
 // Roles.
 const (
-	Worker Role = "worker"
-	Entry  Role = "entry"
+	RoleWorker Role = "worker"
+	RoleEntry  Role = "entry"
 )
--- a/internal/delays/delays.go
+++ b/internal/delays/delays.go
@@ -23,27 +23,27 @@
 	// Cause is what a part of a submission's time was spent on.
 	Cause string
 
-	// Part is a stretch of a submission's time.
-	Part struct {
-		Cause Cause
-		Took  time.Duration
+	// Segment is a stretch of a submission's time.
+	Segment struct {
+		Cause    Cause
+		Duration time.Duration
 		// Subtask is the one that everything waited for.
 		Subtask string
 		Worker  tw.WorkerID
 	}
 
-	// Account is where the time of one submission went, the last part first.
-	Account struct {
+	// Breakdown is where the time of one submission went, the last part first.
+	Breakdown struct {
 		ID       tw.SubmissionID
 		Pool     tw.PoolID
 		Route    tw.RouteName
 		Accepted time.Time
-		Took     time.Duration
-		Parts    []Part
+		Duration time.Duration
+		Segments []Segment
 	}
 
-	// line is what is read of a log line.
-	line struct {
+	// logLine is what is read of a log logLine.
+	logLine struct {
 		Time       float64         `json:"ts"` // seconds since 1970
 		Message    string          `json:"msg"`
 		Pool       tw.PoolID       `json:"pool"`
@@ -66,7 +66,7 @@
 
 	// history is all that the logs tell of a submission.
 	history struct {
-		Account
+		Breakdown
 		recorded time.Time
 		runs     map[tw.RunNumber]*attempt
 	}
@@ -74,62 +74,62 @@
 
 // Causes, in the order in which a submission goes through them.
 const (
-	// Room: a subtask could start and waited for a worker or for an owner.
-	Room Cause = "waits"
-	// Work: a subtask ran.
-	Work Cause = "runs"
+	// Waiting: a subtask could start and waited for a worker or for an owner.
+	Waiting Cause = "waits"
+	// Running: a subtask ran.
+	Running Cause = "runs"
 	// Slow: it ran for longer than slowFactor times its siblings' median.
 	Slow Cause = "slow"
 	// Lost: a run of it did not end as done, and it had to start again.
 	Lost Cause = "lost"
-	// Record: everything had ended, and the end was not recorded yet.
-	Record Cause = "record"
+	// Recording: everything had ended, and the end was not recorded yet.
+	Recording Cause = "record"
 )
 
 // Causes lists them.
-var Causes = []Cause{Room, Work, Slow, Lost, Record}
+var Causes = []Cause{Waiting, Running, Slow, Lost, Recording}
 
 const (
 	slowFactor = 1.6
-	// maxLine bounds a log line.
-	maxLine = 1 << 20
+	// maxLineSize bounds a log line.
+	maxLineSize = 1 << 20
 )
 
 // Read works out the accounts of all submissions that ended, by the time of
 // their acceptance. Lines may have something before their JSON. It fails only if
 // the logs can't be read.
-func Read(logs io.Reader) ([]Account, error) {
+func Read(logs io.Reader) ([]Breakdown, error) {
 	all := map[tw.SubmissionID]*history{}
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineSize)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
 			continue
 		}
-		var l line
+		var l logLine
 		if json.Unmarshal(scanner.Bytes()[start:], &l) != nil {
 			continue // not a line of a daemon
 		}
-		take(all, &l)
+		addLine(all, &l)
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, errors.Wrap(err, "delays: logs")
 	}
-	var out []Account
+	var out []Breakdown
 	for _, h := range all {
 		if !h.Accepted.IsZero() && !h.recorded.IsZero() {
-			h.follow()
-			out = append(out, h.Account)
+			h.computeSegments()
+			out = append(out, h.Breakdown)
 		}
 	}
-	slices.SortFunc(out, func(a, b Account) int {
+	slices.SortFunc(out, func(a, b Breakdown) int {
 		return cmp.Or(a.Accepted.Compare(b.Accepted), cmp.Compare(a.ID, b.ID))
 	})
 	return out, nil
 }
 
-func take(all map[tw.SubmissionID]*history, l *line) {
+func addLine(all map[tw.SubmissionID]*history, l *logLine) {
 	id := l.Submission
 	if l.Subtask != "" {
 		name, _, _ := strings.Cut(l.Subtask, ".")
@@ -140,7 +140,7 @@
 	}
 	h := all[id]
 	if h == nil {
-		h = &history{Account: Account{ID: id}, runs: map[tw.RunNumber]*attempt{}}
+		h = &history{Breakdown: Breakdown{ID: id}, runs: map[tw.RunNumber]*attempt{}}
 		all[id] = h
 	}
 	at := time.Unix(0, int64(l.Time*float64(time.Second)))
@@ -162,22 +162,22 @@
 	}
 }
 
-// follow goes back from the end: what ended last held everything up, before it
+// computeSegments goes back from the end: what ended last held everything up, before it
 // what ended last in the step before it, and so on.
-func (h *history) follow() {
-	h.Took = h.recorded.Sub(h.Accepted)
+func (h *history) computeSegments() {
+	h.Duration = h.recorded.Sub(h.Accepted)
 	at := h.recorded
 	last := h.lastDone(at, -1)
 	if last == nil {
-		h.add(Room, at.Sub(h.Accepted), nil)
+		h.addSegment(Waiting, at.Sub(h.Accepted), nil)
 		return
 	}
-	h.add(Record, at.Sub(last.ended), nil)
+	h.addSegment(Recording, at.Sub(last.ended), nil)
 	for last != nil {
-		h.addWork(last)
+		h.addRunTime(last)
 		started := last.ordered
-		for before := h.attemptBefore(last); before != nil; before = h.attemptBefore(before) {
-			h.add(Lost, started.Sub(before.ordered), before)
+		for before := h.previousAttempt(last); before != nil; before = h.previousAttempt(before) {
+			h.addSegment(Lost, started.Sub(before.ordered), before)
 			started = before.ordered
 		}
 		previous := h.lastDone(started, stepOf(last.subtask))
@@ -185,28 +185,28 @@
 		if previous != nil {
 			ready = previous.ended
 		}
-		h.add(Room, started.Sub(ready), last)
+		h.addSegment(Waiting, started.Sub(ready), last)
 		last = previous
 	}
 }
 
-func (h *history) add(cause Cause, took time.Duration, run *attempt) {
+func (h *history) addSegment(cause Cause, took time.Duration, run *attempt) {
 	if took <= 0 {
 		return
 	}
-	part := Part{Cause: cause, Took: took}
+	part := Segment{Cause: cause, Duration: took}
 	if run != nil {
 		part.Subtask, part.Worker = run.subtask, run.worker
 	}
-	h.Parts = append(h.Parts, part)
+	h.Segments = append(h.Segments, part)
 }
 
-// addWork adds a run's time, and apart what of it is more than its siblings took.
-func (h *history) addWork(run *attempt) {
+// addRunTime adds a run's time, and apart what of it is more than its siblings took.
+func (h *history) addRunTime(run *attempt) {
 	took := run.ended.Sub(run.ordered)
 	usual := time.Duration(slowFactor * float64(h.median(run.subtask)))
-	h.add(Slow, took-usual, run)
-	h.add(Work, min(took, usual), run)
+	h.addSegment(Slow, took-usual, run)
+	h.addSegment(Running, min(took, usual), run)
 }
 
 // median is the median run time of the done subtasks of a step.
@@ -237,8 +237,8 @@
 	return out
 }
 
-// attemptBefore is the run of the same subtask that was ordered before one.
-func (h *history) attemptBefore(run *attempt) *attempt {
+// previousAttempt is the run of the same subtask that was ordered before one.
+func (h *history) previousAttempt(run *attempt) *attempt {
 	var out *attempt
 	for _, other := range h.runs {
 		if other.subtask != run.subtask || !other.ordered.Before(run.ordered) {
@@ -264,11 +264,11 @@
 	return n
 }
 
-// By sums the parts of an account by cause.
-func (a *Account) By() map[Cause]time.Duration {
+// ByCause sums the parts of an account by cause.
+func (a *Breakdown) ByCause() map[Cause]time.Duration {
 	out := map[Cause]time.Duration{}
-	for _, part := range a.Parts {
-		out[part.Cause] += part.Took
+	for _, part := range a.Segments {
+		out[part.Cause] += part.Duration
 	}
 	return out
 }
--- a/internal/delays/delays_test.go
+++ b/internal/delays/delays_test.go
@@ -22,7 +22,7 @@
 			`{"ts":101.1,"msg":"run: ended","subtask":"s.0.0.0","run":1,"kind":"done"}`,
 			`{"ts":101.2,"msg":"submission: recorded as ended","submission":"s"}`,
 		},
-		want: map[delays.Cause]int{delays.Room: 1, delays.Work: 10, delays.Record: 1},
+		want: map[delays.Cause]int{delays.Waiting: 1, delays.Running: 10, delays.Recording: 1},
 	},
 	"a second step that waits for room": {
 		logs: []string{
@@ -32,7 +32,7 @@
 			`{"ts":104,"msg":"run: ended","subtask":"s.0.1.0","run":2,"kind":"done"}`,
 			`{"ts":104,"msg":"submission: recorded as ended","submission":"s"}`,
 		},
-		want: map[delays.Cause]int{delays.Room: 20, delays.Work: 20},
+		want: map[delays.Cause]int{delays.Waiting: 20, delays.Running: 20},
 	},
 	"a run that is lost": {
 		logs: []string{
@@ -42,7 +42,7 @@
 			`{"ts":104,"msg":"run: ended","subtask":"s.0.0.0","run":2,"kind":"done"}`,
 			`{"ts":104,"msg":"submission: recorded as ended","submission":"s"}`,
 		},
-		want: map[delays.Cause]int{delays.Lost: 30, delays.Work: 10},
+		want: map[delays.Cause]int{delays.Lost: 30, delays.Running: 10},
 	},
 	"a run far slower than its siblings": {
 		logs: []string{
@@ -54,11 +54,11 @@
 			`{"ts":105,"msg":"run: ended","subtask":"s.0.0.2","run":3,"kind":"done"}`,
 			`{"ts":105,"msg":"submission: recorded as ended","submission":"s"}`,
 		},
-		want: map[delays.Cause]int{delays.Work: 16, delays.Slow: 34},
+		want: map[delays.Cause]int{delays.Running: 16, delays.Slow: 34},
 	},
 	"one that nothing is known of but its end": {
 		logs: []string{`{"ts":103,"msg":"submission: recorded as ended","submission":"s"}`},
-		want: map[delays.Cause]int{delays.Room: 30},
+		want: map[delays.Cause]int{delays.Waiting: 30},
 	},
 }
 
@@ -71,7 +71,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(accounts).To(HaveLen(1))
 			got := map[delays.Cause]int{}
-			for cause, took := range accounts[0].By() {
+			for cause, took := range accounts[0].ByCause() {
 				got[cause] = int(took.Round(time.Second/100) / (time.Second / 10))
 			}
 			g.Expect(got).To(Equal(c.want))
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -128,7 +128,7 @@
 		if a.Pool != pool {
 			continue
 		}
-		if a.State == tw.Joining {
+		if a.State == tw.InstanceJoining {
 			return false
 		}
 		for _, at := range a.Jobs {
@@ -176,7 +176,7 @@
 	until(leaveAt)
 	leaving := f.pick("h2", "leases")
 	say(out, "the platform reclaims %s, which serves leases in h2", leaving)
-	f.Platform.SetPhase(leaving, tw.Leaving)
+	f.Platform.SetPhase(leaving, tw.PhaseLeaving)
 	until(waveAt)
 	say(out, "a maintenance wave over all instances begins")
 	return f.Configure(ctx, fleetSource+waveSource, 1)
@@ -189,7 +189,7 @@
 		return ""
 	}
 	for i := range plan.Instances {
-		if a := &plan.Instances[i]; a.Pool == pool && a.State == tw.Serving {
+		if a := &plan.Instances[i]; a.Pool == pool && a.State == tw.InstanceServing {
 			return a.Instance
 		}
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -132,7 +132,7 @@
 		Listen:   daemon.ListenSettings{Gateway: "127.0.0.1:0", Peer: "127.0.0.1:0", Admin: "127.0.0.1:0"},
 		Platform: daemon.PlatformSettings{URL: f.url},
 	}
-	settings.Defaults()
+	settings.SetDefaults()
 	d, err := daemon.Config{Settings: settings, Log: f.config.Log, Pace: f.config.Pace}.New()
 	if err != nil {
 		return err
--- a/internal/drain/conn.go
+++ b/internal/drain/conn.go
@@ -25,62 +25,62 @@
 		idleSince time.Time
 		// deadline is that for reads, as http.Server has set it.
 		deadline time.Time
-		stopping stopping
+		stage    stopStage
 	}
 
 	// phase is what a connection is read for.
 	phase int
 
-	// stopping is what a connection no longer waits for.
-	stopping int
+	// stopStage is what a connection no longer waits for.
+	stopStage int
 )
 
 const (
 	idle      phase = iota
-	halfSent        // a part of a request was read
+	partial         // a part of a request was read
 	active          // a request is with the handler
 	lingering       // nothing is answered any more
 )
 
 const (
-	serving stopping = iota
+	serving stopStage = iota
 	closingIdle
-	refusingHalfSent
+	refusingPartial
 )
 
 const (
-	// idleTime is how long a connection is idle before it is closed by a stop: one that is
+	// idleTimeout is how long a connection is idle before it is closed by a stop: one that is
 	// used more often is closed after an answer that says so.
-	idleTime = 500 * time.Millisecond
-	// lingerTime bounds how long a connection is read after its last answer: closing it
+	idleTimeout = 500 * time.Millisecond
+	// lingerTimeout bounds how long a connection is read after its last answer: closing it
 	// with something unread resets it, and the caller may lose that answer.
-	lingerTime = 500 * time.Millisecond
-	refusal    = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+	lingerTimeout   = 500 * time.Millisecond
+	refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
-// immediately is a deadline that has passed.
-var immediately = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.TCPConn.Read(p)
 		if n > 0 {
-			return n, c.noteRead()
+			return n, c.onRead()
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		phase, passed := c.passed()
+		phase, passed := c.deadlinePassed()
 		switch {
 		case !passed:
 			if err := c.applyDeadline(); err != nil {
 				return 0, err
 			}
-		case phase == idle && c.ending():
-			return c.readOrEnd(p)
-		case phase == halfSent && c.server.retiring.Load():
-			_, _ = io.WriteString(c.TCPConn, refusal) // the caller may be gone
+		case phase == idle && c.isStopping():
+			return c.readOrShutdown(p)
+		case phase == partial && c.server.draining.Load():
+			_, _ = io.WriteString(c.TCPConn, refusalResponse) // the caller may be gone
 			return 0, err
 		default:
 			return 0, err
@@ -93,13 +93,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	return c.TCPConn.SetReadDeadline(c.effective())
+	return c.TCPConn.SetReadDeadline(c.effectiveDeadline())
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	defer c.server.remove(c)
-	if c.server.retiring.Load() && !c.server.aborting.Load() {
+	if c.server.draining.Load() && !c.server.aborting.Load() {
 		c.linger()
 	}
 	return c.TCPConn.Close()
@@ -110,18 +110,18 @@
 	c.mu.Lock()
 	c.phase = lingering
 	c.mu.Unlock()
-	if c.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTime)) != nil {
+	if c.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, c.TCPConn)
 }
 
-// stop has the connection closed when it no longer is read for what it may wait for.
-func (c *conn) stop(s stopping) {
+// setStopStage has the connection closed when it no longer is read for what it may wait for.
+func (c *conn) setStopStage(s stopStage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stopping = s
-	_ = c.TCPConn.SetReadDeadline(c.effective()) // fails only once it is closed
+	c.stage = s
+	_ = c.TCPConn.SetReadDeadline(c.effectiveDeadline()) // fails only once it is closed
 }
 
 func (c *conn) changeState(state http.ConnState) {
@@ -135,13 +135,13 @@
 	}
 }
 
-// effective is the deadline that holds, zero if none does. It needs the lock.
-func (c *conn) effective() time.Time {
+// effectiveDeadline is the deadline that holds, zero if none does. It needs the lock.
+func (c *conn) effectiveDeadline() time.Time {
 	switch {
-	case c.phase != active && c.stopping == refusingHalfSent:
-		return immediately
-	case c.phase == idle && c.stopping == closingIdle:
-		return c.idleSince.Add(idleTime)
+	case c.phase != active && c.stage == refusingPartial:
+		return pastDeadline
+	case c.phase == idle && c.stage == closingIdle:
+		return c.idleSince.Add(idleTimeout)
 	default:
 		return c.deadline
 	}
@@ -150,39 +150,39 @@
 func (c *conn) applyDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.TCPConn.SetReadDeadline(c.effective())
+	return c.TCPConn.SetReadDeadline(c.effectiveDeadline())
 }
 
-// passed tells whether the deadline that holds has passed: stop changes it during a read.
-func (c *conn) passed() (phase, bool) {
+// deadlinePassed tells whether the deadline that holds has deadlinePassed: stop changes it during a read.
+func (c *conn) deadlinePassed() (phase, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.effective()
+	t := c.effectiveDeadline()
 	return c.phase, !t.IsZero() && !time.Now().Before(t)
 }
 
-func (c *conn) ending() bool {
+func (c *conn) isStopping() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.stopping != serving
+	return c.stage != serving
 }
 
-func (c *conn) noteRead() error {
+func (c *conn) onRead() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != idle {
 		return nil
 	}
-	c.phase = halfSent
-	if c.stopping == serving {
+	c.phase = partial
+	if c.stage == serving {
 		return nil
 	}
-	return c.TCPConn.SetReadDeadline(c.effective())
+	return c.TCPConn.SetReadDeadline(c.effectiveDeadline())
 }
 
-// readOrEnd reads what has arrived without waiting, and ends the connection if that is
+// readOrShutdown reads what has arrived without waiting, and ends the connection if that is
 // nothing. No time passes between the two in which a request could arrive.
-func (c *conn) readOrEnd(p []byte) (int, error) {
+func (c *conn) readOrShutdown(p []byte) (int, error) {
 	if err := c.TCPConn.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
 	}
@@ -205,5 +205,5 @@
 	case n == 0:
 		return 0, io.EOF
 	}
-	return n, c.noteRead()
+	return n, c.onRead()
 }
--- a/internal/drain/listener.go
+++ b/internal/drain/listener.go
@@ -21,8 +21,8 @@
 }
 
 const (
-	// handshakeTime is enough for a connection that is being opened: a round trip.
-	handshakeTime = 20 * time.Millisecond
+	// handshakeTimeout is enough for a connection that is being opened: a round trip.
+	handshakeTimeout = 20 * time.Millisecond
 	// flagsOffset is where a TCP header has its flags.
 	flagsOffset = 13
 	flagSYN     = 0x02
@@ -51,10 +51,10 @@
 			return c, nil
 		case !l.stopping.Load() || !errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, err
-		case !l.waiting():
+		case !l.hasPending():
 			return nil, http.ErrServerClosed
 		}
-		if err := l.SetDeadline(time.Now().Add(handshakeTime)); err != nil {
+		if err := l.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 			return nil, err
 		}
 	}
@@ -64,11 +64,11 @@
 func (l *listener) stop() error {
 	err := l.dropNew()
 	l.stopping.Store(true)
-	return errors.CombineErrors(err, l.SetDeadline(time.Now().Add(handshakeTime)))
+	return errors.CombineErrors(err, l.SetDeadline(time.Now().Add(handshakeTimeout)))
 }
 
-// waiting tells whether the backlog holds a connection.
-func (l *listener) waiting() bool {
+// hasPending tells whether the backlog holds a connection.
+func (l *listener) hasPending() bool {
 	ready := 0
 	err := l.control(func(fd int) error {
 		var err error
--- a/internal/drain/server.go
+++ b/internal/drain/server.go
@@ -27,7 +27,7 @@
 	// without cutting requests.
 	Server struct {
 		http     *http.Server
-		retiring atomic.Bool
+		draining atomic.Bool
 		aborting atomic.Bool
 		mu       sync.Mutex
 		conns    map[*conn]struct{}
@@ -39,9 +39,9 @@
 )
 
 const (
-	// abortTime is how long connections have to refuse half-sent requests once the time
+	// abortTimeout is how long connections have to refuse half-sent requests once the time
 	// for the stop has passed.
-	abortTime = 100 * time.Millisecond
+	abortTimeout = 100 * time.Millisecond
 )
 
 // New makes a server that does not listen yet.
@@ -51,7 +51,7 @@
 	}
 	handler := c.HTTP.Handler
 	c.HTTP.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.retiring.Load() {
+		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
@@ -74,13 +74,13 @@
 	return s.http.Serve(accepting)
 }
 
-// Retire has each answer from now on ask the caller to use another connection.
-func (s *Server) Retire() { s.retiring.Store(true) }
+// StartDrain has each answer from now on ask the caller to use another connection.
+func (s *Server) StartDrain() { s.draining.Store(true) }
 
 // Shutdown stops listening, closes connections as they become idle, and returns once all are
 // closed. When ctx ends first, half-sent requests are refused and the rest is cut.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.Retire()
+	s.StartDrain()
 	err := s.stopListening()
 	if s.http.Protocols != nil && s.http.Protocols.UnencryptedHTTP2() {
 		// It sends GOAWAY, which cuts no HTTP/2 request.
@@ -88,8 +88,8 @@
 	}
 	s.stopConns(closingIdle)
 	if !s.waitClosed(ctx) {
-		s.stopConns(refusingHalfSent)
-		refusing, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortTime)
+		s.stopConns(refusingPartial)
+		refusing, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortTimeout)
 		defer cancel()
 		s.waitClosed(refusing)
 		err = errors.CombineErrors(err, ctx.Err())
@@ -133,11 +133,11 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *Server) stopConns(how stopping) {
+func (s *Server) stopConns(how stopStage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.stop(how)
+		c.setStopStage(how)
 	}
 }
 
--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -66,19 +66,19 @@
 		Jobs:  []tw.Job{{ID: benchJob, Service: "svc"}},
 		Teams: []tw.Team{{ID: "a"}, {ID: "b"}},
 		Services: []tw.Service{{ID: "svc", Routes: []tw.Route{
-			{Path: "/quick", Job: benchJob, Class: tw.Quick},
-			{Path: "/normal", Job: benchJob, Class: tw.Normal},
-			{Path: "/long", Job: benchJob, Class: tw.Long, Timeout: tw.Duration(30 * time.Second)},
+			{Path: "/quick", Job: benchJob, Class: tw.ClassQuick},
+			{Path: "/normal", Job: benchJob, Class: tw.ClassNormal},
+			{Path: "/long", Job: benchJob, Class: tw.ClassLong, Timeout: tw.Duration(30 * time.Second)},
 		}}},
 	}
-	config.Defaults()
+	config.SetDefaults()
 	plan := &tw.Plan{Hall: "h1", Generation: 1}
 	for i, address := range b.addresses {
 		plan.Instances = append(plan.Instances, tw.Assignment{
 			Instance: tw.InstanceID(fmt.Sprintf("w%d", i)),
 			Address:  address,
 			Slots:    slots,
-			State:    tw.Serving,
+			State:    tw.InstanceServing,
 			Jobs:     []tw.Placement{{Job: benchJob, State: tw.PlacementRunning}},
 		})
 	}
--- a/internal/experiment/control.go
+++ b/internal/experiment/control.go
@@ -119,7 +119,7 @@
 		w := h.size.worker(i)
 		w.ID = tw.InstanceID(string(hall) + "-" + string(w.ID))
 		w.Hall = hall
-		w.Role = tw.Worker
+		w.Role = tw.RoleWorker
 		w.Address = "127.0.0.1:9"
 		h.platform.SetInstance(w)
 	}
@@ -140,7 +140,7 @@
 		Listen:   daemon.ListenSettings{Gateway: "127.0.0.1:0", Peer: "127.0.0.1:0", Admin: "127.0.0.1:0"},
 		Platform: daemon.PlatformSettings{URL: h.url},
 	}
-	settings.Defaults()
+	settings.SetDefaults()
 	d, err := daemon.Config{Settings: settings, Peers: control.PeerClientConfig{Dial: h.peers.dial}.New()}.New()
 	if err == nil {
 		h.daemons = append(h.daemons, d)
@@ -195,7 +195,7 @@
 	for i := range plan.Instances {
 		a := &plan.Instances[i]
 		for _, at := range a.Jobs {
-			if a.Runs(at.Job) {
+			if a.Serves(at.Job) {
 				n++
 			}
 		}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -129,7 +129,7 @@
 // busiest is an instance that serves.
 func busiest(m *model) tw.InstanceID {
 	for i := range m.in.Plan.Instances {
-		if a := &m.in.Plan.Instances[i]; a.State == tw.Serving {
+		if a := &m.in.Plan.Instances[i]; a.State == tw.InstanceServing {
 			return a.Instance
 		}
 	}
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -52,7 +52,7 @@
 		Hall:   modelHall,
 		Rack:   tw.RackID(fmt.Sprintf("r%02d", i/s.rack)),
 		Labels: map[string]string{"kind": "general"},
-		Phase:  tw.Live,
+		Phase:  tw.PhaseLive,
 		Cores:  16,
 		Memory: 32_000,
 		Slots:  slots,
@@ -77,7 +77,7 @@
 		})
 		c.Services = append(c.Services, tw.Service{ID: tw.ServiceID("svc-" + id), MaxUnavailable: 1})
 	}
-	c.Defaults()
+	c.SetDefaults()
 	return c
 }
 
@@ -150,7 +150,7 @@
 	for i := range m.in.Plan.Instances {
 		a := &m.in.Plan.Instances[i]
 		for _, at := range a.Jobs {
-			if a.Runs(at.Job) {
+			if a.Serves(at.Job) {
 				out[fleet.Held{Instance: a.Instance, Job: at.Job}] = true
 			}
 		}
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -89,7 +89,7 @@
 	chain := steps * modelSubtask
 	usual := chain.Seconds() * modelWidth * modelCPU
 	objective := time.Duration(modelStretch*float64(chain)) + modelTarget
-	return byUrgency(m, j).ForSize(j.workLeft()/usual, objective)
+	return byUrgency(m, j).WithSizePenalty(j.workLeft()/usual, objective)
 }
 
 func byArrival(_ *demandModel, j *modelJob) schedule.Urgency {
--- a/internal/experiment/schedule_model.go
+++ b/internal/experiment/schedule_model.go
@@ -280,12 +280,12 @@
 // moveMachines decides on machines and carries the moves out.
 func (m *demandModel) moveMachines() {
 	state := &maintenance.State{
-		Now: modelStart.Add(m.now), Began: modelStart.Add(-time.Hour), Asked: modelStart.Add(m.now), ParkAfter: time.Hour,
+		Now: modelStart.Add(m.now), WatchedSince: modelStart.Add(-time.Hour), ListRequestedAt: modelStart.Add(m.now), ParkAfter: time.Hour,
 		Machines: map[tw.InstanceID]tw.Machine{}, Pools: map[tw.PoolID]*maintenance.Pool{},
 		Ordered: map[tw.InstanceID]maintenance.Order{}, Vacating: m.vacating,
 	}
 	for _, pool := range m.pools {
-		state.Pools[pool] = &maintenance.Pool{ID: pool, Known: true, Report: run.Report{Pool: pool}}
+		state.Pools[pool] = &maintenance.Pool{ID: pool, ReportFresh: true, Report: run.Report{Pool: pool}}
 	}
 	for _, machine := range m.machines {
 		if machine.State == tw.MachineMoving && m.now >= machine.back {
@@ -323,7 +323,7 @@
 	heard := !m.cut(machine)
 	pool.Report.Workers = append(pool.Report.Workers, run.WorkerLoad{
 		Instance: machine.ID, Worker: machine.Worker, Capacity: machine.Capacity, Free: machine.free,
-		Runs: machine.runs, Known: heard, Sound: heard,
+		Runs: machine.runs, Known: heard, Schedulable: heard,
 	})
 	pool.Report.Running = pool.Report.Running.Plus(machine.Capacity.Minus(machine.free))
 }
--- a/internal/fakeclock/clock.go
+++ b/internal/fakeclock/clock.go
@@ -8,19 +8,19 @@
 
 // Clock is moved by hand.
 type Clock struct {
-	mu      sync.Mutex
-	now     time.Time
-	waiting map[*alarm]bool
+	mu     sync.Mutex
+	now    time.Time
+	timers map[*timer]bool
 }
 
-type alarm struct {
+type timer struct {
 	at time.Time
 	c  chan time.Time
 }
 
 // New starts at a fixed time.
 func New() *Clock {
-	return &Clock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), waiting: map[*alarm]bool{}}
+	return &Clock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), timers: map[*timer]bool{}}
 }
 
 // Now implements tw.Clock.
@@ -34,12 +34,12 @@
 func (c *Clock) After(d time.Duration) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := &alarm{at: c.now.Add(d), c: make(chan time.Time, 1)}
+	a := &timer{at: c.now.Add(d), c: make(chan time.Time, 1)}
 	if d <= 0 {
 		a.c <- c.now
 		return a.c
 	}
-	c.waiting[a] = true
+	c.timers[a] = true
 	return a.c
 }
 
@@ -48,10 +48,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
-	for a := range c.waiting {
+	for a := range c.timers {
 		if !a.at.After(c.now) {
 			a.c <- c.now
-			delete(c.waiting, a)
+			delete(c.timers, a)
 		}
 	}
 }
--- a/internal/logsink/sink.go
+++ b/internal/logsink/sink.go
@@ -17,8 +17,8 @@
 	// Config configures a Sink.
 	Config struct {
 		Out io.Writer
-		// Lines bounds the lines that wait; 0 takes the default.
-		Lines int
+		// QueueSize bounds the lines that wait; 0 takes the default.
+		QueueSize int
 	}
 
 	// Sink is a zapcore.WriteSyncer.
@@ -37,29 +37,29 @@
 )
 
 const (
-	// defaultLines bounds what waits to about 1 MB.
-	defaultLines = 4096
-	outBuffer    = 32 << 10
-	// gatherTime is the longest that a line waits for others before it is written:
+	// defaultQueueSize bounds what waits to about 1 MB.
+	defaultQueueSize = 4096
+	outBufferSize    = 32 << 10
+	// flushDelay is the longest that a line waits for others before it is written:
 	// one write for all that came meanwhile, as each write costs a system call.
-	gatherTime = 20 * time.Millisecond
+	flushDelay = 20 * time.Millisecond
 )
 
-// importantMarks are what lines contain that go before others when the output
+// importantPatterns are what lines contain that go before others when the output
 // is slow: those of failed and refused requests, and all above info.
-var importantMarks = [][]byte{
+var importantPatterns = [][]byte{
 	[]byte(`"level":"warn"`), []byte(`"level":"error"`), []byte(`"msg":"request: refused"`),
 	[]byte(`"state":"failed"`), []byte(`"kind":"failed"`),
 }
 
 // New starts to write; Close ends it.
 func (c Config) New() *Sink {
-	if c.Lines == 0 {
-		c.Lines = defaultLines
+	if c.QueueSize == 0 {
+		c.QueueSize = defaultQueueSize
 	}
 	s := &Sink{
-		out: bufio.NewWriterSize(c.Out, outBuffer), lines: make(chan []byte, c.Lines),
-		important: make(chan []byte, c.Lines), closing: make(chan struct{}), done: make(chan struct{}),
+		out: bufio.NewWriterSize(c.Out, outBufferSize), lines: make(chan []byte, c.QueueSize),
+		important: make(chan []byte, c.QueueSize), closing: make(chan struct{}), done: make(chan struct{}),
 	}
 	go func() {
 		defer close(s.done)
@@ -95,7 +95,7 @@
 }
 
 func (s *Sink) run() {
-	flush := time.NewTimer(gatherTime)
+	flush := time.NewTimer(flushDelay)
 	flush.Stop()
 	waiting := false
 	for {
@@ -113,7 +113,7 @@
 			return
 		}
 		if !waiting {
-			flush.Reset(gatherTime)
+			flush.Reset(flushDelay)
 			waiting = true
 		}
 	}
@@ -148,7 +148,7 @@
 func (s *Sink) flush() { _ = s.out.Flush() }
 
 func isImportant(line []byte) bool {
-	for _, mark := range importantMarks {
+	for _, mark := range importantPatterns {
 		if bytes.Contains(line, mark) {
 			return true
 		}
--- a/internal/logsink/sink_test.go
+++ b/internal/logsink/sink_test.go
@@ -34,7 +34,7 @@
 	g := NewWithT(t)
 	const queued, lines = 10, 1000
 	out := &stalled{entered: make(chan struct{}), released: make(chan struct{})}
-	sink := logsink.Config{Out: out, Lines: queued}.New()
+	sink := logsink.Config{Out: out, QueueSize: queued}.New()
 	write := func(line string) {
 		_, err := sink.Write([]byte(line + "\n"))
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/membertest/membertest.go
+++ b/internal/membertest/membertest.go
@@ -14,21 +14,21 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// Others stands for all other daemons: they answer pings, or leave them
+// Peers stands for all other daemons: they answer pings, or leave them
 // without an answer while Cut is true.
-type Others struct{ Cut atomic.Bool }
+type Peers struct{ Unresponsive atomic.Bool }
 
 // Ping implements member.Pinger.
-func (o *Others) Ping(ctx context.Context, _ string, _ member.PingRequest) (*member.PingResponse, error) {
-	if o.Cut.Load() {
+func (o *Peers) Ping(ctx context.Context, _ string, _ member.PingRequest) (*member.PingResponse, error) {
+	if o.Unresponsive.Load() {
 		<-ctx.Done()
-		return nil, tw.ErrUnclear
+		return nil, tw.ErrAmbiguous
 	}
 	return &member.PingResponse{}, nil
 }
 
 // Announce puts the record of another daemon into a store, as if it lived.
-func Announce(kv *standin.KV, l member.Live) {
+func Announce(kv *standin.KV, l member.DaemonRecord) {
 	value, err := json.Marshal(l)
 	if err != nil {
 		panic(err) // the type can always be encoded
@@ -39,20 +39,20 @@
 // Start starts the membership of one daemon on a store. The daemon owns no
 // pool and is configured with none, so that it takes nothing by itself. The
 // caller calls end when the test is over.
-func Start(kv tw.KV, self member.Live) (members *member.Members, end func()) {
-	return StartAmong(kv, self, &Others{})
+func Start(kv tw.KV, self member.DaemonRecord) (members *member.Members, end func()) {
+	return StartWithPeers(kv, self, &Peers{})
 }
 
-// StartAmong is Start with other daemons.
-func StartAmong(kv tw.KV, self member.Live, others *Others) (members *member.Members, end func()) {
+// StartWithPeers is Start with other daemons.
+func StartWithPeers(kv tw.KV, self member.DaemonRecord, others *Peers) (members *member.Members, end func()) {
 	clock, log := tw.SystemClock{}, zap.NewNop()
 	presence := member.PresenceConfig{KV: kv, Clock: clock, Log: log, Self: self}.New()
 	members = member.Config{
 		KV: kv, Clock: clock, Log: log, Self: self, Peers: others, Presence: presence,
-		Pools: func() []tw.PoolID { return nil }, Owned: func() []tw.PoolID { return nil },
-		Version: func() tw.Version { return 0 }, Take: func(tw.PoolID, string) {},
-		NewerConfig: func(string, tw.Version) {},
-		Evacuations: func() *tw.Evacuations { return nil }, HeardEvacuations: func(*tw.Evacuations, string) {},
+		Pools: func() []tw.PoolID { return nil }, OwnedPools: func() []tw.PoolID { return nil },
+		ConfigVersion: func() tw.Version { return 0 }, TakeOver: func(tw.PoolID, string) {},
+		OnNewerConfig: func(string, tw.Version) {},
+		Evacuations:   func() *tw.Evacuations { return nil }, OnEvacuations: func(*tw.Evacuations, string) {},
 	}.New()
 	return members, func() {
 		members.Close()
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -46,7 +46,7 @@
 
 	cloudMachine struct {
 		tw.Machine
-		fence tw.Fence
+		fence tw.FencingToken
 		back  time.Time
 		to    tw.PoolID
 		lives int
@@ -128,16 +128,16 @@
 	m := c.machines[order.Machine]
 	switch {
 	case m == nil:
-		return &tw.MachineRefused{Reason: tw.MachineUnknown}
+		return &tw.MachineRefusedError{Reason: tw.MachineRefusedUnknown}
 	case by.Fence < m.fence:
-		return &tw.MachineRefused{Reason: tw.MachineFence}
+		return &tw.MachineRefusedError{Reason: tw.MachineRefusedFence}
 	}
 	m.fence = by.Fence
 	if order.Wave != 0 && m.done[order.Wave] || order.Wave == 0 && m.Pool == order.Pool {
 		return nil
 	}
 	if m.State != tw.MachineUp {
-		return &tw.MachineRefused{Reason: tw.MachineBusy}
+		return &tw.MachineRefusedError{Reason: tw.MachineRefusedBusy}
 	}
 	now := c.config.Clock.Now()
 	order.By, order.At = by, now
--- a/internal/standin/cloud_http.go
+++ b/internal/standin/cloud_http.go
@@ -15,8 +15,8 @@
 	stateWords = map[tw.MachineState]string{
 		tw.MachineUp: "up", tw.MachineMoving: "moving", tw.MachineMaintenance: "upkeep", tw.MachineDown: "down",
 	}
-	machineReasons = map[tw.MachineRefusal]string{
-		tw.MachineFence: "fence", tw.MachineBusy: "busy", tw.MachineNotInWave: "wave",
+	machineReasons = map[tw.MachineRefusalReason]string{
+		tw.MachineRefusedFence: "fence", tw.MachineRefusedBusy: "busy", tw.MachineRefusedNotInWave: "wave",
 	}
 )
 
@@ -75,11 +75,11 @@
 		return
 	}
 	fence, _ := strconv.ParseInt(r.Header.Get("Tamarindworks-Fencing-Token"), 10, 64)
-	by := tw.MachineHolder{Name: r.Header.Get("Tamarindworks-Lease-Holder"), Fence: tw.Fence(fence)}
+	by := tw.MachineHolder{Name: r.Header.Get("Tamarindworks-Lease-Holder"), Fence: tw.FencingToken(fence)}
 	err := change(by, body)
-	var refused *tw.MachineRefused
+	var refused *tw.MachineRefusedError
 	switch {
-	case errors.As(err, &refused) && refused.Reason == tw.MachineUnknown:
+	case errors.As(err, &refused) && refused.Reason == tw.MachineRefusedUnknown:
 		w.WriteHeader(http.StatusBadRequest)
 	case errors.As(err, &refused):
 		writeJSON(w, http.StatusConflict, map[string]any{"reason": machineReasons[refused.Reason]})
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -97,7 +97,7 @@
 		roomUntil time.Time
 
 		boot     time.Time
-		fence    tw.Fence
+		fence    tw.FencingToken
 		deadline time.Time
 		runs     map[tw.SubtaskID]*simRun
 		ended    []tw.EndedSubtask
@@ -241,10 +241,10 @@
 func (f *Fleet) profileOf(s *tw.Submission, id tw.SubtaskID, change func(tw.SubtaskID, *Profile)) Profile {
 	step := &s.Steps[id.Step]
 	p := Profile{
-		Need: step.Claim(), Duration: step.Estimate, Lasting: step.Lasting, Copies: step.Copies, MaxAttempts: s.Policy.Attempts,
+		Need: step.Reservation(), Duration: step.Estimate, Lasting: step.LongRunning, Copies: step.AllowCopies, MaxAttempts: s.Policy.Attempts,
 		Serves: step.TailTarget > 0, Fills: step.Filler, Organisation: s.Organisation,
 	}
-	if step.Lasting {
+	if step.LongRunning {
 		p.MaxAttempts = 0
 	}
 	if step.Gang {
--- a/internal/standin/fleet_http.go
+++ b/internal/standin/fleet_http.go
@@ -14,21 +14,21 @@
 
 // orderBody is what the platform's published protocol has in an order.
 type orderBody struct {
-	Task       string         `json:"task"`
-	Run        tw.RunNumber   `json:"run"`
-	Spec       string         `json:"spec"`
-	Deadline   tw.WorkerClock `json:"deadlineMs"`
-	Fence      tw.Fence       `json:"fencingToken"`
-	Checkpoint tw.Checkpoint  `json:"checkpoint"`
-	Ticket     string         `json:"ticket"`
-	LastSeen   int64          `json:"lastSeen"`
-	WaitMs     int64          `json:"waitMs"`
-	Percent    int            `json:"percent"`
+	Task       string          `json:"task"`
+	Run        tw.RunNumber    `json:"run"`
+	Spec       string          `json:"spec"`
+	Deadline   tw.WorkerTime   `json:"deadlineMs"`
+	Fence      tw.FencingToken `json:"fencingToken"`
+	Checkpoint tw.Checkpoint   `json:"checkpoint"`
+	Ticket     string          `json:"ticket"`
+	LastSeen   int64           `json:"lastSeen"`
+	WaitMs     int64           `json:"waitMs"`
+	Percent    int             `json:"percent"`
 }
 
 // reasonWords are the platform's words for refusals.
 var reasonWords = map[tw.RefusalReason]string{
-	tw.RefusedFence: "fence", tw.RefusedOldRun: "old", tw.RefusedLate: "late", tw.RefusedRoom: "room", tw.RefusedTicket: "ticket",
+	tw.RefusedStaleFence: "fence", tw.RefusedStaleRun: "old", tw.RefusedDeadlinePassed: "late", tw.RefusedNoCapacity: "room", tw.RefusedTicket: "ticket",
 }
 
 // Handler serves one worker by the platform's published protocol.
@@ -37,7 +37,7 @@
 	ref := f.workers[id].Entry.Ref()
 	f.mu.Unlock()
 	mux := http.NewServeMux()
-	serve := func(path string, do func(r *http.Request, body orderBody, task tw.SubtaskID) (any, tw.WorkerClock, error)) {
+	serve := func(path string, do func(r *http.Request, body orderBody, task tw.SubtaskID) (any, tw.WorkerTime, error)) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			if expected := r.Header.Get("Tamarindworks-Expect-Instance"); expected != string(id) {
 				w.WriteHeader(http.StatusMisdirectedRequest)
@@ -52,31 +52,31 @@
 			f.answer(w, answer, clock, err)
 		})
 	}
-	serve("/api/run-start", func(r *http.Request, b orderBody, task tw.SubtaskID) (any, tw.WorkerClock, error) {
+	serve("/api/run-start", func(r *http.Request, b orderBody, task tw.SubtaskID) (any, tw.WorkerTime, error) {
 		clock, err := f.Start(r.Context(), ref, tw.StartOrder{
 			Subtask: task, Run: b.Run, Spec: b.Spec, Checkpoint: b.Checkpoint, Ticket: b.Ticket, Deadline: b.Deadline, Fence: b.Fence,
 		})
 		return nil, clock, err
 	})
-	serve("/api/run-stop", func(r *http.Request, b orderBody, task tw.SubtaskID) (any, tw.WorkerClock, error) {
+	serve("/api/run-stop", func(r *http.Request, b orderBody, task tw.SubtaskID) (any, tw.WorkerTime, error) {
 		clock, err := f.Stop(r.Context(), ref, tw.StopOrder{Subtask: task, Run: b.Run, Fence: b.Fence})
 		return nil, clock, err
 	})
-	serve("/api/pace", func(r *http.Request, b orderBody, task tw.SubtaskID) (any, tw.WorkerClock, error) {
+	serve("/api/pace", func(r *http.Request, b orderBody, task tw.SubtaskID) (any, tw.WorkerTime, error) {
 		clock, err := f.Pace(r.Context(), ref, tw.PaceOrder{Subtask: task, Run: b.Run, Percent: b.Percent, Fence: b.Fence})
 		return nil, clock, err
 	})
-	serve("/api/hold", func(r *http.Request, b orderBody, _ tw.SubtaskID) (any, tw.WorkerClock, error) {
+	serve("/api/hold", func(r *http.Request, b orderBody, _ tw.SubtaskID) (any, tw.WorkerTime, error) {
 		report, err := f.Hold(r.Context(), ref, tw.HoldOrder{
-			Fence: b.Fence, Seen: b.LastSeen, Deadline: b.Deadline, Wait: time.Duration(b.WaitMs) * time.Millisecond,
+			Fence: b.Fence, AckedSequence: b.LastSeen, Deadline: b.Deadline, Wait: time.Duration(b.WaitMs) * time.Millisecond,
 		})
 		return reportBody(report), report.Clock, err
 	})
 	return mux
 }
 
-func (f *Fleet) answer(w http.ResponseWriter, answer any, clock tw.WorkerClock, err error) {
-	var refused *tw.OrderRefused
+func (f *Fleet) answer(w http.ResponseWriter, answer any, clock tw.WorkerTime, err error) {
+	var refused *tw.OrderRefusedError
 	switch {
 	case err == nil && answer != nil:
 		writeJSON(w, http.StatusOK, answer)
@@ -92,10 +92,10 @@
 func reportBody(report tw.HoldReport) any {
 	running, ended := [][]any{}, [][]any{}
 	for _, r := range report.Running {
-		running = append(running, []any{r.Subtask.String(), r.Run, r.Saved, r.Percent, r.Tail.Milliseconds()})
+		running = append(running, []any{r.Subtask.String(), r.Run, r.Checkpoint, r.Percent, r.TailLatency.Milliseconds()})
 	}
 	for _, e := range report.Ended {
-		ended = append(ended, []any{e.Sequence, e.Subtask.String(), e.Run, e.Kind, e.Saved})
+		ended = append(ended, []any{e.Sequence, e.Subtask.String(), e.Run, e.Kind, e.Checkpoint})
 	}
 	return map[string]any{"clockMs": report.Clock, "running": running, "ended": ended}
 }
--- a/internal/standin/fleet_lives.go
+++ b/internal/standin/fleet_lives.go
@@ -27,8 +27,8 @@
 }
 
 // Restart does so under the worker's own id.
-func (f *Fleet) Restart(id tw.WorkerID, born tw.WorkerBirth) tw.WorkerEntry {
-	return f.nextLife(id, func(entry *tw.WorkerEntry) { entry.Born = born })
+func (f *Fleet) Restart(id tw.WorkerID, born tw.WorkerStartTime) tw.WorkerEntry {
+	return f.nextLife(id, func(entry *tw.WorkerEntry) { entry.StartTime = born })
 }
 
 // nextLife ends a worker's life and starts one whose entry differs by a change.
--- a/internal/standin/fleet_orders.go
+++ b/internal/standin/fleet_orders.go
@@ -21,7 +21,7 @@
 var _ tw.WorkerOrders = (*Fleet)(nil)
 
 // Start implements tw.WorkerOrders.
-func (f *Fleet) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (f *Fleet) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	w, err := f.reach(ctx, to)
 	if err != nil {
 		return 0, err
@@ -30,13 +30,13 @@
 	if w.LateStarts > 0 {
 		w.LateStarts--
 		w.late = append(w.late, order)
-		return 0, errors.Wrap(tw.ErrUnclear, "standin: late start")
+		return 0, errors.Wrap(tw.ErrAmbiguous, "standin: late start")
 	}
 	return f.start(w, order, false)
 }
 
 // start carries out an order; late says that it waited at the worker.
-func (f *Fleet) start(w *SimWorker, order tw.StartOrder, late bool) (tw.WorkerClock, error) {
+func (f *Fleet) start(w *SimWorker, order tw.StartOrder, late bool) (tw.WorkerTime, error) {
 	f.settle(w)
 	if refused := w.admit(f, order.Fence, order.Deadline); refused != nil {
 		return 0, refused
@@ -46,7 +46,7 @@
 		return now, nil
 	}
 	if order.Run <= w.barred[order.Subtask] || w.runs[order.Subtask] != nil {
-		return now, &tw.OrderRefused{Reason: tw.RefusedOldRun, Clock: now}
+		return now, &tw.OrderRefusedError{Reason: tw.RefusedStaleRun, Clock: now}
 	}
 	profile, known := f.profiles[order.Subtask]
 	if !known {
@@ -117,7 +117,7 @@
 }
 
 // Stop implements tw.WorkerOrders.
-func (f *Fleet) Stop(ctx context.Context, to tw.WorkerRef, order tw.StopOrder) (tw.WorkerClock, error) {
+func (f *Fleet) Stop(ctx context.Context, to tw.WorkerRef, order tw.StopOrder) (tw.WorkerTime, error) {
 	w, err := f.reach(ctx, to)
 	if err != nil {
 		return 0, err
@@ -137,7 +137,7 @@
 }
 
 // Pace implements tw.WorkerOrders.
-func (f *Fleet) Pace(ctx context.Context, to tw.WorkerRef, order tw.PaceOrder) (tw.WorkerClock, error) {
+func (f *Fleet) Pace(ctx context.Context, to tw.WorkerRef, order tw.PaceOrder) (tw.WorkerTime, error) {
 	w, err := f.reach(ctx, to)
 	if err != nil {
 		return 0, err
@@ -165,7 +165,7 @@
 			f.mu.Unlock()
 			return tw.HoldReport{}, refused
 		}
-		f.forget(w, order.Seen)
+		f.forget(w, order.AckedSequence)
 		now := f.config.Clock.Now()
 		if len(w.ended) > 0 || !now.Before(until) {
 			report := w.report(f)
@@ -179,7 +179,7 @@
 		case <-changed:
 		case <-f.config.Clock.After(next.Sub(now)):
 		case <-ctx.Done():
-			return tw.HoldReport{}, errors.Wrap(tw.ErrUnclear, "standin: caller has left")
+			return tw.HoldReport{}, errors.Wrap(tw.ErrAmbiguous, "standin: caller has left")
 		}
 	}
 }
@@ -191,14 +191,14 @@
 		select {
 		case <-f.config.Clock.After(f.config.Latency):
 		case <-ctx.Done():
-			return nil, errors.Wrap(tw.ErrUnclear, "standin: caller has left")
+			return nil, errors.Wrap(tw.ErrAmbiguous, "standin: caller has left")
 		}
 	}
 	f.mu.Lock()
 	w := f.workers[to.ID]
 	if w == nil {
 		f.mu.Unlock()
-		return nil, &tw.OrderRefused{Reason: tw.RefusedLife}
+		return nil, &tw.OrderRefusedError{Reason: tw.RefusedOtherIncarnation}
 	}
 	if to.Address != w.Entry.Address {
 		f.mu.Unlock()
@@ -206,7 +206,7 @@
 	}
 	if w.dead && f.livesAt(w.Entry.Address) {
 		f.mu.Unlock()
-		return nil, &tw.OrderRefused{Reason: tw.RefusedLife}
+		return nil, &tw.OrderRefusedError{Reason: tw.RefusedOtherIncarnation}
 	}
 	if !w.Silent && !w.dead {
 		return w, nil
@@ -214,11 +214,11 @@
 	reset := w.reset
 	f.mu.Unlock()
 	if reset {
-		return nil, errors.Wrap(tw.ErrUnclear, "standin: connection reset")
+		return nil, errors.Wrap(tw.ErrAmbiguous, "standin: connection reset")
 	}
 	select {
 	case <-f.config.Clock.After(silence):
 	case <-ctx.Done():
 	}
-	return nil, errors.Wrap(tw.ErrUnclear, "standin: no answer")
+	return nil, errors.Wrap(tw.ErrAmbiguous, "standin: no answer")
 }
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -40,7 +40,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(500 * time.Millisecond)
 		g.Expect(fleet.Running(id)).To(BeZero())
-		_, err = fleet.Hold(t.Context(), refs[0], tw.HoldOrder{Seen: 1})
+		_, err = fleet.Hold(t.Context(), refs[0], tw.HoldOrder{AckedSequence: 1})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(fleet.Broken()).To(ContainElement(HavePrefix("TWICE")))
 	})
--- a/internal/standin/fleet_worker.go
+++ b/internal/standin/fleet_worker.go
@@ -8,18 +8,18 @@
 )
 
 // clock is the worker's own clock.
-func (w *SimWorker) clock(now time.Time) tw.WorkerClock {
-	return tw.WorkerClock(now.Sub(w.boot).Milliseconds()) + clockStart
+func (w *SimWorker) clock(now time.Time) tw.WorkerTime {
+	return tw.WorkerTime(now.Sub(w.boot).Milliseconds()) + clockStart
 }
 
 // clockStart is what a worker's clock shows at its start.
-const clockStart tw.WorkerClock = 1000
+const clockStart tw.WorkerTime = 1000
 
 // admit checks an order's fence and takes its deadline.
-func (w *SimWorker) admit(f *Fleet, fence tw.Fence, deadline tw.WorkerClock) error {
+func (w *SimWorker) admit(f *Fleet, fence tw.FencingToken, deadline tw.WorkerTime) error {
 	now := f.config.Clock.Now()
 	if fence < w.fence {
-		return &tw.OrderRefused{Reason: tw.RefusedFence, Clock: w.clock(now)}
+		return &tw.OrderRefusedError{Reason: tw.RefusedStaleFence, Clock: w.clock(now)}
 	}
 	w.fence = fence
 	if deadline == 0 {
@@ -27,7 +27,7 @@
 	}
 	until := w.boot.Add(time.Duration(deadline-clockStart) * time.Millisecond)
 	if until.Before(now) {
-		return &tw.OrderRefused{Reason: tw.RefusedLate, Clock: w.clock(now)}
+		return &tw.OrderRefusedError{Reason: tw.RefusedDeadlinePassed, Clock: w.clock(now)}
 	}
 	if most := now.Add(f.config.MaxHold); until.After(most) {
 		until = most
@@ -46,7 +46,7 @@
 		r := w.runs[id]
 		end, kind := w.endOf(r)
 		if lapsed && (end.IsZero() || end.After(w.deadline)) {
-			end, kind = w.deadline, tw.EndLapsed
+			end, kind = w.deadline, tw.EndExpired
 		}
 		if end.IsZero() || end.After(now) {
 			continue
@@ -127,11 +127,11 @@
 
 func (w *SimWorker) report(f *Fleet) tw.HoldReport {
 	now := f.config.Clock.Now()
-	out := tw.HoldReport{Born: w.Entry.Born, Clock: w.clock(now), Ended: slices.Clone(w.ended)}
+	out := tw.HoldReport{StartTime: w.Entry.StartTime, Clock: w.clock(now), Ended: slices.Clone(w.ended)}
 	for id, r := range w.runs {
 		running := tw.RunningSubtask{Subtask: id, Run: r.run, Percent: w.percent(f, r, now)}
 		if r.profile.Serves {
-			running.Tail = w.tail()
+			running.TailLatency = w.tail()
 		}
 		out.Running = append(out.Running, running)
 	}
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -180,7 +180,7 @@
 		case <-deadline:
 			return nil, at, nil
 		case <-ctx.Done():
-			return nil, 0, errors.Wrap(tw.ErrUnclear, "standin: watch")
+			return nil, 0, errors.Wrap(tw.ErrAmbiguous, "standin: watch")
 		}
 	}
 }
@@ -197,12 +197,12 @@
 	if k.faults.LateWrites > 0 {
 		k.faults.LateWrites--
 		k.late = append(k.late, txn)
-		return 0, errors.Wrap(tw.ErrUnclear, "standin: late write")
+		return 0, errors.Wrap(tw.ErrAmbiguous, "standin: late write")
 	}
 	revision, err := k.apply(txn)
 	if k.faults.LoseAnswers > 0 {
 		k.faults.LoseAnswers--
-		return 0, errors.Wrap(tw.ErrUnclear, "standin: lost answer")
+		return 0, errors.Wrap(tw.ErrAmbiguous, "standin: lost answer")
 	}
 	return revision, err
 }
@@ -254,7 +254,7 @@
 		select {
 		case <-k.config.Clock.After(latency):
 		case <-ctx.Done():
-			return errors.Wrap(tw.ErrUnclear, "standin: caller has left")
+			return errors.Wrap(tw.ErrAmbiguous, "standin: caller has left")
 		}
 	}
 	k.mu.Lock()
@@ -299,7 +299,7 @@
 }
 
 func (k *KV) check(conditions []tw.KVCondition) error {
-	conflict := &tw.KVConflict{}
+	conflict := &tw.KVConflictError{}
 	failed := false
 	for _, c := range conditions {
 		item, found := k.items[c.Key]
--- a/internal/standin/kv_http.go
+++ b/internal/standin/kv_http.go
@@ -156,7 +156,7 @@
 // answerError answers with the status of an error; false if there is none. An
 // unclear outcome is a connection that ends without an answer.
 func answerError(w http.ResponseWriter, err error) bool {
-	var conflict *tw.KVConflict
+	var conflict *tw.KVConflictError
 	switch {
 	case err == nil:
 		return false
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -187,7 +187,7 @@
 	now := p.config.Clock.Now()
 	l := p.leases[req.Name]
 	if l.Holder != req.Holder && now.Before(l.until) {
-		return l.Lease, tw.ErrHeld
+		return l.Lease, tw.ErrLeaseHeld
 	}
 	if l.Holder != req.Holder || !now.Before(l.until) {
 		l.Epoch++
@@ -252,7 +252,7 @@
 func (p *Platform) leave() error {
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
-		return tw.ErrUnclear
+		return tw.ErrAmbiguous
 	}
 	return nil
 }
--- a/internal/standin/platform_http.go
+++ b/internal/standin/platform_http.go
@@ -144,7 +144,7 @@
 
 func (p *Platform) phase(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	p.SetPhase(tw.InstanceID(query.Get("id")), tw.Phase(query.Get("phase")))
+	p.SetPhase(tw.InstanceID(query.Get("id")), tw.InstancePhase(query.Get("phase")))
 	answer(w, nil, nil)
 }
 
@@ -157,7 +157,7 @@
 func answer(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
-	case errors.Is(err, tw.ErrUnclear):
+	case errors.Is(err, tw.ErrAmbiguous):
 		panic(http.ErrAbortHandler)
 	default:
 		w.WriteHeader(status(err))
@@ -177,7 +177,7 @@
 		return http.StatusConflict
 	case errors.Is(err, tw.ErrNoChange):
 		return http.StatusNotModified
-	case errors.Is(err, tw.ErrHeld):
+	case errors.Is(err, tw.ErrLeaseHeld):
 		return http.StatusLocked
 	}
 	return http.StatusServiceUnavailable
--- a/internal/standin/platform_instances.go
+++ b/internal/standin/platform_instances.go
@@ -13,7 +13,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if in.Phase == "" {
-		in.Phase = tw.Live
+		in.Phase = tw.PhaseLive
 	}
 	if old, ok := p.instances[in.ID]; ok {
 		in.Boots = max(in.Boots, old.Boots)
@@ -30,7 +30,7 @@
 }
 
 // SetPhase marks an instance live or leaving.
-func (p *Platform) SetPhase(id tw.InstanceID, phase tw.Phase) {
+func (p *Platform) SetPhase(id tw.InstanceID, phase tw.InstancePhase) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if in, ok := p.instances[id]; ok {
@@ -53,7 +53,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old, known := p.instances[in.ID]
-	in.Phase = tw.Live
+	in.Phase = tw.PhaseLive
 	if known {
 		in.Phase, in.Boots = old.Phase, old.Boots
 	}
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	c.Instance.Address = at.Addr().String()
-	c.Instance.Role = tw.Worker
+	c.Instance.Role = tw.RoleWorker
 	if c.Recorder == nil {
 		c.Recorder = NewRecorder(nil)
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -7,11 +7,11 @@
 func Worker(hall tw.HallID, rack tw.RackID, id tw.InstanceID, labels map[string]string) tw.Instance {
 	return tw.Instance{
 		ID:          id,
-		Role:        tw.Worker,
+		Role:        tw.RoleWorker,
 		Hall:        hall,
 		Rack:        rack,
 		Labels:      labels,
-		Phase:       tw.Live,
+		Phase:       tw.PhaseLive,
 		Cores:       16,
 		Memory:      32_000,
 		Slots:       8,
--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -35,13 +35,13 @@
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
 		},
-		Control: prepare,
+		Control: setSocketOptions,
 	}
 }
 
-// prepare bounds how long sent bytes may stay unacknowledged, and has them dropped when the
+// setSocketOptions bounds how long sent bytes may stay unacknowledged, and has them dropped when the
 // connection is closed.
-func prepare(_, _ string, conn syscall.RawConn) error {
+func setSocketOptions(_, _ string, conn syscall.RawConn) error {
 	var failed error
 	err := conn.Control(func(fd uintptr) {
 		failed = errors.CombineErrors(
--- a/internal/textdiff/textdiff.go
+++ b/internal/textdiff/textdiff.go
@@ -7,8 +7,8 @@
 // after with "+"; common lines are left out. It follows a longest common
 // subsequence and is meant for files of a few thousand lines.
 func Lines(before, after string) string {
-	a, b := split(before), split(after)
-	length := table(a, b)
+	a, b := splitLines(before), splitLines(after)
+	length := lcsTable(a, b)
 	var out strings.Builder
 	i, j := 0, 0
 	for i < len(a) || j < len(b) {
@@ -27,8 +27,8 @@
 	return out.String()
 }
 
-// table has the length of the longest common subsequence of a[i:] and b[j:].
-func table(a, b []string) [][]int {
+// lcsTable has the length of the longest common subsequence of a[i:] and b[j:].
+func lcsTable(a, b []string) [][]int {
 	length := make([][]int, len(a)+1)
 	for i := range length {
 		length[i] = make([]int, len(b)+1)
@@ -45,7 +45,7 @@
 	return length
 }
 
-func split(text string) []string {
+func splitLines(text string) []string {
 	if text == "" {
 		return nil
 	}
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -18,7 +18,7 @@
 // Validator is a configuration that fills in what was left out and checks
 // itself. Validate fails with tw.Faults.
 type Validator interface {
-	Defaults()
+	SetDefaults()
 	Validate() error
 }
 
@@ -26,18 +26,18 @@
 // is of type tw.Faults.
 func Decode(source []byte, v Validator) error {
 	faults := decodeStrict(source, v)
-	v.Defaults()
-	var found tw.Faults
+	v.SetDefaults()
+	var found tw.ValidationErrors
 	if err := v.Validate(); errors.As(err, &found) {
-		faults = append(faults, located(source, found, faults)...)
+		faults = append(faults, withLines(source, found, faults)...)
 	}
 	return faults.Err()
 }
 
 // decodeStrict gathers syntax faults, unknown keys and bad values. The
 // library stops at the first bad value, so I blank its line and read again.
-func decodeStrict(source []byte, v any) tw.Faults {
-	var faults tw.Faults
+func decodeStrict(source []byte, v any) tw.ValidationErrors {
+	var faults tw.ValidationErrors
 	rest := bytes.Clone(source)
 	for range maxFaults {
 		decoder := toml.NewDecoder(bytes.NewReader(rest))
@@ -52,35 +52,35 @@
 			return append(faults, unknownKeys(missing)...)
 		case errors.As(err, &bad):
 			line, _ := bad.Position()
-			faults = append(faults, tw.Fault{Field: field(bad.Key()), Line: line, What: clean(bad.Error())})
-			if !blank(rest, line) {
+			faults = append(faults, tw.ValidationError{Field: fieldName(bad.Key()), Line: line, Message: stripTOMLPrefix(bad.Error())})
+			if !blankLine(rest, line) {
 				return faults
 			}
 		default:
-			return append(faults, tw.Fault{Field: "file", What: err.Error()})
+			return append(faults, tw.ValidationError{Field: "file", Message: err.Error()})
 		}
 	}
 	return faults
 }
 
-func unknownKeys(missing *toml.StrictMissingError) tw.Faults {
-	var faults tw.Faults
+func unknownKeys(missing *toml.StrictMissingError) tw.ValidationErrors {
+	var faults tw.ValidationErrors
 	for _, e := range missing.Errors {
 		line, _ := e.Position()
-		faults = append(faults, tw.Fault{Field: field(e.Key()), Line: line, What: "is not a known key"})
+		faults = append(faults, tw.ValidationError{Field: fieldName(e.Key()), Line: line, Message: "is not a known key"})
 	}
 	return faults
 }
 
-// located gives each fault the line of its field, or of the table that lacks
+// withLines gives each fault the line of its field, or of the table that lacks
 // it, and drops those on a line that is at fault already.
-func located(source []byte, found, known tw.Faults) tw.Faults {
+func withLines(source []byte, found, known tw.ValidationErrors) tw.ValidationErrors {
 	index := indexLines(source)
 	taken := map[int]bool{}
 	for _, f := range known {
 		taken[f.Line] = true
 	}
-	var out tw.Faults
+	var out tw.ValidationErrors
 	for _, f := range found {
 		line, exact := index.line(f.Field)
 		if exact && taken[line] {
@@ -92,17 +92,17 @@
 	return out
 }
 
-func field(key toml.Key) string {
+func fieldName(key toml.Key) string {
 	if len(key) == 0 {
 		return "file"
 	}
 	return strings.Join(key, ".")
 }
 
-func clean(text string) string { return strings.TrimPrefix(text, "toml: ") }
+func stripTOMLPrefix(text string) string { return strings.TrimPrefix(text, "toml: ") }
 
-// blank overwrites a line with spaces; false if there is nothing to blank.
-func blank(source []byte, line int) bool {
+// blankLine overwrites a line with spaces; false if there is nothing to blankLine.
+func blankLine(source []byte, line int) bool {
 	start := 0
 	for ; line > 1; line-- {
 		next := bytes.IndexByte(source[start:], '\n')
--- a/internal/traffic/meter.go
+++ b/internal/traffic/meter.go
@@ -21,7 +21,7 @@
 		set *metrics.Set
 
 		mu    sync.Mutex
-		kinds map[string]*kind
+		kinds map[string]*kindCounters
 	}
 
 	// Count is what has passed of a kind of message, headers included.
@@ -30,8 +30,8 @@
 		Messages       int64
 	}
 
-	// kind counts one kind of message.
-	kind struct{ sent, received, messages atomic.Int64 }
+	// kindCounters counts one kindCounters of message.
+	kindCounters struct{ sent, received, messages atomic.Int64 }
 
 	transport struct {
 		meter *Meter
@@ -52,20 +52,20 @@
 )
 
 const (
-	// firstLine is about what the first line of a message takes beside the path, and
+	// requestLineOverhead is about what the first line of a message takes beside the path, and
 	// answerHead what the head of an answer takes.
-	firstLine  = 17
-	answerHead = 100
-	// headerExtra is what separates a header's name from its value and from the next.
-	headerExtra = 4
+	requestLineOverhead = 17
+	responseHeadSize    = 100
+	// headerOverhead is what separates a header's name from its value and from the next.
+	headerOverhead = 4
 	// apiPrefix begins the paths of the platform's calls; an id may follow the call.
 	apiPrefix = "/api/"
-	// otherKind are the messages of callers.
-	otherKind = "callers"
+	// callersKind are the messages of callers.
+	callersKind = "callers"
 )
 
 // New makes a meter that also tells its counts as metrics of a set.
-func New(set *metrics.Set) *Meter { return &Meter{set: set, kinds: map[string]*kind{}} }
+func New(set *metrics.Set) *Meter { return &Meter{set: set, kinds: map[string]*kindCounters{}} }
 
 // Transport counts what goes through another transport.
 func (m *Meter) Transport(next http.RoundTripper) http.RoundTripper {
@@ -77,14 +77,14 @@
 
 // RoundTrip implements http.RoundTripper.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	k := t.meter.kind(r.URL.Path)
+	k := t.meter.counters(r.URL.Path)
 	k.messages.Add(1)
 	k.sent.Add(requestBytes(r))
 	resp, err := t.next.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	k.received.Add(answerHead)
+	k.received.Add(responseHeadSize)
 	resp.Body = &countedBody{ReadCloser: resp.Body, count: &k.received}
 	return resp, nil
 }
@@ -102,10 +102,10 @@
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		k := m.kind(r.URL.Path)
+		k := m.counters(r.URL.Path)
 		k.messages.Add(1)
 		k.received.Add(requestBytes(r))
-		k.sent.Add(answerHead)
+		k.sent.Add(responseHeadSize)
 		next.ServeHTTP(&countedWriter{ResponseWriter: w, count: &k.sent}, r)
 	})
 }
@@ -124,13 +124,13 @@
 	return out
 }
 
-func (m *Meter) kind(path string) *kind {
+func (m *Meter) counters(path string) *kindCounters {
 	name := kindOf(path)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := m.kinds[name]
 	if k == nil {
-		k = &kind{}
+		k = &kindCounters{}
 		m.kinds[name] = k
 		m.set.GetOrCreateGauge(`tamarind_sent_bytes_total{kind="`+name+`"}`, func() float64 { return float64(k.sent.Load()) })
 		m.set.GetOrCreateGauge(`tamarind_received_bytes_total{kind="`+name+`"}`, func() float64 { return float64(k.received.Load()) })
@@ -148,15 +148,15 @@
 	if i := strings.LastIndexByte(path, '/'); i > 0 && strings.Contains(path[:i], ".") {
 		return "peer-" + strings.ToLower(path[i+1:])
 	}
-	return otherKind
+	return callersKind
 }
 
 // requestBytes is about what a request takes on the wire.
 func requestBytes(r *http.Request) int64 {
-	n := int64(firstLine + len(r.URL.Path) + len(r.URL.RawQuery) + len(r.Host))
+	n := int64(requestLineOverhead + len(r.URL.Path) + len(r.URL.RawQuery) + len(r.Host))
 	for name, values := range r.Header {
 		for _, value := range values {
-			n += int64(len(name) + len(value) + headerExtra)
+			n += int64(len(name) + len(value) + headerOverhead)
 		}
 	}
 	return n + max(0, r.ContentLength)
--- a/job.go
+++ b/job.go
@@ -17,8 +17,8 @@
 	Memory Megabytes `toml:"memory_mb"`
 }
 
-// Defaults fills what was left out.
-func (j *Job) Defaults() {
+// SetDefaults fills what was left out.
+func (j *Job) SetDefaults() {
 	if j.Replicas == 0 {
 		j.Replicas = 1
 	}
@@ -30,7 +30,7 @@
 // In tells whether a hall carries the job.
 func (j *Job) In(hall HallID) bool { return len(j.Halls) == 0 || slices.Contains(j.Halls, hall) }
 
-func (j *Job) validate(at string, faults *Faults) {
+func (j *Job) validate(at string, faults *ValidationErrors) {
 	if j.ID == "" {
 		faults.Add(at+".id", "is missing")
 	}
--- a/kv.go
+++ b/kv.go
@@ -49,9 +49,9 @@
 		Removes    []Key
 	}
 
-	// KVConflict is the error of a transaction whose conditions do not hold.
+	// KVConflictError is the error of a transaction whose conditions do not hold.
 	// Items are the present items of the conditions' keys.
-	KVConflict struct {
+	KVConflictError struct {
 		Items []KVItem
 	}
 
@@ -88,10 +88,10 @@
 )
 
 // Error implements error.
-func (c *KVConflict) Error() string { return "condition of a transaction does not hold" }
+func (c *KVConflictError) Error() string { return "condition of a transaction does not hold" }
 
 // Find is the present item of a key; it has revision zero if there is none.
-func (c *KVConflict) Find(key Key) KVItem {
+func (c *KVConflictError) Find(key Key) KVItem {
 	for _, item := range c.Items {
 		if item.Key == key {
 			return item
@@ -100,8 +100,8 @@
 	return KVItem{Key: key}
 }
 
-// SurelyNotDone tells whether an error proves that a call had no effect.
-func SurelyNotDone(err error) bool {
+// NotApplied tells whether an error proves that a call had no effect.
+func NotApplied(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrRateLimited)
 }
 
