--- a/ledger/book.go
+++ b/ledger/book.go
@@ -32,16 +32,16 @@
 		log   *zap.Logger
 		owner Owner
 		head  head
-		// revision of the head record, which the next write demands.
-		revision tw.KVRevision
-		// confirmed is when the last write that was done was first sent.
-		confirmed time.Time
-		// opened is the revision of the owner's record, which changes with each owner.
-		opened tw.KVRevision
+		// headRevision of the head record, which the next write demands.
+		headRevision tw.KVRevision
+		// confirmedAt is when the last write that was done was first sent.
+		confirmedAt time.Time
+		// ownerRevision is the revision of the owner's record, which changes with each owner.
+		ownerRevision tw.KVRevision
 	}
 
-	// Existing is ErrExists with what stands under the key.
-	Existing struct{ Item tw.KVItem }
+	// ExistsError is ErrExists with what stands under the key.
+	ExistsError struct{ Item tw.KVItem }
 
 	// Change is what one submission contributes to a write.
 	Change struct {
@@ -58,35 +58,35 @@
 	// head takes a condition and a put.
 	MaxEntries = tw.MaxTxnEntries - 2
 
-	// retryFirst and retryMost bound the pause before an unclear write is
+	// minRetryDelay and retryMost bound the pause before an unclear write is
 	// sent again: the store answers in 4 ms, and its outages last seconds.
-	retryFirst = 30 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	minRetryDelay = 30 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
 // Errors of this package.
 var (
-	// ErrDeposed says that another daemon has opened the book.
-	ErrDeposed = errors.New("another daemon owns the pool")
+	// ErrOwnershipLost says that another daemon has opened the book.
+	ErrOwnershipLost = errors.New("another daemon owns the pool")
 	// ErrExists says that a key that was to be created exists.
 	ErrExists = errors.New("exists already")
 )
 
 // Error implements error.
-func (e *Existing) Error() string { return ErrExists.Error() }
+func (e *ExistsError) Error() string { return ErrExists.Error() }
 
 // Is implements the interface of errors.Is.
-func (e *Existing) Is(target error) bool { return target == ErrExists }
+func (e *ExistsError) Is(target error) bool { return target == ErrExists }
 
 // Fence is the number of this ownership.
-func (b *Book) Fence() tw.Fence { return b.head.Fence }
+func (b *Book) Fence() tw.FencingToken { return b.head.Fence }
 
-// Confirmed is a time at which nobody had opened the book after this daemon: when its
+// ConfirmedAt is a time at which nobody had opened the book after this daemon: when its
 // last successful write was sent.
-func (b *Book) Confirmed() time.Time { return b.confirmed }
+func (b *Book) ConfirmedAt() time.Time { return b.confirmedAt }
 
-// First tells whether nobody has opened the book before.
-func (b *Book) First() bool { return b.head.Fence == 1 }
+// IsFirstOwner tells whether nobody has opened the book before.
+func (b *Book) IsFirstOwner() bool { return b.head.Fence == 1 }
 
 // Size counts the entries that a change takes of a transaction.
 func (c Change) Size() int {
@@ -108,52 +108,52 @@
 		next := b.head
 		next.Count++
 		sent := b.clock.Now()
-		mark := tw.KVPut{Key: headKey(b.owner.Pool), Value: encode(next)}
-		revision, conflict, err := b.settle(ctx, b.transaction(changes, results, mark), mark)
+		mark := tw.KVPut{Key: headKey(b.owner.Pool), Value: mustEncode(next)}
+		revision, conflict, err := b.commitUntilKnown(ctx, b.transaction(changes, results, mark), mark)
 		if err != nil {
 			return nil, err
 		}
 		if conflict == nil {
-			b.head, b.revision, b.confirmed = next, revision, sent
+			b.head, b.headRevision, b.confirmedAt = next, revision, sent
 			return results, nil
 		}
-		if err := b.sortOut(conflict, changes, results); err != nil {
+		if err := b.resolveConflict(conflict, changes, results); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// WriteApart makes changes durable beside the writes of the book's own chain, and of others
+// WriteConcurrent makes changes durable beside the writes of the book's own chain, and of others
 // that are made so at the same time: it may be called by several goroutines. No change may
 // depend on another that is under way, and each must be one that can be made twice: a
 // submission that is new, or one that has ended. The outcome is as that of Write, but that
 // a new submission whose first answer was lost may get ErrExists: what stands in the store
 // may be its own, or what another daemon has kept, with a message for the owner.
-func (b *Book) WriteApart(ctx context.Context, changes []Change) ([]error, error) {
+func (b *Book) WriteConcurrent(ctx context.Context, changes []Change) ([]error, error) {
 	results := make([]error, len(changes))
 	unclear := false
-	for pause := retryFirst; ; pause = min(2*pause, retryMost) {
-		txn := apart(changes, results)
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
+		txn := buildTxn(changes, results)
 		if len(txn.Puts)+len(txn.Removes) == 0 {
 			return results, nil // all of it exists
 		}
-		txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: OwnerKey(b.owner.Pool), Revision: b.opened})
+		txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: OwnerKey(b.owner.Pool), Revision: b.ownerRevision})
 		_, err := b.kv.Commit(ctx, txn)
-		var conflict *tw.KVConflict
+		var conflict *tw.KVConflictError
 		switch {
 		case err == nil:
 			return results, nil
 		case errors.As(err, &conflict):
-			if conflict.Find(OwnerKey(b.owner.Pool)).Revision != b.opened {
-				return nil, ErrDeposed
+			if conflict.Find(OwnerKey(b.owner.Pool)).Revision != b.ownerRevision {
+				return nil, ErrOwnershipLost
 			}
-			if !noteExisting(conflict, changes, results) {
-				return nil, errors.Wrap(tw.ErrUnclear, "ledger.WriteApart: the store names no condition that fails")
+			if !markExisting(conflict, changes, results) {
+				return nil, errors.Wrap(tw.ErrAmbiguous, "ledger.WriteApart: the store names no condition that fails")
 			}
 			continue
-		case tw.SurelyNotDone(err) && !unclear:
+		case tw.NotApplied(err) && !unclear:
 			return nil, err
-		case !tw.SurelyNotDone(err):
+		case !tw.NotApplied(err):
 			unclear = true
 		}
 		b.log.Warn("ledger: write apart unanswered, sent again", zap.String("pool", string(b.owner.Pool)), logsink.Err(err))
@@ -165,24 +165,24 @@
 	}
 }
 
-// sortOut marks the changes whose key exists. It fails with ErrDeposed if it
+// resolveConflict marks the changes whose key exists. It fails with ErrDeposed if it
 // was the head that did not match.
-func (b *Book) sortOut(conflict *tw.KVConflict, changes []Change, results []error) error {
-	if conflict.Find(headKey(b.owner.Pool)).Revision != b.revision {
-		return ErrDeposed
+func (b *Book) resolveConflict(conflict *tw.KVConflictError, changes []Change, results []error) error {
+	if conflict.Find(headKey(b.owner.Pool)).Revision != b.headRevision {
+		return ErrOwnershipLost
 	}
-	if !noteExisting(conflict, changes, results) {
-		return errors.Wrap(tw.ErrUnclear, "ledger.Write: the store names no condition that fails")
+	if !markExisting(conflict, changes, results) {
+		return errors.Wrap(tw.ErrAmbiguous, "ledger.Write: the store names no condition that fails")
 	}
 	return nil
 }
 
-// noteExisting marks the changes whose key exists; false if there is none.
-func noteExisting(conflict *tw.KVConflict, changes []Change, results []error) bool {
+// markExisting marks the changes whose key exists; false if there is none.
+func markExisting(conflict *tw.KVConflictError, changes []Change, results []error) bool {
 	found := false
 	for i, change := range changes {
 		if change.Create != "" && results[i] == nil && conflict.Find(change.Create).Revision != 0 {
-			results[i] = &Existing{Item: conflict.Find(change.Create)}
+			results[i] = &ExistsError{Item: conflict.Find(change.Create)}
 			found = true
 		}
 	}
@@ -190,15 +190,15 @@
 }
 
 func (b *Book) transaction(changes []Change, results []error, mark tw.KVPut) tw.KVTxn {
-	txn := apart(changes, results)
-	txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: mark.Key, Revision: b.revision})
+	txn := buildTxn(changes, results)
+	txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: mark.Key, Revision: b.headRevision})
 	txn.Puts = append(txn.Puts, mark)
 	return txn
 }
 
-// apart is the transaction of those changes that have no result yet, without what proves
+// buildTxn is the transaction of those changes that have no result yet, without what proves
 // the ownership.
-func apart(changes []Change, results []error) tw.KVTxn {
+func buildTxn(changes []Change, results []error) tw.KVTxn {
 	var txn tw.KVTxn
 	for i, change := range changes {
 		if results[i] != nil {
@@ -213,14 +213,14 @@
 	return txn
 }
 
-// settle sends a transaction until it is known whether it was done: a lost
+// commitUntilKnown sends a transaction until it is known whether it was done: a lost
 // answer is followed by the same transaction, which finds either the put that marks it
 // or what stood there before.
-func (b *Book) settle(ctx context.Context, txn tw.KVTxn, mark tw.KVPut) (tw.KVRevision, *tw.KVConflict, error) {
+func (b *Book) commitUntilKnown(ctx context.Context, txn tw.KVTxn, mark tw.KVPut) (tw.KVRevision, *tw.KVConflictError, error) {
 	unclear := false
-	for pause := retryFirst; ; pause = min(2*pause, retryMost) {
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
 		revision, err := b.kv.Commit(ctx, txn)
-		var conflict *tw.KVConflict
+		var conflict *tw.KVConflictError
 		switch {
 		case err == nil:
 			return revision, nil, nil
@@ -229,9 +229,9 @@
 				return present.Revision, nil, nil
 			}
 			return 0, conflict, nil
-		case tw.SurelyNotDone(err) && !unclear:
+		case tw.NotApplied(err) && !unclear:
 			return 0, nil, err
-		case !tw.SurelyNotDone(err):
+		case !tw.NotApplied(err):
 			unclear = true
 		}
 		b.log.Warn("ledger: write unanswered, sent again", zap.String("pool", string(b.owner.Pool)),
@@ -244,8 +244,8 @@
 	}
 }
 
-// encode cannot fail for the types of this package.
-func encode(v any) []byte {
+// mustEncode cannot fail for the types of this package.
+func mustEncode(v any) []byte {
 	out, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -253,7 +253,7 @@
 	return out
 }
 
-// Has tells whether a list of errors holds one.
-func Has(list []error, target error) bool {
+// ContainsError tells whether a list of errors holds one.
+func ContainsError(list []error, target error) bool {
 	return slices.ContainsFunc(list, func(err error) bool { return errors.Is(err, target) })
 }
--- a/ledger/book_test.go
+++ b/ledger/book_test.go
@@ -32,7 +32,7 @@
 
 func (b *bench) config(daemon tw.DaemonID) ledger.Config {
 	return ledger.Config{
-		KV: b.kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: ledger.Owner{Pool: pool, Daemon: daemon, Life: 1},
+		KV: b.kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: ledger.Owner{Pool: pool, Daemon: daemon, Incarnation: 1},
 	}
 }
 
@@ -41,7 +41,7 @@
 }
 
 func (b *bench) accept(book *ledger.Book, id tw.SubmissionID) {
-	results, err := book.Write(b.ctx, []ledger.Change{ledger.Accept(submission(id))})
+	results, err := book.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission(id))})
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(results[0]).NotTo(HaveOccurred())
 }
@@ -88,15 +88,15 @@
 		first := b.open("a")
 		second := b.open("b")
 		b.Expect(second.Fence()).To(BeNumerically(">", first.Fence()))
-		b.Expect(first.First()).To(BeTrue())
-		b.Expect(second.First()).To(BeFalse())
+		b.Expect(first.IsFirstOwner()).To(BeTrue())
+		b.Expect(second.IsFirstOwner()).To(BeFalse())
 	},
 	"refuses the writes of a former owner": func(b *bench) {
 		former := b.open("a")
 		b.open("b")
-		_, err := former.Write(b.ctx, []ledger.Change{ledger.Accept(submission("s1"))})
-		b.Expect(err).To(MatchError(ledger.ErrDeposed))
-		_, err = ledger.Find(b.ctx, b.kv, "s1")
+		_, err := former.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
+		b.Expect(err).To(MatchError(ledger.ErrOwnershipLost))
+		_, err = ledger.FindSubmission(b.ctx, b.kv, "s1")
 		b.Expect(err).To(MatchError(tw.ErrNotFound))
 	},
 	"is opened over an owner that goes on writing": func(b *bench) {
@@ -142,7 +142,7 @@
 		c.KV = slowKV{KV: b.kv, late: 50 * time.Millisecond}
 		book, err := c.Open(b.ctx)
 		b.Expect(err).NotTo(HaveOccurred())
-		b.Expect(<-ended).To(MatchError(ledger.ErrDeposed))
+		b.Expect(<-ended).To(MatchError(ledger.ErrOwnershipLost))
 		b.Expect(book.Fence()).To(Equal(former.Fence() + 1))
 		b.accept(book, "s1")
 	},
@@ -155,7 +155,7 @@
 				errs <- err
 			}()
 		}
-		b.Expect([]error{<-errs, <-errs}).To(ConsistOf(BeNil(), MatchError(ledger.ErrDeposed)))
+		b.Expect([]error{<-errs, <-errs}).To(ConsistOf(BeNil(), MatchError(ledger.ErrOwnershipLost)))
 	},
 	"is opened although the first answer is lost": func(b *bench) {
 		b.open("a")
@@ -173,7 +173,7 @@
 	"keeps all but those that exist": func(b *bench) {
 		book := b.open("a")
 		b.accept(book, "s1")
-		results, err := book.Write(b.ctx, []ledger.Change{ledger.Accept(submission("s1")), ledger.Accept(submission("s2"))})
+		results, err := book.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1")), ledger.AcceptSubmission(submission("s2"))})
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
 		b.Expect(results[1]).NotTo(HaveOccurred())
@@ -184,7 +184,7 @@
 		var wg sync.WaitGroup
 		for _, id := range []tw.SubmissionID{"s1", "s2", "s3"} {
 			wg.Go(func() {
-				_, err := book.WriteApart(b.ctx, []ledger.Change{ledger.Accept(submission(id))})
+				_, err := book.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission(id))})
 				b.Expect(err).NotTo(HaveOccurred())
 			})
 		}
@@ -195,7 +195,7 @@
 	"keeps all but those that exist beside the chain": func(b *bench) {
 		book := b.open("a")
 		b.accept(book, "s1")
-		results, err := book.WriteApart(b.ctx, []ledger.Change{ledger.Accept(submission("s1")), ledger.Accept(submission("s2"))})
+		results, err := book.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1")), ledger.AcceptSubmission(submission("s2"))})
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
 		b.Expect(results[1]).NotTo(HaveOccurred())
@@ -203,7 +203,7 @@
 	"takes what it finds after a lost answer beside the chain for another's": func(b *bench) {
 		book := b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LoseAnswers: 2})
-		results, err := book.WriteApart(b.ctx, []ledger.Change{ledger.Accept(submission("s1")), ledger.Accept(submission("s2"))})
+		results, err := book.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1")), ledger.AcceptSubmission(submission("s2"))})
 		b.Expect(err).NotTo(HaveOccurred())
 		// Another daemon may have kept them in the same words, with a message in the inbox.
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
@@ -214,7 +214,7 @@
 		book := b.open("a")
 		b.accept(book, "s1")
 		calls := b.kv.Calls()
-		results, err := book.WriteApart(b.ctx, []ledger.Change{ledger.Accept(submission("s1"))})
+		results, err := book.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
 		b.Expect(b.kv.Calls() - calls).To(Equal(1))
@@ -227,32 +227,32 @@
 		done := make(chan error, 1)
 		go func() {
 			var err error
-			results, err = book.WriteApart(b.ctx, []ledger.Change{
-				ledger.Accept(submission("s1")), ledger.End(pool, submission("s2"), tw.Succeeded, tw.Resources{}),
+			results, err = book.WriteConcurrent(b.ctx, []ledger.Change{
+				ledger.AcceptSubmission(submission("s1")), ledger.EndSubmission(pool, submission("s2"), tw.SubmissionSucceeded, tw.Resources{}),
 			})
 			done <- err
 		}()
 		time.Sleep(5 * time.Millisecond)
-		_, err := b.kv.Commit(b.ctx, ledger.AcceptUnowned(submission("s1")))
+		_, err := b.kv.Commit(b.ctx, ledger.AcceptViaInbox(submission("s1")))
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(<-done).NotTo(HaveOccurred())
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists)) // its message is in the inbox
-		record, err := ledger.Find(b.ctx, b.kv, "s2")
+		record, err := ledger.FindSubmission(b.ctx, b.kv, "s2")
 		b.Expect(err).NotTo(HaveOccurred())
-		b.Expect(record.Final).To(Equal(tw.Succeeded))
+		b.Expect(record.Final).To(Equal(tw.SubmissionSucceeded))
 	},
 	"keeps nothing beside the chain once another has opened the book": func(b *bench) {
 		former := b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LateWrites: 1})
 		unclear := make(chan error, 1)
 		go func() {
-			_, err := former.WriteApart(b.ctx, []ledger.Change{ledger.Accept(submission("s1"))})
+			_, err := former.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
 			unclear <- err
 		}()
 		time.Sleep(5 * time.Millisecond)
 		present := b.open("b")
 		b.kv.DoLate()
-		b.Expect(<-unclear).To(MatchError(ledger.ErrDeposed))
+		b.Expect(<-unclear).To(MatchError(ledger.ErrOwnershipLost))
 		b.Expect(b.ids(present)).To(BeEmpty())
 	},
 	"knows its own write again after its answer was lost": func(b *bench) {
@@ -267,10 +267,10 @@
 		b.kv.SetFaults(standin.KVFaults{LateWrites: 1})
 		p := &ledger.Progress{}
 		p.Step(0, 0).Done.Add(0)
-		_, err := book.Write(b.ctx, []ledger.Change{ledger.Advance(pool, "s1", p)})
+		_, err := book.Write(b.ctx, []ledger.Change{ledger.SaveProgress(pool, "s1", p)})
 		b.Expect(err).NotTo(HaveOccurred())
 		p.Step(0, 0).Done.Add(1)
-		_, err = book.Write(b.ctx, []ledger.Change{ledger.Advance(pool, "s1", p)})
+		_, err = book.Write(b.ctx, []ledger.Change{ledger.SaveProgress(pool, "s1", p)})
 		b.Expect(err).NotTo(HaveOccurred())
 		b.kv.DoLate()
 		got, err := ledger.FindProgress(b.ctx, b.kv, pool, "s1")
@@ -281,8 +281,8 @@
 		book := b.open("a")
 		for _, faults := range []standin.KVFaults{{Down: true}, {Limited: true}} {
 			b.kv.SetFaults(faults)
-			_, err := book.Write(b.ctx, []ledger.Change{ledger.Accept(submission("s1"))})
-			b.Expect(tw.SurelyNotDone(err)).To(BeTrue())
+			_, err := book.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
+			b.Expect(tw.NotApplied(err)).To(BeTrue())
 		}
 		b.kv.SetFaults(standin.KVFaults{})
 		b.accept(book, "s1")
@@ -292,9 +292,9 @@
 		b.kv.SetFaults(standin.KVFaults{LateWrites: 1000})
 		ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 		defer cancel()
-		_, err := book.Write(ctx, []ledger.Change{ledger.Accept(submission("s1"))})
+		_, err := book.Write(ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
 		b.Expect(err).To(MatchError(context.DeadlineExceeded))
-		b.Expect(tw.SurelyNotDone(err)).To(BeFalse())
+		b.Expect(tw.NotApplied(err)).To(BeFalse())
 	},
 	"loads what a former owner recorded": func(b *bench) {
 		book := b.open("a")
@@ -302,47 +302,47 @@
 		b.accept(book, "s2")
 		p := &ledger.Progress{}
 		p.Step(0, 0).Failures = map[int][]tw.RunNumber{1: {7}}
-		_, err := book.Write(b.ctx, []ledger.Change{ledger.Advance(pool, "s1", p), ledger.End(pool, &tw.Submission{ID: "s2"}, tw.Succeeded, tw.Resources{})})
+		_, err := book.Write(b.ctx, []ledger.Change{ledger.SaveProgress(pool, "s1", p), ledger.EndSubmission(pool, &tw.Submission{ID: "s2"}, tw.SubmissionSucceeded, tw.Resources{})})
 		b.Expect(err).NotTo(HaveOccurred())
 		loaded, err := b.open("b").Load(b.ctx)
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(loaded).To(HaveLen(2))
 		b.Expect(loaded[0].Progress.Step(0, 0).Failures[1]).To(Equal([]tw.RunNumber{7}))
-		b.Expect(loaded[1].Record.Final).To(Equal(tw.Succeeded))
+		b.Expect(loaded[1].Record.Final).To(Equal(tw.SubmissionSucceeded))
 		b.Expect(loaded[1].Record.Submission).To(BeNil())
 	},
 	"keeps one submission whoever keeps it": func(b *bench) {
 		book := b.open("a")
-		_, err := b.kv.Commit(b.ctx, ledger.AcceptUnowned(submission("s1")))
+		_, err := b.kv.Commit(b.ctx, ledger.AcceptViaInbox(submission("s1")))
 		b.Expect(err).NotTo(HaveOccurred())
-		results, err := book.Write(b.ctx, []ledger.Change{ledger.Accept(submission("s1"))})
+		results, err := book.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
-		_, err = b.kv.Commit(b.ctx, ledger.AcceptUnowned(submission("s1")))
-		b.Expect(err).To(BeAssignableToTypeOf(&tw.KVConflict{}))
+		_, err = b.kv.Commit(b.ctx, ledger.AcceptViaInbox(submission("s1")))
+		b.Expect(err).To(BeAssignableToTypeOf(&tw.KVConflictError{}))
 	},
 	"tells operators of all pools": func(b *bench) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		b.accept(book, "s2")
-		_, err := book.Write(b.ctx, []ledger.Change{ledger.End(pool, &tw.Submission{ID: "s2"}, tw.Failed, tw.Resources{})})
+		_, err := book.Write(b.ctx, []ledger.Change{ledger.EndSubmission(pool, &tw.Submission{ID: "s2"}, tw.SubmissionFailed, tw.Resources{})})
 		b.Expect(err).NotTo(HaveOccurred())
-		_, err = b.kv.Commit(b.ctx, ledger.AcceptUnowned(submission("s3")))
+		_, err = b.kv.Commit(b.ctx, ledger.AcceptViaInbox(submission("s3")))
 		b.Expect(err).NotTo(HaveOccurred())
-		survey, err := ledger.Take(b.ctx, b.kv)
+		survey, err := ledger.TakeSurvey(b.ctx, b.kv)
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(survey.Pools).To(HaveLen(1))
 		got := survey.Pools[0]
 		b.Expect(got.Owner.Daemon).To(Equal(tw.DaemonID("a")))
-		b.Expect(got.Lives).To(BeFalse())
+		b.Expect(got.OwnerAlive).To(BeFalse())
 		b.Expect(got.Open).To(Equal(2))
-		b.Expect(got.Ended).To(Equal(map[tw.SubmissionState]int{tw.Failed: 1}))
+		b.Expect(got.Ended).To(Equal(map[tw.SubmissionState]int{tw.SubmissionFailed: 1}))
 		b.Expect(got.Inbox).To(Equal(1))
 	},
 	"keeps the progress of a wave": func(b *bench) {
 		book := b.open("a")
 		want := ledger.WaveProgress{Done: []tw.InstanceID{"m1"}, Finished: true}
-		_, err := book.Write(b.ctx, []ledger.Change{ledger.AdvanceWave(3, want)})
+		_, err := book.Write(b.ctx, []ledger.Change{ledger.SaveWaveProgress(3, want)})
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(ledger.FindWave(b.ctx, b.kv, 3)).To(Equal(want))
 		b.Expect(ledger.FindWave(b.ctx, b.kv, 4)).To(Equal(ledger.WaveProgress{}))
@@ -362,7 +362,7 @@
 
 func TestBits(t *testing.T) {
 	g := NewWithT(t)
-	var b ledger.Bits
+	var b ledger.Bitset
 	g.Expect(b.All(0)).To(BeTrue())
 	for _, n := range []int{0, 9, 3} {
 		g.Expect(b.Has(n)).To(BeFalse())
--- a/ledger/changes.go
+++ b/ledger/changes.go
@@ -6,63 +6,63 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// Accept is the change that keeps a new submission.
-func Accept(s *tw.Submission) Change {
+// AcceptSubmission is the change that keeps a new submission.
+func AcceptSubmission(s *tw.Submission) Change {
 	key := SubmissionKey(s.ID)
 	record := Record{Pool: s.Policy.Pool, Submission: s, Organisation: s.Organisation}
-	return Change{Create: key, Puts: []tw.KVPut{{Key: key, Value: encode(record)}}}
+	return Change{Create: key, Puts: []tw.KVPut{{Key: key, Value: mustEncode(record)}}}
 }
 
-// Advance is the change that keeps the progress of a submission.
-func Advance(pool tw.PoolID, id tw.SubmissionID, p *Progress) Change {
-	return Change{Puts: []tw.KVPut{{Key: ProgressKey(pool, id), Value: encode(p)}}}
+// SaveProgress is the change that keeps the progress of a submission.
+func SaveProgress(pool tw.PoolID, id tw.SubmissionID, p *Progress) Change {
+	return Change{Puts: []tw.KVPut{{Key: ProgressKey(pool, id), Value: mustEncode(p)}}}
 }
 
-// End is the change that ends a submission: its state replaces its steps, and
+// EndSubmission is the change that ends a submission: its state replaces its steps, and
 // its progress is dropped. left is what of it still runs and is being stopped.
-func End(pool tw.PoolID, s *tw.Submission, state tw.SubmissionState, left tw.Resources) Change {
+func EndSubmission(pool tw.PoolID, s *tw.Submission, state tw.SubmissionState, left tw.Resources) Change {
 	id := s.ID
-	record := Record{Pool: pool, Final: state, Organisation: s.Organisation, Left: left}
+	record := Record{Pool: pool, Final: state, Organisation: s.Organisation, Stopping: left}
 	return Change{
-		Puts:    []tw.KVPut{{Key: SubmissionKey(id), Value: encode(record)}},
+		Puts:    []tw.KVPut{{Key: SubmissionKey(id), Value: mustEncode(record)}},
 		Removes: []tw.Key{ProgressKey(pool, id)},
 	}
 }
 
-// Forget is the change that drops an ended submission for good.
-func Forget(id tw.SubmissionID) Change {
+// DeleteSubmission is the change that drops an ended submission for good.
+func DeleteSubmission(id tw.SubmissionID) Change {
 	return Change{Removes: []tw.Key{SubmissionKey(id)}}
 }
 
-// Emptied is the change that takes a message out of the inbox.
-func Emptied(pool tw.PoolID, m InboxRecord) Change {
+// RemoveMessage is the change that takes a message out of the inbox.
+func RemoveMessage(pool tw.PoolID, m InboxRecord) Change {
 	return Change{Removes: []tw.Key{InboxKey(pool, m)}}
 }
 
-// AdvanceWave is the change that keeps the progress of a maintenance wave.
-func AdvanceWave(wave int64, p WaveProgress) Change {
-	return Change{Puts: []tw.KVPut{{Key: waveKey(wave), Value: encode(p)}}}
+// SaveWaveProgress is the change that keeps the progress of a maintenance wave.
+func SaveWaveProgress(wave int64, p WaveProgress) Change {
+	return Change{Puts: []tw.KVPut{{Key: waveKey(wave), Value: mustEncode(p)}}}
 }
 
 // RecordOrders is the change that keeps which machines were changed when.
 func RecordOrders(orders map[tw.InstanceID]time.Time) Change {
-	return Change{Puts: []tw.KVPut{{Key: ordersKey, Value: encode(orders)}}}
+	return Change{Puts: []tw.KVPut{{Key: ordersKey, Value: mustEncode(orders)}}}
 }
 
-// AcceptUnowned is the transaction by which a daemon that cannot reach the
+// AcceptViaInbox is the transaction by which a daemon that cannot reach the
 // pool's owner keeps a submission itself and leaves word for the owner.
-func AcceptUnowned(s *tw.Submission) tw.KVTxn {
-	accept := Accept(s)
+func AcceptViaInbox(s *tw.Submission) tw.KVTxn {
+	accept := AcceptSubmission(s)
 	message := InboxRecord{Kind: InboxSubmitted, ID: s.ID}
 	return tw.KVTxn{
 		Conditions: []tw.KVCondition{{Key: accept.Create}},
-		Puts:       append(accept.Puts, tw.KVPut{Key: InboxKey(s.Policy.Pool, message), Value: encode(message)}),
+		Puts:       append(accept.Puts, tw.KVPut{Key: InboxKey(s.Policy.Pool, message), Value: mustEncode(message)}),
 	}
 }
 
-// AskCancel is the transaction by which a daemon that cannot reach the pool's
+// CancelViaInbox is the transaction by which a daemon that cannot reach the pool's
 // owner asks it to cancel a submission.
-func AskCancel(pool tw.PoolID, id tw.SubmissionID) tw.KVTxn {
+func CancelViaInbox(pool tw.PoolID, id tw.SubmissionID) tw.KVTxn {
 	message := InboxRecord{Kind: InboxCancel, ID: id}
-	return tw.KVTxn{Puts: []tw.KVPut{{Key: InboxKey(pool, message), Value: encode(message)}}}
+	return tw.KVTxn{Puts: []tw.KVPut{{Key: InboxKey(pool, message), Value: mustEncode(message)}}}
 }
--- a/ledger/load.go
+++ b/ledger/load.go
@@ -14,8 +14,8 @@
 )
 
 type (
-	// Loaded is a submission of a pool as it stands in the store.
-	Loaded struct {
+	// LoadedSubmission is a submission of a pool as it stands in the store.
+	LoadedSubmission struct {
 		ID       tw.SubmissionID
 		Record   Record
 		Progress Progress
@@ -31,7 +31,7 @@
 // read at the same time, as the pool stands still meanwhile and a slow store
 // takes a quarter of a second for each call; nobody else writes them. A record that can't
 // be read is set aside, with its submission, and stays as it is.
-func (b *Book) Load(ctx context.Context) ([]Loaded, error) {
+func (b *Book) Load(ctx context.Context) ([]LoadedSubmission, error) {
 	var progress map[tw.SubmissionID]Progress
 	var unreadable map[tw.SubmissionID]bool
 	var progressErr error
@@ -51,18 +51,18 @@
 	if err != nil {
 		return nil, err
 	}
-	var out []Loaded
+	var out []LoadedSubmission
 	for _, item := range items {
 		record, err := DecodeRecord(item)
 		if err != nil {
-			b.setAside(err)
+			b.logUnreadable(err)
 			continue
 		}
-		id := idOfKey(item.Key, submissionPrefix)
+		id := submissionIDFromKey(item.Key, submissionPrefix)
 		if record.Pool != b.owner.Pool || unreadable[id] {
 			continue
 		}
-		out = append(out, Loaded{
+		out = append(out, LoadedSubmission{
 			ID: id, Record: record, Progress: progress[id],
 			InInbox: inbox[InboxRecord{Kind: InboxSubmitted, ID: id}], CancelInInbox: inbox[InboxRecord{Kind: InboxCancel, ID: id}],
 		})
@@ -71,7 +71,7 @@
 }
 
 func (b *Book) loadProgress(ctx context.Context) (out map[tw.SubmissionID]Progress, unreadable map[tw.SubmissionID]bool, err error) {
-	prefix := progressOf(b.owner.Pool)
+	prefix := poolProgressPrefix(b.owner.Pool)
 	items, _, err := b.kv.Range(ctx, prefix)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "ledger.Load: progress")
@@ -81,18 +81,18 @@
 	for _, item := range items {
 		var p Progress
 		if err := json.Unmarshal(item.Value, &p); err != nil {
-			b.setAside(errors.Wrapf(err, "ledger.Load: %s", item.Key))
-			unreadable[idOfKey(item.Key, prefix)] = true
+			b.logUnreadable(errors.Wrapf(err, "ledger.Load: %s", item.Key))
+			unreadable[submissionIDFromKey(item.Key, prefix)] = true
 			continue
 		}
-		out[idOfKey(item.Key, prefix)] = p
+		out[submissionIDFromKey(item.Key, prefix)] = p
 	}
 	return out, unreadable, nil
 }
 
-// setAside tells of a record that can't be read. Without its progress a submission must
+// logUnreadable tells of a record that can't be read. Without its progress a submission must
 // not be started: what is done would be done again.
-func (b *Book) setAside(err error) {
+func (b *Book) logUnreadable(err error) {
 	b.log.Error("ledger: record set aside", zap.String("pool", string(b.owner.Pool)), logsink.Err(err))
 }
 
@@ -106,7 +106,7 @@
 	for _, item := range items {
 		message, err := DecodeInbox(item)
 		if err != nil {
-			b.setAside(err)
+			b.logUnreadable(err)
 			continue
 		}
 		out[message] = true
@@ -114,8 +114,8 @@
 	return out, nil
 }
 
-// Find reads one submission, of whatever pool. It fails with ErrNotFound.
-func Find(ctx context.Context, kv tw.KV, id tw.SubmissionID) (Record, error) {
+// FindSubmission reads one submission, of whatever pool. It fails with ErrNotFound.
+func FindSubmission(ctx context.Context, kv tw.KV, id tw.SubmissionID) (Record, error) {
 	item, err := kv.Get(ctx, SubmissionKey(id))
 	if err != nil {
 		return Record{}, err
@@ -125,22 +125,22 @@
 
 // FindProgress reads how far a submission is; none is no error.
 func FindProgress(ctx context.Context, kv tw.KV, pool tw.PoolID, id tw.SubmissionID) (Progress, error) {
-	return findAs[Progress](ctx, kv, ProgressKey(pool, id))
+	return getDecoded[Progress](ctx, kv, ProgressKey(pool, id))
 }
 
 // FindWave reads the progress of a maintenance wave; none is no error.
 func FindWave(ctx context.Context, kv tw.KV, wave int64) (WaveProgress, error) {
-	return findAs[WaveProgress](ctx, kv, waveKey(wave))
+	return getDecoded[WaveProgress](ctx, kv, waveKey(wave))
 }
 
 // FindOrders reads which machines were changed lately; none is no error.
 func FindOrders(ctx context.Context, kv tw.KV) (map[tw.InstanceID]time.Time, error) {
-	return findAs[map[tw.InstanceID]time.Time](ctx, kv, ordersKey)
+	return getDecoded[map[tw.InstanceID]time.Time](ctx, kv, ordersKey)
 }
 
-// findAs reads what stands under a key; none is no error.
-func findAs[T any](ctx context.Context, kv tw.KV, key tw.Key) (T, error) {
-	item, err := find(ctx, kv, key)
+// getDecoded reads what stands under a key; none is no error.
+func getDecoded[T any](ctx context.Context, kv tw.KV, key tw.Key) (T, error) {
+	item, err := getItem(ctx, kv, key)
 	if err != nil {
 		var none T
 		return none, err
@@ -148,8 +148,8 @@
 	return decode[T](item)
 }
 
-// find reads a key; where there is none, the item has no revision.
-func find(ctx context.Context, kv tw.KV, key tw.Key) (tw.KVItem, error) {
+// getItem reads a key; where there is none, the item has no revision.
+func getItem(ctx context.Context, kv tw.KV, key tw.Key) (tw.KVItem, error) {
 	item, err := kv.Get(ctx, key)
 	if errors.Is(err, tw.ErrNotFound) {
 		return tw.KVItem{Key: key}, nil
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -30,17 +30,17 @@
 		Pool    tw.PoolID   `json:"pool"`
 		Daemon  tw.DaemonID `json:"daemon"`
 		Address string      `json:"address"` // of its peer service
-		// Life tells two lives of one daemon apart.
-		Life  tw.Incarnation `json:"life"`
-		Fence tw.Fence       `json:"fence"`
+		// Incarnation tells two lives of one daemon apart.
+		Incarnation tw.Incarnation  `json:"life"`
+		Fence       tw.FencingToken `json:"fence"`
 	}
 
 	// head is the record that chains an owner's writes.
 	head struct {
-		Fence  tw.Fence       `json:"fence"`
-		Daemon tw.DaemonID    `json:"daemon"`
-		Life   tw.Incarnation `json:"life"`
-		Count  int64          `json:"count"`
+		Fence       tw.FencingToken `json:"fence"`
+		Daemon      tw.DaemonID     `json:"daemon"`
+		Incarnation tw.Incarnation  `json:"life"`
+		Count       int64           `json:"count"`
 	}
 
 	// Record is a submission as stored. Once it has ended only its state is
@@ -51,8 +51,8 @@
 		Final      tw.SubmissionState `json:"final,omitempty"`
 		// Organisation is the submission's, also once it has ended.
 		Organisation tw.OrganisationID `json:"organisation,omitempty"`
-		// Left is what of it still ran when it ended, and was being stopped.
-		Left tw.Resources `json:"left,omitzero"`
+		// Stopping is what of it still ran when it ended, and was being stopped.
+		Stopping tw.Resources `json:"left,omitzero"`
 	}
 
 	// InboxKind says what a daemon that could not reach a pool's owner left
@@ -71,8 +71,8 @@
 		// without a gap; further ones stand in Repetitions.
 		Finished    int                 `json:"finished,omitempty"`
 		Repetitions map[int]*Repetition `json:"repetitions,omitempty"`
-		// CancelAsked: the submission is being cancelled.
-		CancelAsked bool `json:"cancel,omitempty"`
+		// CancelRequested: the submission is being cancelled.
+		CancelRequested bool `json:"cancel,omitempty"`
 	}
 
 	// Repetition is the progress of one repetition, by step.
@@ -82,29 +82,29 @@
 
 	// StepProgress is the progress of a step's subtasks, by index.
 	StepProgress struct {
-		Done Bits `json:"done,omitempty"`
+		Done Bitset `json:"done,omitempty"`
 		// Failures are the runs that failed, so that none counts twice.
-		Failures map[int][]tw.RunNumber `json:"failures,omitempty"`
-		Saved    map[int]tw.Checkpoint  `json:"saved,omitempty"`
+		Failures    map[int][]tw.RunNumber `json:"failures,omitempty"`
+		Checkpoints map[int]tw.Checkpoint  `json:"saved,omitempty"`
 		// Crashes counts the workers in a row that have ended soon after a subtask was
 		// started there.
 		Crashes map[int]int `json:"crashes,omitempty"`
-		// Uncounted are subtasks that another owner may have started once more than Crashes
+		// UncountedStarts are subtasks that another owner may have started once more than Crashes
 		// says.
-		Uncounted map[int]bool `json:"uncounted,omitempty"`
+		UncountedStarts map[int]bool `json:"uncounted,omitempty"`
 	}
 
 	// WaveProgress is what has come of a maintenance wave.
 	WaveProgress struct {
 		Done     []tw.InstanceID `json:"done"`
 		Finished bool            `json:"finished"`
-		// Given are machines whose maintenance was ordered, or was to be, and of which
+		// Pending are machines whose maintenance was ordered, or was to be, and of which
 		// no answer is recorded.
-		Given []tw.InstanceID `json:"given,omitempty"`
+		Pending []tw.InstanceID `json:"given,omitempty"`
 	}
 
-	// Bits is a set of small numbers.
-	Bits []byte
+	// Bitset is a set of small numbers.
+	Bitset []byte
 )
 
 // Kinds of inbox messages.
@@ -133,24 +133,24 @@
 
 // ProgressKey is where the progress of a submission is kept.
 func ProgressKey(pool tw.PoolID, id tw.SubmissionID) tw.Key {
-	return progressOf(pool) + tw.Key(id)
+	return poolProgressPrefix(pool) + tw.Key(id)
 }
 
-func progressOf(pool tw.PoolID) tw.Key { return progressPrefix + tw.Key(pool) + "/" }
+func poolProgressPrefix(pool tw.PoolID) tw.Key { return progressPrefix + tw.Key(pool) + "/" }
 
 func headKey(pool tw.PoolID) tw.Key { return headPrefix + tw.Key(pool) }
 
 func waveKey(wave int64) tw.Key { return wavePrefix + tw.Key(strconv.FormatInt(wave, 10)) }
 
-func idOfKey(key, prefix tw.Key) tw.SubmissionID {
+func submissionIDFromKey(key, prefix tw.Key) tw.SubmissionID {
 	return tw.SubmissionID(strings.TrimPrefix(string(key), string(prefix)))
 }
 
 // Has tells whether n is in the set.
-func (b Bits) Has(n int) bool { return n/8 < len(b) && b[n/8]&(1<<(n%8)) != 0 }
+func (b Bitset) Has(n int) bool { return n/8 < len(b) && b[n/8]&(1<<(n%8)) != 0 }
 
 // Add puts n into the set.
-func (b *Bits) Add(n int) {
+func (b *Bitset) Add(n int) {
 	for n/8 >= len(*b) {
 		*b = append(*b, 0)
 	}
@@ -176,7 +176,7 @@
 }
 
 // All tells whether the numbers below n are all in the set.
-func (b Bits) All(n int) bool {
+func (b Bitset) All(n int) bool {
 	for i := range n {
 		if !b.Has(i) {
 			return false
--- a/ledger/shares.go
+++ b/ledger/shares.go
@@ -25,7 +25,7 @@
 	// PoolShares are the parts that a pool has of each cap. Only the owner with this
 	// fence, or a later one, changes them.
 	PoolShares struct {
-		Fence tw.Fence                         `json:"fence"`
+		Fence tw.FencingToken                  `json:"fence"`
 		Units map[tw.OrganisationID]ShareUnits `json:"units,omitempty"`
 	}
 
@@ -41,7 +41,7 @@
 		Clock tw.Clock
 		Log   *zap.Logger
 		Pool  tw.PoolID
-		Fence tw.Fence
+		Fence tw.FencingToken
 	}
 
 	// ShareBook changes one pool's parts. Its method is for one goroutine at a time.
@@ -108,14 +108,14 @@
 // later owner has the pool's parts, and with ctx; until it returns, the parts may be the
 // former ones or those that choose has returned. A record that can't be read is left alone.
 func (b *ShareBook) Set(ctx context.Context, choose func(Shares) map[tw.OrganisationID]ShareUnits) (map[tw.OrganisationID]ShareUnits, error) {
-	for pause := retryFirst; ; {
-		units, err := b.try(ctx, choose)
+	for pause := minRetryDelay; ; {
+		units, err := b.trySet(ctx, choose)
 		switch {
 		case err == nil:
 			return units, nil
-		case errors.Is(err, errMoved):
+		case errors.Is(err, errRecordChanged):
 			continue
-		case errors.Is(err, ErrDeposed), errors.Is(err, errUnreadable):
+		case errors.Is(err, ErrOwnershipLost), errors.Is(err, errUnreadable):
 			return nil, err
 		}
 		b.Log.Warn("shares: not recorded, tried again", zap.String("pool", string(b.Pool)), logsink.Err(err))
@@ -124,31 +124,31 @@
 		case <-ctx.Done():
 			return nil, errors.Wrap(ctx.Err(), "ledger.ShareBook: outcome unknown")
 		}
-		pause = min(2*pause, retryMost)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
 var (
-	// errMoved says that the record is another than was thought.
-	errMoved = errors.New("the record has changed")
+	// errRecordChanged says that the record is another than was thought.
+	errRecordChanged = errors.New("the record has changed")
 	// errUnreadable says that the record is not one of this program.
 	errUnreadable = errors.New("the record is not readable")
 )
 
-// try makes one change by the record as last seen.
-func (b *ShareBook) try(ctx context.Context, choose func(Shares) map[tw.OrganisationID]ShareUnits) (map[tw.OrganisationID]ShareUnits, error) {
+// trySet makes one change by the record as last seen.
+func (b *ShareBook) trySet(ctx context.Context, choose func(Shares) map[tw.OrganisationID]ShareUnits) (map[tw.OrganisationID]ShareUnits, error) {
 	shares, err := DecodeShares(b.last)
 	if err != nil {
 		b.Log.Error("shares: record set aside", logsink.Err(err))
 		return nil, errUnreadable
 	}
 	if shares.Pools[b.Pool].Fence > b.Fence {
-		return nil, ErrDeposed
+		return nil, ErrOwnershipLost
 	}
 	units := choose(shares)
 	shares.Pools = maps.Clone(shares.Pools)
 	shares.Pools[b.Pool] = PoolShares{Fence: b.Fence, Units: units}
-	value := encode(shares)
+	value := mustEncode(shares)
 	if bytes.Equal(value, b.last.Value) && !b.unclear {
 		return units, nil
 	}
@@ -156,15 +156,15 @@
 		Conditions: []tw.KVCondition{{Key: SharesKey, Revision: b.last.Revision}},
 		Puts:       []tw.KVPut{{Key: SharesKey, Value: value}},
 	})
-	var conflict *tw.KVConflict
+	var conflict *tw.KVConflictError
 	if errors.As(err, &conflict) {
 		b.last, b.unclear = conflict.Find(SharesKey), false
-		return nil, errMoved
+		return nil, errRecordChanged
 	}
 	if err != nil {
 		// What is unclear may be done yet. The next try makes it certain, as its condition
 		// is the same: it is done, or finds a record that has moved on.
-		b.unclear = b.unclear || !tw.SurelyNotDone(err)
+		b.unclear = b.unclear || !tw.NotApplied(err)
 		return nil, err
 	}
 	b.last, b.unclear = tw.KVItem{Key: SharesKey, Value: value, Revision: revision}, false
--- a/ledger/shares_test.go
+++ b/ledger/shares_test.go
@@ -17,7 +17,7 @@
 
 type units = map[tw.OrganisationID]ledger.ShareUnits
 
-func shareBook(kv tw.KV, name tw.PoolID, fence tw.Fence) *ledger.ShareBook {
+func shareBook(kv tw.KV, name tw.PoolID, fence tw.FencingToken) *ledger.ShareBook {
 	return ledger.ShareBookConfig{KV: kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Pool: name, Fence: fence}.New()
 }
 
@@ -61,7 +61,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(kept).To(Equal(units{"red": 500}))
 		_, err = former.Set(t.Context(), upTo("a", 0))
-		g.Expect(err).To(MatchError(ledger.ErrDeposed))
+		g.Expect(err).To(MatchError(ledger.ErrOwnershipLost))
 	})
 }
 
@@ -119,7 +119,7 @@
 	random := rand.New(rand.NewPCG(seed, 3))
 	kv := standin.KVConfig{Latency: time.Millisecond}.New()
 	names := []tw.PoolID{"a", "b", "c"}
-	owners, fences := map[tw.PoolID]*shareOwner{}, map[tw.PoolID]tw.Fence{}
+	owners, fences := map[tw.PoolID]*shareOwner{}, map[tw.PoolID]tw.FencingToken{}
 	for range 60 {
 		name := names[random.IntN(len(names))]
 		switch random.IntN(6) {
--- a/ledger/survey.go
+++ b/ledger/survey.go
@@ -22,8 +22,8 @@
 	// PoolSurvey is what the store tells of one pool.
 	PoolSurvey struct {
 		Owner Owner `json:"owner"`
-		// Lives tells whether the owner has a record that it lives.
-		Lives bool `json:"lives"`
+		// OwnerAlive tells whether the owner has a record that it lives.
+		OwnerAlive bool `json:"lives"`
 		// Open counts the submissions that have not ended, Ended the others by
 		// their state.
 		Open  int                        `json:"open"`
@@ -33,9 +33,9 @@
 	}
 )
 
-// Take reads the records of all pools. They are read one after the other, so
+// TakeSurvey reads the records of all pools. They are read one after the other, so
 // that a change meanwhile may show in part.
-func Take(ctx context.Context, kv tw.KV) (*Survey, error) {
+func TakeSurvey(ctx context.Context, kv tw.KV) (*Survey, error) {
 	pools := map[tw.PoolID]*PoolSurvey{}
 	at := func(pool tw.PoolID) *PoolSurvey {
 		if pools[pool] == nil {
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	for _, p := range pools {
-		p.Lives = slices.Contains(out.Daemons, p.Owner.Daemon)
+		p.OwnerAlive = slices.Contains(out.Daemons, p.Owner.Daemon)
 		out.Pools = append(out.Pools, *p)
 	}
 	slices.SortFunc(out.Pools, func(a, b PoolSurvey) int { return cmp.Compare(a.Owner.Pool, b.Owner.Pool) })
--- a/machine.go
+++ b/machine.go
@@ -35,14 +35,14 @@
 	// MachineHolder identifies who orders changes of machines.
 	MachineHolder struct {
 		Name  string
-		Fence Fence
+		Fence FencingToken
 	}
 
-	// MachineRefusal says why the platform refused a change of a machine.
-	MachineRefusal string
+	// MachineRefusalReason says why the platform refused a change of a machine.
+	MachineRefusalReason string
 
-	// MachineRefused is the error of a change that was surely not done.
-	MachineRefused struct{ Reason MachineRefusal }
+	// MachineRefusedError is the error of a change that was surely not done.
+	MachineRefusedError struct{ Reason MachineRefusalReason }
 
 	// Machines lists and changes machines. Calls fail with *MachineRefused,
 	// ErrUnavailable, ErrRateLimited (both surely not done) or ErrUnclear.
@@ -65,15 +65,17 @@
 
 // Reasons of refused changes.
 const (
-	// MachineFence: a newer holder has ordered a change.
-	MachineFence MachineRefusal = "fence"
-	// MachineBusy: the machine is not up, or it is leaving.
-	MachineBusy MachineRefusal = "busy"
-	// MachineNotInWave: the wave does not name the machine.
-	MachineNotInWave MachineRefusal = "wave"
-	// MachineUnknown: there is no such machine, or the pool takes others.
-	MachineUnknown MachineRefusal = "unknown"
+	// MachineRefusedFence: a newer holder has ordered a change.
+	MachineRefusedFence MachineRefusalReason = "fence"
+	// MachineRefusedBusy: the machine is not up, or it is leaving.
+	MachineRefusedBusy MachineRefusalReason = "busy"
+	// MachineRefusedNotInWave: the wave does not name the machine.
+	MachineRefusedNotInWave MachineRefusalReason = "wave"
+	// MachineRefusedUnknown: there is no such machine, or the pool takes others.
+	MachineRefusedUnknown MachineRefusalReason = "unknown"
 )
 
 // Error implements error.
-func (r *MachineRefused) Error() string { return "change of a machine refused: " + string(r.Reason) }
+func (r *MachineRefusedError) Error() string {
+	return "change of a machine refused: " + string(r.Reason)
+}
--- a/maintenance/ample.go
+++ b/maintenance/ample.go
@@ -11,68 +11,68 @@
 	// Now is how many machines work fills, Lowest and Highest the extremes since it has been
 	// watched, the highest since the lowest.
 	Now, Lowest, Highest float64
-	// Passed: demand has risen far above its lowest and has fallen again.
-	Passed bool
-	known  bool
+	// PeakPassed: demand has risen far above its lowest and has fallen again.
+	PeakPassed bool
+	known      bool
 }
 
 const (
-	// riseFactor times its lowest, and at least riseLeast machines, is a height of demand; it
+	// peakFactor times its lowest, and at least riseLeast machines, is a height of demand; it
 	// has passed at fallShare of its highest.
-	riseFactor = 4
-	riseLeast  = 100
-	fallShare  = 0.5
-	// ampleFactor times the highest that any pool filled is kept in each of them.
-	ampleFactor = 2
+	peakFactor      = 4
+	minPeakMachines = 100
+	peakPassedShare = 0.5
+	// reserveFactor times the highest that any pool filled is kept in each of them.
+	reserveFactor = 2
 )
 
-// note takes up how many machines work fills now.
-func (h *FillHistory) note(filled float64) {
+// observe takes up how many machines work fills now.
+func (h *FillHistory) observe(filled float64) {
 	h.Now = filled
 	if !h.known || filled < h.Lowest {
 		h.known, h.Lowest = true, filled
 	}
 	h.Highest = max(h.Highest, filled)
-	if h.Highest >= max(riseLeast, riseFactor*h.Lowest) && filled <= fallShare*h.Highest {
-		h.Passed = true
+	if h.Highest >= max(minPeakMachines, peakFactor*h.Lowest) && filled <= peakPassedShare*h.Highest {
+		h.PeakPassed = true
 	}
 }
 
-// ampleReserve is how many machines are kept in each pool of a fleet that has that many for
+// reservePerPool is how many machines are kept in each pool of a fleet that has that many for
 // all pools; zero if it hasn't, or if no height of demand has passed yet. It visits the pools.
-func (s *State) ampleReserve(pools []*Pool) float64 {
+func (s *State) reservePerPool(pools []*Pool) float64 {
 	highest, passed, machines := 0.0, false, 0.0
 	for _, pool := range pools {
-		highest = max(highest, pool.Filled.Highest)
-		passed = passed || pool.Filled.Passed
-		machines += s.machinesOf(pool.ID)
+		highest = max(highest, pool.FillHistory.Highest)
+		passed = passed || pool.FillHistory.PeakPassed
+		machines += s.machineCount(pool.ID)
 	}
 	parking := s.parking()
 	if !passed || parking == nil {
 		return 0
 	}
-	reserve := math.Ceil(ampleFactor * headroom * highest)
-	if machines+s.machinesOf(parking.ID) < reserve*float64(len(pools)) {
+	reserve := math.Ceil(reserveFactor * headroom * highest)
+	if machines+s.machineCount(parking.ID) < reserve*float64(len(pools)) {
 		return 0
 	}
 	return reserve
 }
 
-// trustNeeds bounds the needs that are foreseen: a few large submissions at a time look like a
+// capNeeds bounds the needs that are foreseen: a few large submissions at a time look like a
 // rise far above all that was seen.
-func trustNeeds(pools []*Pool, reserve float64) {
+func capNeeds(pools []*Pool, reserve float64) {
 	for _, pool := range pools {
-		pool.Need = min(pool.Need, max(pool.Filled.Now, math.Floor(reserve/headroom)))
+		pool.Need = min(pool.Need, max(pool.FillHistory.Now, math.Floor(reserve/headroom)))
 	}
 }
 
-// parkBeyond switches off what pools have beyond a reserve. It costs as much as machines change.
-func (s *State) parkBeyond(reserve float64, pools []*Pool, d *Decision) {
+// parkSurplus switches off what pools have beyond a reserve. It costs as much as machines change.
+func (s *State) parkSurplus(reserve float64, pools []*Pool, d *Decision) {
 	parking := s.parking()
 	for _, pool := range pools {
-		keep := max(reserve, s.floor(pool), headroom*(pool.Need+pool.Late))
-		for s.machinesOf(pool.ID) > keep {
-			machine, found := s.idle(pool, parking.ID, d)
+		keep := max(reserve, s.minMachines(pool), headroom*(pool.Need+pool.Late))
+		for s.machineCount(pool.ID) > keep {
+			machine, found := s.findMovable(pool, parking.ID, d)
 			if !found {
 				break
 			}
--- a/maintenance/collect.go
+++ b/maintenance/collect.go
@@ -10,8 +10,8 @@
 )
 
 type (
-	// goneWorker is a worker that ended with an order that was answered.
-	goneWorker struct {
+	// endedWorker is a worker that ended with an order that was answered.
+	endedWorker struct {
 		pool tw.PoolID
 		at   time.Time
 	}
@@ -19,19 +19,19 @@
 	// report is the last that the owner of a pool told.
 	report struct {
 		run.Report
-		at time.Time // when it was asked for
-		// told are the machines that the owner was asked to empty with it.
-		told map[tw.InstanceID]bool
+		requestedAt time.Time // when it was asked for
+		// vacateRequested are the machines that the owner was asked to empty with it.
+		vacateRequested map[tw.InstanceID]bool
 	}
 )
 
 const (
-	// goneTold is how long owners are told of a worker that is gone. Its entry
+	// endedNoticeTime is how long owners are told of a worker that is gone. Its entry
 	// goes after three status reports of silence, about 5 s.
-	goneTold = 8 * time.Second
-	// listedWithin is how long after the list of machines the list of workers
+	endedNoticeTime = 8 * time.Second
+	// workerListLag is how long after the list of machines the list of workers
 	// tells of a new one: measured, 0.43 s for nine in ten on the grown sites.
-	listedWithin = 600 * time.Millisecond
+	workerListLag = 600 * time.Millisecond
 	// reportTimeout bounds the call for a report.
 	reportTimeout = 400 * time.Millisecond
 )
@@ -55,7 +55,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			m.reports[pool.ID] = report{Report: got, at: asked, told: setOf(d.Vacate)}
+			m.reports[pool.ID] = report{Report: got, requestedAt: asked, vacateRequested: setOf(d.Vacate)}
 		})
 	}
 	wg.Wait()
@@ -69,7 +69,7 @@
 		d.Vacate = append(d.Vacate, id)
 		out[pool] = d
 	}
-	if list := m.Census.Latest(); list != nil {
+	if list := m.MachineCache.Latest(); list != nil {
 		for id := range m.vacating {
 			vacate(list.Machines[id].Pool, id)
 		}
@@ -79,9 +79,9 @@
 	for id, order := range m.ordered {
 		vacate(order.From, id)
 	}
-	for id, g := range m.gone {
-		if m.Clock.Now().Sub(g.at) > goneTold {
-			delete(m.gone, id)
+	for id, g := range m.ended {
+		if m.Clock.Now().Sub(g.at) > endedNoticeTime {
+			delete(m.ended, id)
 			continue
 		}
 		d := out[g.pool]
@@ -104,7 +104,7 @@
 		if id == "" || machine.State != tw.MachineUp || reported[id] {
 			continue
 		}
-		if _, gone := m.gone[id]; gone {
+		if _, gone := m.ended[id]; gone {
 			continue
 		}
 		since, known := m.missing[id]
@@ -112,7 +112,7 @@
 			since = now
 		}
 		missing[id] = since
-		if now.Sub(since) > listedWithin {
+		if now.Sub(since) > workerListLag {
 			d := out[machine.Pool]
 			d.Running = append(d.Running, id)
 			out[machine.Pool] = d
--- a/maintenance/decide.go
+++ b/maintenance/decide.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// vacateFor is how long a machine may take to become empty before another
+	// vacateTimeout is how long a machine may take to become empty before another
 	// is tried: subtasks of the platform's pages run up to about 5 s.
-	vacateFor = 9 * time.Second
-	// waveReserve of a wave's time is kept for what takes longer than planned.
-	waveReserve = 0.3
-	// spareForWave is the share of a pool's capacity that stays free after a
+	vacateTimeout = 9 * time.Second
+	// waveTimeReserve of a wave's time is kept for what takes longer than planned.
+	waveTimeReserve = 0.3
+	// minFreeShare is the share of a pool's capacity that stays free after a
 	// machine leaves it, unless the wave is short of time.
-	spareForWave = 0.1
-	// maxAwayShare: of a pool, at least one machine and up to this share may
+	minFreeShare = 0.1
+	// maxUnavailableShare: of a pool, at least one machine and up to this share may
 	// be away or emptied at the same time.
-	maxAwayShare = 0.34
+	maxUnavailableShare = 0.34
 )
 
 // Decide works out what to do now. It is pure.
 func Decide(s *State) Decision {
 	d := Decision{Vacate: map[tw.InstanceID]Order{}}
-	s.index()
+	s.buildIndex()
 	s.keepVacating(&d)
 	for _, w := range s.Waves {
 		if !w.Finished {
 			s.decideWave(w, &d)
 		}
 	}
-	s.count(d.Vacate)
+	s.countMachines(d.Vacate)
 	s.decideMoves(&d)
-	s.orderEmpty(&d)
+	s.orderVacated(&d)
 	return d
 }
 
@@ -43,7 +43,7 @@
 func (s *State) keepVacating(d *Decision) {
 	for id, order := range s.Vacating {
 		machine, found := s.Machines[id]
-		if !found || machine.State != tw.MachineUp || s.Now.Sub(order.Since) > vacateFor {
+		if !found || machine.State != tw.MachineUp || s.Now.Sub(order.Since) > vacateTimeout {
 			continue
 		}
 		if order.Wave == 0 && (s.Evacuations.Has(machine.Hall) || !s.stillWanted(order)) {
@@ -55,7 +55,7 @@
 
 // decideWave picks the machines to empty next for a wave.
 func (s *State) decideWave(w *Wave, d *Decision) {
-	down := s.downFor(w)
+	down := s.countDown(w)
 	var waiting []tw.Machine
 	inHand := down
 	for _, id := range w.Machines {
@@ -72,17 +72,17 @@
 		}
 	}
 	slices.SortFunc(waiting, s.compareForWave)
-	hurry := s.hurry(w, len(waiting))
+	hurry := s.behindSchedule(w, len(waiting))
 	for _, machine := range waiting {
 		// A machine that is being emptied takes no place among those that are
 		// down, so some are emptied ahead.
 		if inHand >= 2*w.AtOnce {
 			return
 		}
-		if !s.maySpare(machine, d, hurry) {
+		if !s.canRelease(machine, d, hurry) {
 			continue
 		}
-		d.Vacate[machine.ID] = Order{Machine: machine.ID, Wave: w.Number, Since: s.Now, Why: "maintenance wave"}
+		d.Vacate[machine.ID] = Order{Machine: machine.ID, Wave: w.Number, Since: s.Now, Reason: "maintenance wave"}
 		inHand++
 	}
 }
@@ -98,8 +98,8 @@
 	)
 }
 
-// downFor counts the machines that are down for a wave, or may be.
-func (s *State) downFor(w *Wave) int {
+// countDown counts the machines that are down for a wave, or may be.
+func (s *State) countDown(w *Wave) int {
 	n := 0
 	for _, id := range w.Machines {
 		machine, found := s.Machines[id]
@@ -111,23 +111,23 @@
 	return n
 }
 
-// hurry tells whether a wave needs more than its even pace to be in time.
-func (s *State) hurry(w *Wave, waiting int) bool {
-	left := w.Seen.Add(time.Duration((1 - waveReserve) * float64(w.Within))).Sub(s.Now)
+// behindSchedule tells whether a wave needs more than its even pace to be in time.
+func (s *State) behindSchedule(w *Wave, waiting int) bool {
+	left := w.FirstSeen.Add(time.Duration((1 - waveTimeReserve) * float64(w.Within))).Sub(s.Now)
 	rounds := math.Ceil(float64(waiting) / float64(w.AtOnce))
-	return left < time.Duration(rounds)*roundTime
+	return left < time.Duration(rounds)*waveRoundTime
 }
 
-// roundTime is about how long it takes to empty machines and have them back.
-const roundTime = 6 * time.Second
+// waveRoundTime is about how long it takes to empty machines and have them back.
+const waveRoundTime = 6 * time.Second
 
-// maySpare tells whether a pool can do without one more machine.
-func (s *State) maySpare(machine tw.Machine, d *Decision, hurry bool) bool {
-	if s.empty(machine) && (machine.Worker == "" || s.Evacuations.Has(machine.Hall)) {
+// canRelease tells whether a pool can do without one more machine.
+func (s *State) canRelease(machine tw.Machine, d *Decision, hurry bool) bool {
+	if s.isEmpty(machine) && (machine.Worker == "" || s.Evacuations.Has(machine.Hall)) {
 		return true
 	}
 	pool := s.Pools[machine.Pool]
-	if pool == nil || !pool.Known {
+	if pool == nil || !pool.ReportFresh {
 		return false
 	}
 	away := 0
@@ -142,7 +142,7 @@
 		}
 	}
 	size := len(pool.Report.Workers)
-	if away >= max(1, int(maxAwayShare*float64(size))) {
+	if away >= max(1, int(maxUnavailableShare*float64(size))) {
 		return false
 	}
 	if hurry {
@@ -150,7 +150,7 @@
 	}
 	capacity, used := pool.totals()
 	capacity -= float64(away + 1)
-	return used <= (1-spareForWave)*capacity
+	return used <= (1-minFreeShare)*capacity
 }
 
 // totals are the pool's sound machines and what of them is used or wanted,
@@ -158,16 +158,16 @@
 func (p *Pool) totals() (machines, used float64) {
 	var size tw.Resources
 	for _, load := range p.Report.Workers {
-		if load.Sound {
+		if load.Schedulable {
 			machines++
 			size = load.Capacity
 		}
 	}
-	return machines, share(p.Report.Running.Plus(p.Report.Waiting).Plus(p.Report.Late), size)
+	return machines, machinesFor(p.Report.Running.Plus(p.Report.Waiting).Plus(p.Report.Late), size)
 }
 
-// share is how many machines of a size some resources fill, by the scarcest.
-func share(r, size tw.Resources) float64 {
+// machinesFor is how many machines of a size some resources fill, by the scarcest.
+func machinesFor(r, size tw.Resources) float64 {
 	out := 0.0
 	if size.CPU > 0 {
 		out = max(out, float64(r.CPU)/float64(size.CPU))
@@ -178,11 +178,11 @@
 	return out
 }
 
-// orderEmpty turns the changes whose machines are empty into orders.
-func (s *State) orderEmpty(d *Decision) {
+// orderVacated turns the changes whose machines are empty into orders.
+func (s *State) orderVacated(d *Decision) {
 	down := map[int64]int{}
 	for _, w := range s.Waves {
-		down[w.Number] = s.downFor(w)
+		down[w.Number] = s.countDown(w)
 	}
 	ids := make([]tw.InstanceID, 0, len(d.Vacate))
 	for id := range d.Vacate {
@@ -194,7 +194,7 @@
 		_, asked := s.Vacating[id]
 		machine := s.Machines[id]
 		// An owner that was not asked yet could still put work there.
-		if !s.empty(machine) || !asked && machine.Worker != "" || s.blocked(id) {
+		if !s.isEmpty(machine) || !asked && machine.Worker != "" || s.blocked(id) {
 			continue
 		}
 		if order.Wave != 0 {
--- a/maintenance/decide_test.go
+++ b/maintenance/decide_test.go
@@ -24,21 +24,21 @@
 
 func newFleet() fleet {
 	return fleet{&maintenance.State{
-		Now: base, Began: base.Add(-time.Hour), ParkAfter: 3 * time.Second, Asked: base, Machines: map[tw.InstanceID]tw.Machine{}, Pools: map[tw.PoolID]*maintenance.Pool{},
+		Now: base, WatchedSince: base.Add(-time.Hour), ParkAfter: 3 * time.Second, ListRequestedAt: base, Machines: map[tw.InstanceID]tw.Machine{}, Pools: map[tw.PoolID]*maintenance.Pool{},
 		Ordered: map[tw.InstanceID]maintenance.Order{}, Vacating: map[tw.InstanceID]maintenance.Order{},
 	}}
 }
 
 // pool adds a pool of machines that need is spread over evenly.
 func (f fleet) pool(id tw.PoolID, machines int, need float64) *maintenance.Pool {
-	p := &maintenance.Pool{ID: id, Known: true, Need: need, Peak: need}
+	p := &maintenance.Pool{ID: id, ReportFresh: true, Need: need, Peak: need}
 	for n := range machines {
 		machine := tw.Machine{
 			ID: tw.InstanceID(fmt.Sprintf("%s-%d", id, n)), Pool: id, State: tw.MachineUp, Worker: tw.WorkerID(fmt.Sprintf("w-%s-%d", id, n)),
 		}
 		f.Machines[machine.ID] = machine
 		p.Report.Workers = append(p.Report.Workers, run.WorkerLoad{
-			Instance: machine.ID, Worker: machine.Worker, Capacity: size, Free: size, Known: true, Sound: true,
+			Instance: machine.ID, Worker: machine.Worker, Capacity: size, Free: size, Known: true, Schedulable: true,
 		})
 	}
 	f.Pools[id] = p
@@ -60,7 +60,7 @@
 func (f fleet) wave(atOnce int, machines ...tw.InstanceID) *maintenance.Wave {
 	w := &maintenance.Wave{
 		MaintenanceWave: tw.MaintenanceWave{Number: 1, Machines: machines, Within: time.Minute, AtOnce: atOnce},
-		Seen:            base, Done: map[tw.InstanceID]bool{},
+		FirstSeen:       base, Done: map[tw.InstanceID]bool{},
 	}
 	f.Waves = append(f.Waves, w)
 	return w
@@ -146,7 +146,7 @@
 		g.Expect(maintenance.Decide(f.State).Orders).To(BeEmpty())
 	},
 	"leaves it while its pool's report is old": func(g *WithT, f fleet) {
-		f.pool("p", 4, 1).Known = false
+		f.pool("p", 4, 1).ReportFresh = false
 		f.wave(1, "p-0")
 		f.told("p-0", 1)
 		g.Expect(maintenance.Decide(f.State).Orders).To(BeEmpty())
@@ -175,7 +175,7 @@
 	"empties one all the same when time is short": func(g *WithT, f fleet) {
 		p := f.pool("p", 4, 4)
 		p.Report.Running = tw.Resources{CPU: 4 * size.CPU}
-		f.wave(1, "p-0").Seen = base.Add(-50 * time.Second)
+		f.wave(1, "p-0").FirstSeen = base.Add(-50 * time.Second)
 		g.Expect(maintenance.Decide(f.State).Vacate).To(HaveLen(1))
 	},
 	"gives a pool that lacks machines the parked ones first": func(g *WithT, f fleet) {
@@ -222,7 +222,7 @@
 	"parks nothing before needs were watched for a while": func(g *WithT, f fleet) {
 		f.pool("p", 12, 1)
 		f.parking(0)
-		f.Began = base
+		f.WatchedSince = base
 		g.Expect(maintenance.Decide(f.State).Vacate).To(BeEmpty())
 	},
 	"parks nothing that was needed a moment ago": func(g *WithT, f fleet) {
@@ -277,7 +277,7 @@
 		f.pool("q", 1100, 40).Peak = 40
 		f.pool("r", 1400, 40).Peak = 40
 		f.parking(0)
-		f.Began = base
+		f.WatchedSince = base
 		g.Expect(maintenance.Decide(f.State).Vacate).To(BeEmpty())
 	},
 	"spreads spare machines over the pools": func(g *WithT, f fleet) {
@@ -307,7 +307,7 @@
 		for n := range rapid.IntRange(1, 3).Draw(t, "pools") {
 			id := tw.PoolID(fmt.Sprintf("p%d", n))
 			need := float64(rapid.IntRange(0, 12).Draw(t, "need"))
-			f.pool(id, rapid.IntRange(0, 8).Draw(t, "machines"), need).Known = rapid.Bool().Draw(t, "known")
+			f.pool(id, rapid.IntRange(0, 8).Draw(t, "machines"), need).ReportFresh = rapid.Bool().Draw(t, "known")
 		}
 		f.parking(rapid.IntRange(0, 4).Draw(t, "parked"))
 		var all []tw.InstanceID
@@ -346,7 +346,7 @@
 				t.Fatalf("%s is ordered twice, or not up", o.Machine)
 			}
 			taken[o.Machine] = true
-			if machine.Worker != "" && (!f.Pools[machine.Pool].Known || runs(f, machine) > 0) {
+			if machine.Worker != "" && (!f.Pools[machine.Pool].ReportFresh || runs(f, machine) > 0) {
 				t.Fatalf("%s may not be empty", o.Machine)
 			}
 			if o.Wave == 0 && machine.Hall == "h" {
--- a/maintenance/evacuation_test.go
+++ b/maintenance/evacuation_test.go
@@ -20,7 +20,7 @@
 		f.Machines[machine.ID] = machine
 		for i := range f.Pools[pool].Report.Workers {
 			if load := &f.Pools[pool].Report.Workers[i]; load.Instance == machine.ID {
-				load.Sound = false
+				load.Schedulable = false
 			}
 		}
 	}
--- a/maintenance/forecast.go
+++ b/maintenance/forecast.go
@@ -17,11 +17,11 @@
 		// peaks are the samples of the window above which none came later, so
 		// that the first is the highest.
 		peaks []sample
-		// filled tells how many machines work has filled.
-		filled FillHistory
-		// offers are the offered work over time, for its rate.
-		offers []offer
-		fence  tw.Fence
+		// history tells how many machines work has history.
+		history FillHistory
+		// offered are the offered work over time, for its rate.
+		offered []offeredTotal
+		fence   tw.FencingToken
 	}
 
 	// sample is how many machines work in time needs, and late work beyond it.
@@ -30,7 +30,7 @@
 		need, late float64
 	}
 
-	offer struct {
+	offeredTotal struct {
 		at    time.Time
 		work  run.Work
 		count int64
@@ -52,23 +52,23 @@
 	shortWindow = 300 * time.Millisecond
 	// slopeWindow: two such times that follow each other tell how demand rises.
 	slopeWindow = 600 * time.Millisecond
-	// moveAhead is how long before it can work a machine must be ordered: a move
+	// moveLeadTime is how long before it can work a machine must be ordered: a move
 	// takes 1.5 s, and 0.43 s pass until the list of workers has it.
-	moveAhead = 2 * time.Second
-	// slopeDoubt is how many standard errors are taken off a rise, slopeMost how many
+	moveLeadTime = 2 * time.Second
+	// slopeErrorMargin is how many standard errors are taken off a rise, slopeMost how many
 	// times the present rate a rise may lead to.
-	slopeDoubt = 1.5
-	slopeMost  = 2
-	// spreadSpare is how many workers a pool has beyond those over which its
+	slopeErrorMargin = 1.5
+	maxRateGrowth    = 2
+	// spreadMargin is how many workers a pool has beyond those over which its
 	// widest step must spread, as one may be leaving.
-	spreadSpare = 1
-	// needAge is how old a sample may be to count as the present need.
-	needAge = 3 * time.Second
-	// rateDoubt is how many standard errors are taken off a rate of new work:
+	spreadMargin = 1
+	// maxSampleAge is how old a sample may be to count as the present need.
+	maxSampleAge = 3 * time.Second
+	// rateErrorMargin is how many standard errors are taken off a rate of new work:
 	// over a short window a few large submissions look like a flood.
-	rateDoubt = 1.0
-	// fill is the share of a pool's capacity that placement makes use of.
-	fill = 0.85
+	rateErrorMargin = 1.0
+	// usableShare is the share of a pool's capacity that placement makes use of.
+	usableShare = 0.85
 )
 
 // observe takes up a report.
@@ -77,78 +77,78 @@
 		return
 	}
 	if r.Fence != f.fence {
-		f.fence, f.offers = r.Fence, nil // a new owner counts from zero
+		f.fence, f.offered = r.Fence, nil // a new owner counts from zero
 	}
-	f.offers = append(f.offers, offer{at: at, work: r.Offered, count: r.OfferedCount})
-	for len(f.offers) > 2 && at.Sub(f.offers[1].at) >= 2*slopeWindow {
-		f.offers = f.offers[1:]
+	f.offered = append(f.offered, offeredTotal{at: at, work: r.Offered, count: r.OfferedCount})
+	for len(f.offered) > 2 && at.Sub(f.offered[1].at) >= 2*slopeWindow {
+		f.offered = f.offered[1:]
 	}
-	f.add(sample{at: at, need: f.machines(r), late: share(r.Late, sizeOf(r)) / fill})
-	f.filled.note(share(r.Running.Plus(r.Waiting), sizeOf(r)) / fill)
+	f.add(sample{at: at, need: f.machinesNeeded(r), late: machinesFor(r.Late, machineSize(r)) / usableShare})
+	f.history.observe(machinesFor(r.Running.Plus(r.Waiting), machineSize(r)) / usableShare)
 }
 
 // add takes up a sample. Earlier ones that are not above it can't be the highest
 // of any window that is still to come, so they are dropped.
 func (f *forecast) add(s sample) {
 	f.latest = s
-	for len(f.peaks) > 0 && f.peaks[len(f.peaks)-1].all() <= s.all() {
+	for len(f.peaks) > 0 && f.peaks[len(f.peaks)-1].total() <= s.total() {
 		f.peaks = f.peaks[:len(f.peaks)-1]
 	}
 	f.peaks = append(f.peaks, s)
 }
 
-// all is what on-time and late work need together.
-func (s sample) all() float64 { return s.need + s.late }
+// total is what on-time and late work need together.
+func (s sample) total() float64 { return s.need + s.late }
 
-// machines is how many machines a report asks for: what runs and waits now,
+// machinesNeeded is how many machinesNeeded a report asks for: what runs and waits now,
 // or what the rate of new work will fill, whichever is more.
-func (f *forecast) machines(r *run.Report) float64 {
-	size := sizeOf(r)
-	present := share(r.Running.Plus(r.Waiting), size)
-	coming := share(r.Lasting, size) + f.rate(size)
-	need := max(present, coming) / fill
-	if r.Spread == 0 {
+func (f *forecast) machinesNeeded(r *run.Report) float64 {
+	size := machineSize(r)
+	present := machinesFor(r.Running.Plus(r.Waiting), size)
+	coming := machinesFor(r.Lasting, size) + f.newWorkMachines(size)
+	need := max(present, coming) / usableShare
+	if r.MinWorkers == 0 {
 		return need
 	}
-	return max(need, float64(r.Spread+spreadSpare)/headroom)
+	return max(need, float64(r.MinWorkers+spreadMargin)/headroom)
 }
 
-// rate is the machines that new work will fill once a machine that is ordered now
+// newWorkMachines is the machines that new work will fill once a machine that is ordered now
 // can work: the highest of two rates of late and of where a rise leads, each less
 // what may be chance.
-func (f *forecast) rate(size tw.Resources) float64 {
-	return max(f.rateOver(rateWindow, size), f.rateOver(shortWindow, size), f.risen(size))
+func (f *forecast) newWorkMachines(size tw.Resources) float64 {
+	return max(f.rateOver(rateWindow, size), f.rateOver(shortWindow, size), f.projectedRate(size))
 }
 
 // rateOver is the rate of the last time.
 func (f *forecast) rateOver(window time.Duration, size tw.Resources) float64 {
-	s := f.between(window, 0)
+	s := f.offeredBetween(window, 0)
 	if s.count <= 0 {
 		return 0
 	}
-	return max(0, 1-rateDoubt/math.Sqrt(s.count)) * s.machines(size)
+	return max(0, 1-rateErrorMargin/math.Sqrt(s.count)) * s.machines(size)
 }
 
-// risen is the rate to which demand has risen by the time that a machine ordered
+// projectedRate is the rate to which demand has projectedRate by the time that a machine ordered
 // now can work, if it goes on rising as of late; zero if it does not rise for sure.
-func (f *forecast) risen(size tw.Resources) float64 {
-	early, late := f.between(2*slopeWindow, slopeWindow), f.between(slopeWindow, 0)
+func (f *forecast) projectedRate(size tw.Resources) float64 {
+	early, late := f.offeredBetween(2*slopeWindow, slopeWindow), f.offeredBetween(slopeWindow, 0)
 	if early.seconds <= 0 || late.seconds <= 0 {
 		return 0
 	}
 	more := late.count/late.seconds - early.count/early.seconds
-	chance := slopeDoubt * math.Sqrt(late.count+early.count) / slopeWindow.Seconds()
+	chance := slopeErrorMargin * math.Sqrt(late.count+early.count) / slopeWindow.Seconds()
 	if more <= chance {
 		return 0
 	}
 	now := late.machines(size)
 	rise := (1 - chance/more) * (now - early.machines(size)) / slopeWindow.Seconds()
-	return min(slopeMost*now, now+rise*(moveAhead+slopeWindow/2).Seconds())
+	return min(maxRateGrowth*now, now+rise*(moveLeadTime+slopeWindow/2).Seconds())
 }
 
-// between is what was offered between two ages of the last report.
-func (f *forecast) between(from, to time.Duration) span {
-	first, last := f.asOf(from), f.asOf(to)
+// offeredBetween is what was offered offeredBetween two ages of the last report.
+func (f *forecast) offeredBetween(from, to time.Duration) span {
+	first, last := f.totalAt(from), f.totalAt(to)
 	return span{
 		work:    run.Work{CPU: last.work.CPU - first.work.CPU, MemoryMB: last.work.MemoryMB - first.work.MemoryMB},
 		count:   float64(last.count - first.count),
@@ -156,18 +156,18 @@
 	}
 }
 
-// asOf is the latest report of an age, or the first.
-func (f *forecast) asOf(age time.Duration) offer {
-	if len(f.offers) == 0 {
-		return offer{}
+// totalAt is the latest report of an age, or the first.
+func (f *forecast) totalAt(age time.Duration) offeredTotal {
+	if len(f.offered) == 0 {
+		return offeredTotal{}
 	}
-	at := f.offers[len(f.offers)-1].at.Add(-age)
-	for i := len(f.offers) - 1; i > 0; i-- {
-		if !f.offers[i].at.After(at) {
-			return f.offers[i]
+	at := f.offered[len(f.offered)-1].at.Add(-age)
+	for i := len(f.offered) - 1; i > 0; i-- {
+		if !f.offered[i].at.After(at) {
+			return f.offered[i]
 		}
 	}
-	return f.offers[0]
+	return f.offered[0]
 }
 
 // machines is how many machines the span's work fills.
@@ -175,7 +175,7 @@
 	if s.seconds <= 0 {
 		return 0
 	}
-	return share(tw.Resources{CPU: tw.Millicores(s.work.CPU / s.seconds), MemoryMB: int64(s.work.MemoryMB / s.seconds)}, size)
+	return machinesFor(tw.Resources{CPU: tw.Millicores(s.work.CPU / s.seconds), MemoryMB: int64(s.work.MemoryMB / s.seconds)}, size)
 }
 
 // need is what on-time work needs at present and late work beyond it, and the highest
@@ -185,16 +185,16 @@
 		f.peaks = f.peaks[1:]
 	}
 	if len(f.peaks) > 0 {
-		peak = f.peaks[0].all()
+		peak = f.peaks[0].total()
 	}
-	if now.Sub(f.latest.at) <= needAge {
+	if now.Sub(f.latest.at) <= maxSampleAge {
 		need, late = f.latest.need, f.latest.late
 	}
 	return need, late, peak
 }
 
-// sizeOf is the size of the pool's machines; the largest, if they differ.
-func sizeOf(r *run.Report) tw.Resources {
+// machineSize is the size of the pool's machines; the largest, if they differ.
+func machineSize(r *run.Report) tw.Resources {
 	var size tw.Resources
 	for _, load := range r.Workers {
 		size.CPU = max(size.CPU, load.Capacity.CPU)
--- a/maintenance/forecast_test.go
+++ b/maintenance/forecast_test.go
@@ -49,11 +49,11 @@
 	work        float64 // machine seconds of each submission
 	least, most float64
 }{
-	"a steady rate":                   {offered: []int64{4, 4, 4, 4, 4, 4, 4, 4, 4, 4}, work: 0.1, least: 4 / fill, most: 6},
+	"a steady rate":                   {offered: []int64{4, 4, 4, 4, 4, 4, 4, 4, 4, 4}, work: 0.1, least: 4 / usableShare, most: 6},
 	"a rise is seen in a few tenths":  {offered: []int64{1, 1, 1, 1, 1, 1, 1, 15, 15, 15}, work: 1, least: 100, most: 200},
 	"a ramp is followed to its end":   {offered: []int64{0, 0, 1, 1, 0, 1, 2, 2, 4, 5, 6, 7, 9, 10, 11}, work: 1, least: 130, most: 300},
-	"one large submission is no rise": {offered: []int64{0, 0, 0, 0, 0, 0, 0, 0, 0, 1}, work: 50, least: 4 / fill, most: 5},
-	"nothing comes any more":          {offered: []int64{15, 15, 15, 0, 0, 0, 0, 0, 0, 0, 0, 0}, work: 1, least: 4 / fill, most: 5},
+	"one large submission is no rise": {offered: []int64{0, 0, 0, 0, 0, 0, 0, 0, 0, 1}, work: 50, least: 4 / usableShare, most: 5},
+	"nothing comes any more":          {offered: []int64{15, 15, 15, 0, 0, 0, 0, 0, 0, 0, 0, 0}, work: 1, least: 4 / usableShare, most: 5},
 }
 
 // Chance alone asks for few machines more than a steady demand needs.
@@ -78,7 +78,7 @@
 		need, _, _ := f.need(now)
 		sum += need
 	}
-	g.Expect(sum / samples * fill).To(BeNumerically("~", 10*perTenth, 1.5*perTenth))
+	g.Expect(sum / samples * usableShare).To(BeNumerically("~", 10*perTenth, 1.5*perTenth))
 }
 
 func TestForecastRise(t *testing.T) {
--- a/maintenance/manager.go
+++ b/maintenance/manager.go
@@ -31,16 +31,16 @@
 	// Config configures a Manager.
 	Config struct {
 		Book *ledger.Book
-		// Recent are the machines that former managers changed lately.
-		Recent   map[tw.InstanceID]time.Time
-		Holder   string
-		KV       tw.KV
-		Machines tw.Machines
-		Census   *run.Census
-		Owners   Owners
-		Clock    tw.Clock
-		Log      *zap.Logger
-		Metrics  *metrics.Set
+		// RecentlyChanged are the machines that former managers changed lately.
+		RecentlyChanged map[tw.InstanceID]time.Time
+		Holder          string
+		KV              tw.KV
+		Machines        tw.Machines
+		MachineCache    *run.MachineCache
+		Owners          Owners
+		Clock           tw.Clock
+		Log             *zap.Logger
+		Metrics         *metrics.Set
 		// Waves lists the waves that the operators asked for.
 		Waves func() []tw.MaintenanceWave
 		// Queue is the configuration in force, or nil.
@@ -54,18 +54,18 @@
 		// ParkAfter is for how long no pool may have needed a machine before it
 		// is switched off.
 		ParkAfter time.Duration
-		// Deposed is told when another daemon manages the machines.
-		Deposed func()
+		// OnOwnershipLost is told when another daemon manages the machines.
+		OnOwnershipLost func()
 	}
 
 	// Manager manages machines.
 	Manager struct {
 		Config
-		fence  tw.Fence
-		began  time.Time
-		ctx    context.Context
-		cancel context.CancelFunc
-		done   chan struct{}
+		fence     tw.FencingToken
+		startedAt time.Time
+		ctx       context.Context
+		cancel    context.CancelFunc
+		done      chan struct{}
 
 		// lastWrite is when the ownership was last confirmed.
 		lastWrite atomic.Pointer[time.Time]
@@ -75,28 +75,28 @@
 		ordered  map[tw.InstanceID]Order
 		vacating map[tw.InstanceID]Order
 		reports  map[tw.PoolID]report
-		gone     map[tw.WorkerID]goneWorker
+		ended    map[tw.WorkerID]endedWorker
 		// missing are the workers that run but are in no report, since when.
-		missing     map[tw.WorkerID]time.Time
-		confirmed   time.Time
-		poolsLogged time.Time
-		forecasts   map[tw.PoolID]*forecast
-		unfit       map[tw.InstanceID]map[tw.PoolID]bool
-		// recent are the machines that were changed lately, blocked those that
+		missing       map[tw.WorkerID]time.Time
+		confirmedAt   time.Time
+		poolsLoggedAt time.Time
+		forecasts     map[tw.PoolID]*forecast
+		unfit         map[tw.InstanceID]map[tw.PoolID]bool
+		// recentlyChanged are the machines that were changed lately, blocked those that
 		// must not be changed before a time.
-		recent, blocked map[tw.InstanceID]time.Time
-		pace            orderPace
+		recentlyChanged, blocked map[tw.InstanceID]time.Time
+		limiter                  orderLimiter
 	}
 )
 
 const (
-	// managePace is the pace of decisions.
-	managePace = 100 * time.Millisecond
-	// reportAge is how old a report may be to act on it.
-	reportAge = 500 * time.Millisecond
-	// listAge is how old the list of machines may be to act on it; it is read
+	// passInterval is the pace of decisions.
+	passInterval = 100 * time.Millisecond
+	// maxReportAge is how old a report may be to act on it.
+	maxReportAge = 500 * time.Millisecond
+	// maxListAge is how old the list of machines may be to act on it; it is read
 	// several times a second.
-	listAge = time.Second
+	maxListAge = time.Second
 )
 
 // New starts the duty; Close ends it.
@@ -104,14 +104,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	now := c.Clock.Now()
 	m := &Manager{
-		Config: c, fence: c.Book.Fence(), began: now,
+		Config: c, fence: c.Book.Fence(), startedAt: now,
 		ctx: ctx, cancel: cancel, done: make(chan struct{}),
 		waves: map[int64]*Wave{}, ordered: map[tw.InstanceID]Order{}, vacating: map[tw.InstanceID]Order{},
-		reports: map[tw.PoolID]report{}, gone: map[tw.WorkerID]goneWorker{}, confirmed: now, forecasts: map[tw.PoolID]*forecast{},
-		unfit:  map[tw.InstanceID]map[tw.PoolID]bool{},
-		recent: map[tw.InstanceID]time.Time{}, blocked: map[tw.InstanceID]time.Time{}, pace: orderPace{most: paceFirst},
+		reports: map[tw.PoolID]report{}, ended: map[tw.WorkerID]endedWorker{}, confirmedAt: now, forecasts: map[tw.PoolID]*forecast{},
+		unfit:           map[tw.InstanceID]map[tw.PoolID]bool{},
+		recentlyChanged: map[tw.InstanceID]time.Time{}, blocked: map[tw.InstanceID]time.Time{}, limiter: orderLimiter{limit: initialOrderLimit},
 	}
-	m.blockRecent(c.Recent)
+	m.blockRecent(c.RecentlyChanged)
 	m.Log = c.Log.With(zap.Int64("machine_fence", int64(m.fence)))
 	m.Log.Info("maintenance: this daemon manages the machines")
 	go func() {
@@ -127,26 +127,26 @@
 	<-m.done
 }
 
-// StoreTrouble is how long the store has taken no write of the manager; zero
+// StoreOutage is how long the store has taken no write of the manager; zero
 // if it takes them.
-func (m *Manager) StoreTrouble(context.Context) (time.Duration, error) {
+func (m *Manager) StoreOutage(context.Context) (time.Duration, error) {
 	last := m.lastWrite.Load()
 	if last == nil {
 		return 0, nil
 	}
-	return max(0, m.Clock.Now().Sub(*last)-confirmManager/2), nil
+	return max(0, m.Clock.Now().Sub(*last)-ownershipValidity/2), nil
 }
 
 func (m *Manager) run() {
 	for m.ctx.Err() == nil {
-		if err := m.pass(); errors.Is(err, ledger.ErrDeposed) {
+		if err := m.pass(); errors.Is(err, ledger.ErrOwnershipLost) {
 			m.Log.Warn("maintenance: another daemon manages the machines")
-			m.Deposed()
+			m.OnOwnershipLost()
 			return
 		}
 		select {
 		case <-m.ctx.Done():
-		case <-m.Clock.After(managePace):
+		case <-m.Clock.After(passInterval):
 		}
 	}
 }
@@ -157,87 +157,87 @@
 	if config == nil {
 		return nil
 	}
-	m.takeWaves()
-	m.Census.Want(m.Clock.Now())
+	m.loadWaves()
+	m.MachineCache.RequestRefresh(m.Clock.Now())
 	m.collect(config)
-	list := m.Census.Latest()
-	if list == nil || m.Clock.Now().Sub(list.Asked) > listAge || !list.Asked.After(m.began) {
+	list := m.MachineCache.Latest()
+	if list == nil || m.Clock.Now().Sub(list.RequestedAt) > maxListAge || !list.RequestedAt.After(m.startedAt) {
 		return nil // it may tell of machines as they were long ago
 	}
-	m.settleOrders(list)
+	m.reconcileOrders(list)
 	state := m.state(config, list)
 	decision := Decide(state)
 	m.logDecision(decision)
 	m.logPools(state)
 	m.vacating = decision.Vacate
-	if err := m.confirm(); err != nil {
+	if err := m.confirmOwnership(); err != nil {
 		return err
 	}
-	orders, later := m.pace.split(decision.Orders, state.parkingID())
+	orders, later := m.limiter.split(decision.Orders, state.parkingID())
 	for _, order := range later {
 		m.vacating[order.Machine] = order
 	}
-	if err := m.carryOut(orders); err != nil {
+	if err := m.issueOrders(orders); err != nil {
 		return err
 	}
-	return m.finishWaves(list)
+	return m.reportWaves(list)
 }
 
-// takeWaves takes up the waves that the operators asked for. One whose record can't be
+// loadWaves takes up the waves that the operators asked for. One whose record can't be
 // read is taken up in a later pass: machines may be down for it.
-func (m *Manager) takeWaves() {
+func (m *Manager) loadWaves() {
 	for _, wave := range m.Waves() {
 		if have := m.waves[wave.Number]; have != nil {
 			have.MaintenanceWave = wave
 			continue
 		}
-		if err := m.takeWave(wave); err != nil {
+		if err := m.loadWave(wave); err != nil {
 			m.Log.Warn("wave: progress not readable, read again", zap.Int64("wave", wave.Number), logsink.Err(err))
 		}
 	}
 }
 
-func (m *Manager) takeWave(wave tw.MaintenanceWave) error {
+func (m *Manager) loadWave(wave tw.MaintenanceWave) error {
 	progress, err := ledger.FindWave(m.ctx, m.KV, wave.Number)
 	if err != nil {
 		return err
 	}
-	w := &Wave{MaintenanceWave: wave, Seen: m.Clock.Now(), Done: map[tw.InstanceID]bool{}, Finished: progress.Finished}
+	w := &Wave{MaintenanceWave: wave, FirstSeen: m.Clock.Now(), Done: map[tw.InstanceID]bool{}, Finished: progress.Finished}
 	for _, id := range progress.Done {
 		w.Done[id] = true
 	}
 	m.waves[wave.Number] = w
-	m.inherit(w, progress.Given)
+	m.adoptPending(w, progress.Pending)
 	return nil
 }
 
 func (m *Manager) state(config *tw.QueueConfig, list *run.MachineList) *State {
 	now := m.Clock.Now()
 	s := &State{
-		Now: now, Began: m.began, ParkAfter: m.ParkAfter, Machines: list.Machines, Asked: list.Asked, Pools: map[tw.PoolID]*Pool{},
+		Now: now, WatchedSince: m.startedAt, ParkAfter: m.ParkAfter, Machines: list.Machines, ListRequestedAt: list.RequestedAt, Pools: map[tw.PoolID]*Pool{},
 		Ordered: m.ordered, Vacating: map[tw.InstanceID]Order{}, Unfit: m.unfit, Blocked: m.blocked,
 		Evacuations: m.Evacuations(),
 	}
 	for _, pool := range config.Pools {
 		last := m.reports[pool.ID]
-		p := &Pool{ID: pool.ID, Parking: pool.Parking, Known: now.Sub(last.at) <= reportAge, Report: last.Report}
+		p := &Pool{ID: pool.ID, Parking: pool.Parking, ReportFresh: now.Sub(last.requestedAt) <= maxReportAge, Report: last.Report}
 		f := m.forecasts[pool.ID]
 		if f == nil {
 			f = &forecast{window: m.ParkAfter}
 			m.forecasts[pool.ID] = f
 		}
-		if p.Known {
-			f.observe(last.at, &last.Report)
+		if p.ReportFresh {
+			f.observe(last.requestedAt, &last.Report)
 		}
 		p.Need, p.Late, p.Peak = f.need(now)
-		p.Filled = f.filled
+		p.FillHistory = f.history
 		s.Pools[pool.ID] = p
 	}
 	for _, number := range slices.Sorted(maps.Keys(m.waves)) {
 		s.Waves = append(s.Waves, m.waves[number])
 	}
 	for id, order := range m.vacating {
-		if m.reports[list.Machines[id].Pool].told[id] || list.Machines[id].Worker == "" {
+		if m.reports[list.Machines[id].Pool].vacateRequested[id] || list.Machines[id].Worker == "" {
 			s.Vacating[id] = order
 		}
 	}
@@ -248,7 +248,7 @@
 	for id, order := range d.Vacate {
 		if _, before := m.vacating[id]; !before {
 			m.Log.Info("maintenance: machine to be emptied", zap.String("instance", string(id)),
-				zap.Int64("wave", order.Wave), zap.String("pool", string(order.Pool)), zap.String("why", order.Why))
+				zap.Int64("wave", order.Wave), zap.String("pool", string(order.Pool)), zap.String("why", order.Reason))
 		}
 	}
 	for id, order := range m.vacating {
@@ -261,16 +261,16 @@
 
 // logPools tells what the decisions rest on, once a second.
 func (m *Manager) logPools(s *State) {
-	if s.Now.Sub(m.poolsLogged) < time.Second {
+	if s.Now.Sub(m.poolsLoggedAt) < time.Second {
 		return
 	}
-	m.poolsLogged = s.Now
+	m.poolsLoggedAt = s.Now
 	for _, id := range slices.Sorted(maps.Keys(s.Pools)) {
 		p := s.Pools[id]
-		m.Log.Info("maintenance: pool", zap.String("pool", string(id)), zap.Bool("known", p.Known),
+		m.Log.Info("maintenance: pool", zap.String("pool", string(id)), zap.Bool("known", p.ReportFresh),
 			zap.Float64("need", p.Need), zap.Float64("late", p.Late), zap.Float64("peak", p.Peak), zap.Int("workers", len(p.Report.Workers)),
 			zap.Int64("running_cpu", int64(p.Report.Running.CPU)), zap.Int64("waiting_cpu", int64(p.Report.Waiting.CPU)),
 			zap.Int64("lasting_cpu", int64(p.Report.Lasting.CPU)), zap.Int64("running_mb", p.Report.Running.MemoryMB),
-			zap.Duration("list_age", s.Now.Sub(s.Asked)))
+			zap.Duration("list_age", s.Now.Sub(s.ListRequestedAt)))
 	}
 }
--- a/maintenance/manager_test.go
+++ b/maintenance/manager_test.go
@@ -43,7 +43,7 @@
 	cloud *standin.Cloud
 	// machines is the cloud, or what stands before it.
 	machines tw.Machines
-	census   *run.Census
+	census   *run.MachineCache
 	reports  *reports
 	waves    []tw.MaintenanceWave
 }
@@ -55,7 +55,7 @@
 		reports: &reports{loads: map[tw.PoolID][]run.WorkerLoad{}, told: map[tw.PoolID]run.Directions{}},
 	}
 	o.machines = o.cloud
-	o.census = run.CensusConfig{Machines: o.cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
+	o.census = run.MachineCacheConfig{Machines: o.cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
 	return o
 }
 
@@ -64,7 +64,7 @@
 	worker := tw.WorkerID("w-" + id)
 	o.cloud.Add(tw.Machine{ID: id, Pool: "p", State: tw.MachineUp, Worker: worker, Capacity: size})
 	o.reports.loads["p"] = append(o.reports.loads["p"], run.WorkerLoad{
-		Instance: id, Worker: worker, Capacity: size, Free: size, Runs: runs, Known: true, Sound: true,
+		Instance: id, Worker: worker, Capacity: size, Free: size, Runs: runs, Known: true, Schedulable: true,
 	})
 }
 
@@ -77,13 +77,13 @@
 	o.Expect(err).NotTo(HaveOccurred())
 	return maintenance.Config{
 		Evacuations: func() *tw.Evacuations { return nil },
-		Book:        book, Recent: recent, Holder: string(daemon), KV: o.kv, Machines: o.machines, Census: o.census, Owners: o.reports,
+		Book:        book, RecentlyChanged: recent, Holder: string(daemon), KV: o.kv, Machines: o.machines, MachineCache: o.census, Owners: o.reports,
 		Clock: tw.SystemClock{}, Log: zap.NewNop(), Metrics: metrics.NewSet(),
 		Waves: func() []tw.MaintenanceWave { return o.waves },
 		Queue: func() *tw.QueueConfig {
 			return &tw.QueueConfig{Pools: []tw.QueuePool{{ID: "p"}, {ID: "parking", Parking: true}}}
 		},
-		WaveStatus: platform.WaveStatus, HolderTime: 3 * time.Second, ParkAfter: 3 * time.Second, Deposed: func() {},
+		WaveStatus: platform.WaveStatus, HolderTime: 3 * time.Second, ParkAfter: 3 * time.Second, OnOwnershipLost: func() {},
 	}.New()
 }
 
@@ -164,7 +164,7 @@
 	},
 	"does not act on a list of machines from before its time": func(o *office) {
 		o.cloud.Add(tw.Machine{ID: "m1", Pool: "parking", State: tw.MachineUp})
-		o.census.Want(time.Now())
+		o.census.RequestRefresh(time.Now())
 		time.Sleep(time.Second) // the list says that m1 is parked
 		o.machine("m1", 3)
 		o.waveOf("m1")
--- a/maintenance/orders_test.go
+++ b/maintenance/orders_test.go
@@ -31,7 +31,7 @@
 	l.tries++
 	if l.tries == 1 {
 		l.late = func() error { return l.Machines.Maintain(context.Background(), by, machine, wave) }
-		return tw.ErrUnclear
+		return tw.ErrAmbiguous
 	}
 	if l.tries-2 < len(l.answers) {
 		return l.answers[l.tries-2]
@@ -64,11 +64,11 @@
 		then:    func(o *office) { o.load("m1", "w-m1", 1) },
 	},
 	"a later try refused as the machine is not up": {
-		answers: []error{&tw.MachineRefused{Reason: tw.MachineBusy}},
+		answers: []error{&tw.MachineRefusedError{Reason: tw.MachineRefusedBusy}},
 		then:    func(o *office) { o.load("m1", "w-m1", 1) },
 	},
 	"a crash that brings another worker": {
-		answers: []error{tw.ErrUnclear, tw.ErrUnclear},
+		answers: []error{tw.ErrAmbiguous, tw.ErrAmbiguous},
 		then: func(o *office) {
 			o.cloud.Add(tw.Machine{ID: "m1", Pool: "p", State: tw.MachineUp, Worker: "another", Capacity: size})
 			o.load("m1", "another", 1)
@@ -136,7 +136,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := newOffice(t)
 		defer o.census.Close()
-		late := &lateMachines{Machines: o.cloud, answers: []error{tw.ErrUnclear, tw.ErrUnclear}}
+		late := &lateMachines{Machines: o.cloud, answers: []error{tw.ErrAmbiguous, tw.ErrAmbiguous}}
 		o.machines = late
 		for _, id := range []tw.InstanceID{"m1", "m2", "m3"} {
 			o.machine(id, 0)
@@ -186,7 +186,7 @@
 	case <-time.After(s.wait):
 	case <-ctx.Done():
 	}
-	return tw.ErrUnclear
+	return tw.ErrAmbiguous
 }
 
 // A manager records its orders before it gives them, and may give one up to 1.7 s
--- a/maintenance/pace.go
+++ b/maintenance/pace.go
@@ -9,20 +9,20 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// orderPace bounds the orders of one pass by what the platform takes: refused ones cost too, and
+// orderLimiter bounds the orders of one pass by what the platform takes: refused ones cost too, and
 // are given again. It falls by half when some were refused for their rate, and rises again
 // while all that it allows are taken.
-type orderPace struct{ most int }
+type orderLimiter struct{ limit int }
 
 const (
-	paceFirst = 256
-	paceLeast = 16
-	paceMost  = 1024
+	initialOrderLimit = 256
+	minOrderLimit     = 16
+	maxOrderLimit     = 1024
 )
 
 // split tells which orders are given now, those for waves and as many others as the pace
 // allows, and which later. Machines that are switched off can wait.
-func (p *orderPace) split(orders []Order, parking tw.PoolID) (now, later []Order) {
+func (p *orderLimiter) split(orders []Order, parking tw.PoolID) (now, later []Order) {
 	orders = slices.Clone(orders)
 	slices.SortStableFunc(orders, func(a, b Order) int { return cmp.Compare(a.rank(parking), b.rank(parking)) })
 	moves := 0
@@ -30,7 +30,7 @@
 		if order.Wave == 0 {
 			moves++
 		}
-		if moves > p.most {
+		if moves > p.limit {
 			later = append(later, order)
 		} else {
 			now = append(now, order)
@@ -50,15 +50,15 @@
 	return 2
 }
 
-// note takes up how the orders of a pass ended, an error or nil for each.
-func (p *orderPace) note(errs []error) {
+// adjust takes up how the orders of a pass ended, an error or nil for each.
+func (p *orderLimiter) adjust(errs []error) {
 	for _, err := range errs {
 		if errors.Is(err, tw.ErrRateLimited) {
-			p.most = max(paceLeast, p.most/2)
+			p.limit = max(minOrderLimit, p.limit/2)
 			return
 		}
 	}
-	if len(errs) >= p.most {
-		p.most = min(paceMost, p.most+p.most/4)
+	if len(errs) >= p.limit {
+		p.limit = min(maxOrderLimit, p.limit+p.limit/4)
 	}
 }
--- a/maintenance/pace_test.go
+++ b/maintenance/pace_test.go
@@ -13,22 +13,22 @@
 func TestOrderPace(t *testing.T) {
 	g := NewWithT(t)
 	orders := []Order{{Machine: "a", Pool: "off"}, {Machine: "b", Pool: "q"}, {Machine: "c", Wave: 3}, {Machine: "d", Pool: "q"}}
-	now, later := (&orderPace{most: 1}).split(orders, "off")
+	now, later := (&orderLimiter{limit: 1}).split(orders, "off")
 	g.Expect(now).To(Equal([]Order{orders[2], orders[1]}))
 	g.Expect(later).To(Equal([]Order{orders[3], orders[0]}))
 
 	const perPass, wanted = 60, 2000
-	p := &orderPace{most: paceFirst}
+	p := &orderLimiter{limit: initialOrderLimit}
 	refused, done, passes := 0, 0, 0
 	for done < wanted {
-		given := min(p.most, wanted-done)
+		given := min(p.limit, wanted-done)
 		errs := make([]error, given)
 		for i := perPass; i < given; i++ {
 			errs[i] = tw.ErrRateLimited
 			refused++
 		}
 		done += min(given, perPass)
-		p.note(errs)
+		p.adjust(errs)
 		passes++
 	}
 	g.Expect(refused).To(BeNumerically("<", wanted/2))
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -13,30 +13,30 @@
 	// Wave is a maintenance wave with what has come of it.
 	Wave struct {
 		tw.MaintenanceWave
-		// Seen is when the wave was first known here; it is due Within later.
-		Seen time.Time
+		// FirstSeen is when the wave was first known here; it is due Within later.
+		FirstSeen time.Time
 		// Done are the machines whose maintenance was ordered.
 		Done map[tw.InstanceID]bool
 		// Finished: it was reported as completed.
 		Finished bool
-		// reported counts the machines in the record, announced is whether
+		// recordedDone counts the machines in the record, announced is whether
 		// there is one.
-		reported  int
-		announced bool
+		recordedDone int
+		hasRecord    bool
 	}
 
 	// Pool is a pool as its owner last reported it.
 	Pool struct {
 		ID      tw.PoolID
 		Parking bool
-		// Known: there is a report that is recent enough to act on.
-		Known  bool
-		Report run.Report
+		// ReportFresh: there is a report that is recent enough to act on.
+		ReportFresh bool
+		Report      run.Report
 		// Need is how many machines the pool's work fills now, Peak the most
 		// that it needed of late.
 		Need, Peak float64
-		// Filled is what is known of the machines that the pool's work has filled.
-		Filled FillHistory
+		// FillHistory is what is known of the machines that the pool's work has filled.
+		FillHistory FillHistory
 		// Late is how many machines beyond Need the work fills that can only end late.
 		Late float64
 	}
@@ -44,16 +44,16 @@
 	// State is all that decisions rest on.
 	State struct {
 		Now time.Time
-		// Began is since when the pools' needs have been watched.
-		Began time.Time
+		// WatchedSince is since when the pools' needs have been watched.
+		WatchedSince time.Time
 		// ParkAfter is for how long no pool may have needed a machine before it
 		// is switched off.
 		ParkAfter time.Duration
 		Machines  map[tw.InstanceID]tw.Machine
-		// Asked is when the list of machines was asked for.
-		Asked time.Time
-		Pools map[tw.PoolID]*Pool
-		Waves []*Wave
+		// ListRequestedAt is when the list of machines was asked for.
+		ListRequestedAt time.Time
+		Pools           map[tw.PoolID]*Pool
+		Waves           []*Wave
 		// Ordered are the changes whose effect the list does not show yet.
 		Ordered map[tw.InstanceID]Order
 		// Vacating are the machines that owners were asked to empty, with the
@@ -69,12 +69,12 @@
 
 		// What index prepares: loads by worker, machines by pool with the
 		// least work first, and how many machines each pool has or will have.
-		loads   map[tw.WorkerID]run.WorkerLoad
-		members map[tw.PoolID][]tw.Machine
-		counts  map[tw.PoolID]int
-		// passed counts the first members of each pool that can't be moved: a pass
+		loads          map[tw.WorkerID]run.WorkerLoad
+		machinesByPool map[tw.PoolID][]tw.Machine
+		machineCounts  map[tw.PoolID]int
+		// immovable counts the first members of each pool that can't be moved: a pass
 		// that moves hundreds of machines would look at them each time.
-		passed map[tw.PoolID]int
+		immovable map[tw.PoolID]int
 	}
 
 	// Order is a change of a machine: maintenance if Wave is not zero, else a
@@ -87,8 +87,8 @@
 		From   tw.PoolID
 		Worker tw.WorkerID
 		// Since is when the change was decided, or ordered.
-		Since time.Time
-		Why   string
+		Since  time.Time
+		Reason string
 		// Unclear: the order was not answered.
 		Unclear bool
 	}
@@ -103,26 +103,26 @@
 	}
 )
 
-// index prepares the state for decisions: they search it many times.
-func (s *State) index() {
+// buildIndex prepares the state for decisions: they search it many times.
+func (s *State) buildIndex() {
 	s.loads = map[tw.WorkerID]run.WorkerLoad{}
 	for _, pool := range s.Pools {
-		if !pool.Known {
+		if !pool.ReportFresh {
 			continue
 		}
 		for _, load := range pool.Report.Workers {
 			s.loads[load.Worker] = load
 		}
 	}
-	s.members = map[tw.PoolID][]tw.Machine{}
-	s.passed = map[tw.PoolID]int{}
+	s.machinesByPool = map[tw.PoolID][]tw.Machine{}
+	s.immovable = map[tw.PoolID]int{}
 	for _, machine := range s.Machines {
-		s.members[machine.Pool] = append(s.members[machine.Pool], machine)
+		s.machinesByPool[machine.Pool] = append(s.machinesByPool[machine.Pool], machine)
 	}
-	for _, members := range s.members {
+	for _, members := range s.machinesByPool {
 		slices.SortFunc(members, s.compareWork)
 	}
-	s.count(s.Vacating)
+	s.countMachines(s.Vacating)
 }
 
 // compareWork puts the machine with the least work first.
@@ -130,10 +130,10 @@
 	return cmp.Or(cmp.Compare(s.loads[a.Worker].Runs, s.loads[b.Worker].Runs), cmp.Compare(b.ID, a.ID))
 }
 
-// count works out how many machines each pool has or will have: those that
+// countMachines works out how many machines each pool has or will have: those that
 // are there and stay, and those on their way.
-func (s *State) count(vacating map[tw.InstanceID]Order) {
-	s.counts = map[tw.PoolID]int{}
+func (s *State) countMachines(vacating map[tw.InstanceID]Order) {
+	s.machineCounts = map[tw.PoolID]int{}
 	for id, machine := range s.Machines {
 		if machine.State == tw.MachineDown || s.Evacuations.Has(machine.Hall) {
 			continue
@@ -145,15 +145,15 @@
 		if order, moving := s.Ordered[id]; moving && order.Wave == 0 {
 			to = order.Pool
 		}
-		s.counts[to]++
+		s.machineCounts[to]++
 	}
 }
 
 // move adds the change of a machine's pool to a decision.
 func (s *State) move(d *Decision, machine tw.Machine, to tw.PoolID, why string) {
-	d.Vacate[machine.ID] = Order{Machine: machine.ID, Pool: to, Since: s.Now, Why: why}
-	s.counts[machine.Pool]--
-	s.counts[to]++
+	d.Vacate[machine.ID] = Order{Machine: machine.ID, Pool: to, Since: s.Now, Reason: why}
+	s.machineCounts[machine.Pool]--
+	s.machineCounts[to]++
 }
 
 // load finds what runs on a machine; false if its pool does not say.
@@ -165,8 +165,8 @@
 // blocked tells whether a machine must not be changed yet.
 func (s *State) blocked(id tw.InstanceID) bool { return s.Now.Before(s.Blocked[id]) }
 
-// empty tells whether nothing runs on a machine, for sure.
-func (s *State) empty(machine tw.Machine) bool {
+// isEmpty tells whether nothing runs on a machine, for sure.
+func (s *State) isEmpty(machine tw.Machine) bool {
 	if machine.Worker == "" {
 		// Elsewhere than in the parking pool its worker is just starting.
 		return machine.State == tw.MachineUp && s.isParking(machine.Pool)
--- a/maintenance/waves.go
+++ b/maintenance/waves.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// recentOrders is how long orders are kept in the record: the time between
+	// recentOrderTTL is how long orders are kept in the record: the time between
 	// two holders and a reserve for clocks that differ.
-	recentOrders = 15 * time.Second
-	// clockReserve is by how much a former manager's time of day may be behind:
+	recentOrderTTL = 15 * time.Second
+	// maxClockSkew is by how much a former manager's time of day may be behind:
 	// the platform's pages keep it close to the true time, and days on which it
 	// jumps do so by 2 s.
-	clockReserve = 2500 * time.Millisecond
+	maxClockSkew = 2500 * time.Millisecond
 )
 
 // recordOrders notes in the store which machines are about to be changed, so
@@ -29,43 +29,43 @@
 		return nil
 	}
 	now := m.Clock.Now()
-	for id, at := range m.recent {
-		if now.Sub(at) > recentOrders {
-			delete(m.recent, id)
+	for id, at := range m.recentlyChanged {
+		if now.Sub(at) > recentOrderTTL {
+			delete(m.recentlyChanged, id)
 		}
 	}
 	for _, order := range orders {
-		m.recent[order.Machine] = now
+		m.recentlyChanged[order.Machine] = now
 	}
-	changes := []ledger.Change{ledger.RecordOrders(m.recent)}
+	changes := []ledger.Change{ledger.RecordOrders(m.recentlyChanged)}
 	for _, w := range m.waves {
 		if slices.ContainsFunc(orders, func(o Order) bool { return o.Wave == w.Number }) {
-			changes = append(changes, ledger.AdvanceWave(w.Number, m.progress(w, orders)))
+			changes = append(changes, ledger.SaveWaveProgress(w.Number, m.waveProgress(w, orders)))
 		}
 	}
 	_, err := m.Book.Write(m.ctx, changes)
 	return err
 }
 
-// progress is what is recorded of a wave before some orders are given.
-func (m *Manager) progress(w *Wave, orders []Order) ledger.WaveProgress {
+// waveProgress is what is recorded of a wave before some orders are given.
+func (m *Manager) waveProgress(w *Wave, orders []Order) ledger.WaveProgress {
 	given := map[tw.InstanceID]bool{}
 	for _, order := range slices.AppendSeq(slices.Clone(orders), maps.Values(m.ordered)) {
 		if order.Wave == w.Number && !w.Done[order.Machine] {
 			given[order.Machine] = true
 		}
 	}
-	return ledger.WaveProgress{Done: slices.Sorted(maps.Keys(w.Done)), Given: slices.Sorted(maps.Keys(given))}
+	return ledger.WaveProgress{Done: slices.Sorted(maps.Keys(w.Done)), Pending: slices.Sorted(maps.Keys(given))}
 }
 
-// inherit takes the orders that a former manager may have given for ordered: they may
+// adoptPending takes the orders that a former manager may have given for ordered: they may
 // be carried out late, when another machine of the wave is down.
-func (m *Manager) inherit(w *Wave, given []tw.InstanceID) {
+func (m *Manager) adoptPending(w *Wave, given []tw.InstanceID) {
 	for _, id := range given {
 		if !w.Done[id] {
 			m.ordered[id] = Order{
-				Machine: id, Wave: w.Number, Since: m.Clock.Now().Add(orderTime), Unclear: true,
-				Why: "a former manager may have ordered it",
+				Machine: id, Wave: w.Number, Since: m.Clock.Now().Add(maxOrderDelay), Unclear: true,
+				Reason: "a former manager may have ordered it",
 			}
 		}
 	}
@@ -78,8 +78,8 @@
 	for id, at := range recent {
 		// The former manager's time of day may be ahead, but what it recorded
 		// happened before this one began. The order itself may come later than that.
-		latest := now.Add(m.HolderTime + orderTime)
-		until := at.Add(m.HolderTime + orderTime + clockReserve)
+		latest := now.Add(m.HolderTime + maxOrderDelay)
+		until := at.Add(m.HolderTime + maxOrderDelay + maxClockSkew)
 		if latest.Before(until) {
 			until = latest
 		}
@@ -89,33 +89,33 @@
 	}
 }
 
-// finishWaves reports the progress of waves.
-func (m *Manager) finishWaves(list *run.MachineList) error {
+// reportWaves reports the progress of waves.
+func (m *Manager) reportWaves(list *run.MachineList) error {
 	for _, w := range m.waves {
 		if w.Finished {
 			continue
 		}
-		finished := m.allBack(w, list)
-		if len(w.Done) == w.reported && !finished && w.announced {
+		finished := m.waveComplete(w, list)
+		if len(w.Done) == w.recordedDone && !finished && w.hasRecord {
 			continue
 		}
-		progress := m.progress(w, nil)
+		progress := m.waveProgress(w, nil)
 		progress.Finished = finished
-		change := ledger.AdvanceWave(w.Number, progress)
+		change := ledger.SaveWaveProgress(w.Number, progress)
 		change.Puts = append(change.Puts, m.WaveStatus(w.Number, finished))
 		if _, err := m.Book.Write(m.ctx, []ledger.Change{change}); err != nil {
 			return err
 		}
-		w.reported, w.announced, w.Finished = len(w.Done), true, finished
+		w.recordedDone, w.hasRecord, w.Finished = len(w.Done), true, finished
 		m.Log.Info("wave: progress recorded", zap.Int64("wave", w.Number), zap.Int("done", len(w.Done)),
 			zap.Int("of", len(w.Machines)), zap.Bool("finished", finished))
 	}
 	return nil
 }
 
-// allBack tells whether every machine of a wave that is still there has been
+// waveComplete tells whether every machine of a wave that is still there has been
 // down for it and is up again.
-func (m *Manager) allBack(w *Wave, list *run.MachineList) bool {
+func (m *Manager) waveComplete(w *Wave, list *run.MachineList) bool {
 	for _, id := range w.Machines {
 		machine, found := list.Machines[id]
 		if !found {
--- a/maintenance/waves_test.go
+++ b/maintenance/waves_test.go
@@ -35,7 +35,7 @@
 				Done:            map[tw.InstanceID]bool{"m": true},
 			}
 			list := &run.MachineList{Machines: map[tw.InstanceID]tw.Machine{"m": {ID: "m", State: c.state}}}
-			NewWithT(t).Expect(m.allBack(w, list)).To(Equal(c.over))
+			NewWithT(t).Expect(m.waveComplete(w, list)).To(Equal(c.over))
 		})
 	}
 }
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -13,28 +13,28 @@
 // bounded number of others, so that news takes a number of rounds that grows with the
 // logarithm of the number of daemons. A ping carries at most a line for each pool.
 
-// Doubt says that the owner at an address has left a ping without an answer.
-type Doubt struct {
+// Suspicion says that the owner at an address has left a ping without an answer.
+type Suspicion struct {
 	Address string `json:"address"`
 	// Age is the time since the last such ping, wherever it came from.
 	Age time.Duration `json:"age"`
 }
 
-// doubtKept is how old a doubt may be to count: longer than it takes for news to reach all,
+// suspicionTTL is how old a doubt may be to count: longer than it takes for news to reach all,
 // and than the time between two pings without an answer.
-const doubtKept = 1500 * time.Millisecond
+const suspicionTTL = 1500 * time.Millisecond
 
-// AnswerPing takes up what a ping tells, and returns what this daemon knows: the owners that it
+// HandlePing takes up what a ping tells, and returns what this daemon knows: the owners that it
 // doubts, and all ownerships if the asker knows others.
-func (m *Members) AnswerPing(ping *PingRequest) ([]Doubt, []ledger.Owner) {
+func (m *Members) HandlePing(ping *PingRequest) ([]Suspicion, []ledger.Owner) {
 	now := m.config.Clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.hearDoubts(ping.Doubts, now)
-	if ping.Owners == m.ownersDigest() {
-		return m.doubted(now), nil
+	m.mergeSuspicions(ping.Suspicions, now)
+	if ping.OwnersDigest == m.ownersDigest() {
+		return m.suspectedOwners(now), nil
 	}
-	return m.doubted(now), m.knownOwners()
+	return m.suspectedOwners(now), m.knownOwners()
 }
 
 func (m *Members) knownOwners() []ledger.Owner {
@@ -54,50 +54,50 @@
 	return digest
 }
 
-// doubted are the owners that don't answer, as far as this daemon knows.
-func (m *Members) doubted(now time.Time) []Doubt {
-	var out []Doubt
+// suspectedOwners are the owners that don't answer, as far as this daemon knows.
+func (m *Members) suspectedOwners(now time.Time) []Suspicion {
+	var out []Suspicion
 	for _, o := range m.owners {
-		at := m.doubtedAt(o.Address)
-		if now.Sub(at) >= doubtKept || slices.ContainsFunc(out, func(d Doubt) bool { return d.Address == o.Address }) {
+		at := m.suspectedAt(o.Address)
+		if now.Sub(at) >= suspicionTTL || slices.ContainsFunc(out, func(d Suspicion) bool { return d.Address == o.Address }) {
 			continue
 		}
-		out = append(out, Doubt{Address: o.Address, Age: now.Sub(at)})
+		out = append(out, Suspicion{Address: o.Address, Age: now.Sub(at)})
 	}
 	return out
 }
 
-// doubtedAt is when the daemon at an address last left a ping without an answer, its own word
+// suspectedAt is when the daemon at an address last left a ping without an answer, its own word
 // before that of others; zero if nothing speaks against it.
-func (m *Members) doubtedAt(address string) time.Time {
-	c := m.contacts[address]
+func (m *Members) suspectedAt(address string) time.Time {
+	c := m.pingStates[address]
 	if c == nil {
-		return m.doubts[address]
+		return m.suspicions[address]
 	}
-	if c.silentFrom.IsZero() {
+	if c.failingSince.IsZero() {
 		return time.Time{}
 	}
-	return c.failed
+	return c.lastFailure
 }
 
-func (m *Members) hearDoubts(doubts []Doubt, now time.Time) {
-	if m.doubts == nil {
-		m.doubts = map[string]time.Time{}
+func (m *Members) mergeSuspicions(doubts []Suspicion, now time.Time) {
+	if m.suspicions == nil {
+		m.suspicions = map[string]time.Time{}
 	}
-	for address, at := range m.doubts {
-		if now.Sub(at) >= doubtKept {
-			delete(m.doubts, address)
+	for address, at := range m.suspicions {
+		if now.Sub(at) >= suspicionTTL {
+			delete(m.suspicions, address)
 		}
 	}
 	for _, d := range doubts {
 		at := now.Add(-d.Age)
-		if d.Age < doubtKept && at.After(m.doubts[d.Address]) && m.ownsSomething(d.Address) {
-			m.doubts[d.Address] = at
+		if d.Age < suspicionTTL && at.After(m.suspicions[d.Address]) && m.ownsAnyPool(d.Address) {
+			m.suspicions[d.Address] = at
 		}
 	}
 }
 
-func (m *Members) ownsSomething(address string) bool {
+func (m *Members) ownsAnyPool(address string) bool {
 	for _, o := range m.owners {
 		if o.Address == address {
 			return true
@@ -106,28 +106,28 @@
 	return false
 }
 
-// silent tells whether the daemon at an address has left the last ping without an answer, by
+// unresponsive tells whether the daemon at an address has left the last ping without an answer, by
 // the word of this daemon or of others.
-func (m *Members) silent(address string, now time.Time) bool {
-	return now.Sub(m.doubtedAt(address)) < doubtKept
+func (m *Members) unresponsive(address string, now time.Time) bool {
+	return now.Sub(m.suspectedAt(address)) < suspicionTTL
 }
 
-// watchesOwner tells whether this daemon is one of those that ping the owner of a pool: as many
+// pingsOwner tells whether this daemon is one of those that ping the owner of a pool: as many
 // as ownerWatchers, those that would take it over first.
-func (m *Members) watchesOwner(pool tw.PoolID) bool {
-	if watches, known := m.watched[pool]; known {
+func (m *Members) pingsOwner(pool tw.PoolID) bool {
+	if watches, known := m.pingedPools[pool]; known {
 		return watches
 	}
 	self := m.config.Self
 	before := 0
 	for id, l := range m.live {
-		if id != self.Daemon && compareCapable(pool, l, self) < 0 {
+		if id != self.Daemon && compareByCapacity(pool, l, self) < 0 {
 			before++
 		}
 	}
-	if m.watched == nil {
-		m.watched = map[tw.PoolID]bool{}
+	if m.pingedPools == nil {
+		m.pingedPools = map[tw.PoolID]bool{}
 	}
-	m.watched[pool] = before < ownerWatchers
-	return m.watched[pool]
+	m.pingedPools[pool] = before < pingersPerOwner
+	return m.pingedPools[pool]
 }
--- a/member/growth_test.go
+++ b/member/growth_test.go
@@ -32,9 +32,9 @@
 
 func newCrowd(daemons int) *crowd {
 	c := &crowd{clock: fakeclock.New(), members: map[string]*Members{}, owners: map[string]bool{}}
-	live := map[tw.DaemonID]Live{}
+	live := map[tw.DaemonID]DaemonRecord{}
 	for n := range daemons {
-		l := Live{Daemon: tw.DaemonID(fmt.Sprintf("d%04d", n)), Life: 1, Hall: tw.HallID(fmt.Sprint(n % growthHalls)), Cores: 0.2}
+		l := DaemonRecord{Daemon: tw.DaemonID(fmt.Sprintf("d%04d", n)), Incarnation: 1, Hall: tw.HallID(fmt.Sprint(n % growthHalls)), Cores: 0.2}
 		if n%10 == 0 {
 			l.Cores = 0.8
 		}
@@ -45,13 +45,13 @@
 	for p := range growthPools {
 		id := tw.PoolID(fmt.Sprintf("p%d", p))
 		daemon := tw.DaemonID(fmt.Sprintf("d%04d", 10*(p%3)))
-		owned[id] = ledger.Owner{Pool: id, Daemon: daemon, Address: string(daemon), Life: 1, Fence: 7}
+		owned[id] = ledger.Owner{Pool: id, Daemon: daemon, Address: string(daemon), Incarnation: 1, Fence: 7}
 		c.owners[string(daemon)] = true
 	}
 	for id, l := range live {
 		m := &Members{
-			config: Config{Clock: c.clock, Log: zap.NewNop(), Self: l}, contacts: map[string]*contact{}, live: live, lastLive: live,
-			owners: map[tw.PoolID]ledger.Owner{}, lostAt: map[tw.PoolID]time.Time{},
+			config: Config{Clock: c.clock, Log: zap.NewNop(), Self: l}, pingStates: map[string]*pingState{}, live: live, lastKnown: live,
+			owners: map[tw.PoolID]ledger.Owner{}, orphanedAt: map[tw.PoolID]time.Time{},
 		}
 		for pool, o := range owned {
 			m.owners[pool] = o
@@ -69,7 +69,7 @@
 		if from == dead {
 			continue
 		}
-		for to := range m.toPing(false) {
+		for to := range m.pingTargets(false) {
 			out[from]++
 			in[to]++
 			c.ping(m, to, to == dead)
@@ -81,11 +81,11 @@
 func (c *crowd) ping(m *Members, to string, dead bool) {
 	now := c.clock.Now()
 	if dead {
-		m.contacts[to] = &contact{silentFrom: now, failed: now}
+		m.pingStates[to] = &pingState{failingSince: now, lastFailure: now}
 		return
 	}
-	doubts, owners := c.members[to].AnswerPing(&PingRequest{Doubts: m.doubted(now), Owners: m.ownersDigest()})
-	m.hearDoubts(doubts, now)
+	doubts, owners := c.members[to].HandlePing(&PingRequest{Suspicions: m.suspectedOwners(now), OwnersDigest: m.ownersDigest()})
+	m.mergeSuspicions(doubts, now)
 	for _, o := range owners {
 		m.setOwner(o)
 	}
@@ -104,7 +104,7 @@
 // not grow with their number, and what an owner gets no more than chance makes it.
 func TestPingsDoNotGrowWithDaemons(t *testing.T) {
 	g := NewWithT(t)
-	const sentMost, gotMost = growthPools + witnesses*growthHalls, growthPools*ownerWatchers + 12*witnesses*growthHalls
+	const sentMost, gotMost = growthPools + probesPerHall*growthHalls, growthPools*pingersPerOwner + 12*probesPerHall*growthHalls
 	for _, size := range growthSizes {
 		c := newCrowd(size)
 		out, in := c.round("")
@@ -112,7 +112,7 @@
 		g.Expect(most(in)).To(BeNumerically("<=", gotMost), "received, %d daemons", size)
 		for n := range 10 {
 			m := c.members[fmt.Sprintf("d%04d", n)]
-			g.Expect(len(m.toPing(true))).To(BeNumerically("<=", sentMost+searchMost))
+			g.Expect(len(m.pingTargets(true))).To(BeNumerically("<=", sentMost+maxSearchPings))
 		}
 	}
 }
@@ -124,8 +124,8 @@
 	c := newCrowd(400)
 	m := c.members["d0000"]
 	asked := map[string]bool{}
-	for range 400 / searchMost {
-		for address := range m.toPing(true) {
+	for range 400 / maxSearchPings {
+		for address := range m.pingTargets(true) {
 			asked[address] = true
 		}
 	}
@@ -146,16 +146,16 @@
 			c.round(dead)
 			unaware = 0
 			for at, m := range c.members {
-				if at != dead && !m.Silent(dead) {
+				if at != dead && !m.Unresponsive(dead) {
 					unaware++
 				}
 			}
 		}
-		newer := ledger.Owner{Pool: "p0", Daemon: "d0050", Address: "d0050", Life: 1, Fence: 8}
+		newer := ledger.Owner{Pool: "p0", Daemon: "d0050", Address: "d0050", Incarnation: 1, Fence: 8}
 		if size < 51 {
 			newer.Daemon, newer.Address = "d0040", "d0040"
 		}
-		c.members[newer.Address].Took(newer)
+		c.members[newer.Address].RecordOwner(newer)
 		rounds = 0
 		for unaware := size; unaware > 0; rounds++ {
 			g.Expect(rounds).To(BeNumerically("<=", most), "ownership, %d daemons", size)
@@ -179,14 +179,14 @@
 		c.round(dead)
 	}
 	for _, m := range c.members {
-		m.contacts = map[string]*contact{}
+		m.pingStates = map[string]*pingState{}
 	}
 	for range 10 {
 		c.clock.Advance(250 * time.Millisecond)
 		c.round("")
 	}
 	for _, m := range c.members {
-		g.Expect(m.Silent(dead)).To(BeFalse())
+		g.Expect(m.Unresponsive(dead)).To(BeFalse())
 	}
 }
 
@@ -194,22 +194,22 @@
 func TestRecordsAreDecodedOnce(t *testing.T) {
 	g := NewWithT(t)
 	m := newCrowd(50).members["d0000"]
-	m.live, m.lastLive = map[tw.DaemonID]Live{}, map[tw.DaemonID]Live{}
+	m.live, m.lastKnown = map[tw.DaemonID]DaemonRecord{}, map[tw.DaemonID]DaemonRecord{}
 	items := map[tw.Key]tw.KVItem{}
 	for n := range 50 {
 		key := ledger.LiveKey(tw.DaemonID(fmt.Sprintf("d%04d", n)))
 		items[key] = tw.KVItem{Key: key, Revision: tw.KVRevision(n + 1), Value: []byte(fmt.Sprintf(`{"daemon":"d%04d"}`, n))}
 	}
-	m.changed(items, 50)
+	m.applyRecords(items, 50)
 	g.Expect(m.live).To(HaveLen(50))
 	for key, item := range items {
 		item.Value = []byte("unreadable")
 		items[key] = item
 	}
-	m.changed(items, 51)
+	m.applyRecords(items, 51)
 	g.Expect(m.live).To(HaveLen(50))
 	delete(items, ledger.LiveKey("d0007"))
-	m.changed(items, 52)
+	m.applyRecords(items, 52)
 	g.Expect(m.live).To(HaveLen(49))
 }
 
@@ -221,8 +221,8 @@
 		c := newCrowd(size)
 		used := map[string]bool{}
 		for owner := range c.owners {
-			near := c.members[owner].Near("0")
-			g.Expect(len(near)).To(BeNumerically("<=", mostNear))
+			near := c.members[owner].RelayCandidates("0")
+			g.Expect(len(near)).To(BeNumerically("<=", maxRelayCandidates))
 			for _, address := range near {
 				g.Expect(address).NotTo(Equal(owner))
 				g.Expect(c.owners).NotTo(HaveKey(address))
@@ -230,7 +230,7 @@
 			}
 		}
 		if size > growthSizes[0] {
-			g.Expect(len(used)).To(BeNumerically(">", mostNear))
+			g.Expect(len(used)).To(BeNumerically(">", maxRelayCandidates))
 		}
 	}
 }
--- a/member/live.go
+++ b/member/live.go
@@ -15,12 +15,12 @@
 )
 
 type (
-	// Live is a daemon's record that it lives, kept under a lease.
-	Live struct {
-		Daemon  tw.DaemonID    `json:"daemon"`
-		Life    tw.Incarnation `json:"life"`
-		Address string         `json:"address"` // of its peer service
-		Hall    tw.HallID      `json:"hall"`
+	// DaemonRecord is a daemon's record that it lives, kept under a lease.
+	DaemonRecord struct {
+		Daemon      tw.DaemonID    `json:"daemon"`
+		Incarnation tw.Incarnation `json:"life"`
+		Address     string         `json:"address"` // of its peer service
+		Hall        tw.HallID      `json:"hall"`
 		// Cores is the share of processor cores that the daemon has.
 		Cores tw.Cores `json:"cores"`
 	}
@@ -30,22 +30,22 @@
 		KV    tw.KV
 		Clock tw.Clock
 		Log   *zap.Logger
-		Self  Live
+		Self  DaemonRecord
 		// MinTTL is the shortest lease that the store grants.
 		MinTTL time.Duration
 	}
 
 	// Presence keeps this daemon's record in the store.
 	Presence struct {
-		config PresenceConfig
-		cancel context.CancelFunc
-		done   chan struct{}
-		again  chan struct{}
+		config     PresenceConfig
+		cancel     context.CancelFunc
+		done       chan struct{}
+		reannounce chan struct{}
 
 		mu    sync.Mutex
 		lease tw.KVLeaseID
-		// answered is when the store last answered a call about the record.
-		answered time.Time
+		// lastAnswer is when the store last lastAnswer a call about the record.
+		lastAnswer time.Time
 	}
 )
 
@@ -53,25 +53,25 @@
 	// presenceTTL: a daemon that fell silent counts as gone after this. It
 	// bounds how long its pools are without an owner. A slow store answers
 	// in 240 ms, so a renewal every renewEvery has several tries.
-	presenceTTL = 1500 * time.Millisecond
-	renewEvery  = 400 * time.Millisecond
+	presenceTTL   = 1500 * time.Millisecond
+	renewInterval = 400 * time.Millisecond
 )
 
 // New starts to keep the record; Close ends that and removes it.
 func (c PresenceConfig) New() *Presence {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &Presence{config: c, cancel: cancel, done: make(chan struct{}), again: make(chan struct{}, 1)}
+	p := &Presence{config: c, cancel: cancel, done: make(chan struct{}), reannounce: make(chan struct{}, 1)}
 	go func() {
 		defer close(p.done)
-		p.keep(ctx)
+		p.run(ctx)
 	}()
 	return p
 }
 
-// Again has the record written anew, as it was found missing.
-func (p *Presence) Again() {
+// Reannounce has the record written anew, as it was found missing.
+func (p *Presence) Reannounce() {
 	select {
-	case p.again <- struct{}{}:
+	case p.reannounce <- struct{}{}:
 	default: // asked for already
 	}
 }
@@ -80,43 +80,43 @@
 func (p *Presence) Close(ctx context.Context) {
 	p.cancel()
 	<-p.done
-	if lease := p.current(); lease != 0 {
+	if lease := p.currentLease(); lease != 0 {
 		if err := p.config.KV.Revoke(ctx, lease); err != nil {
 			p.config.Log.Warn("presence: record not removed, its lease will run out", logsink.Err(err))
 		}
 	}
 }
 
-func (p *Presence) current() tw.KVLeaseID {
+func (p *Presence) currentLease() tw.KVLeaseID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lease
 }
 
-func (p *Presence) set(lease tw.KVLeaseID) {
+func (p *Presence) setLease(lease tw.KVLeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lease = lease
 }
 
-// Answered is when the store last took a call of this duty. It makes one
+// LastAnswer is when the store last took a call of this duty. It makes one
 // each renewEvery, so that this tells sooner than a watch whether the store
 // can be reached.
-func (p *Presence) Answered() time.Time {
+func (p *Presence) LastAnswer() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.answered
+	return p.lastAnswer
 }
 
-func (p *Presence) noteAnswer() {
+func (p *Presence) recordAnswer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.answered = p.config.Clock.Now()
+	p.lastAnswer = p.config.Clock.Now()
 }
 
-func (p *Presence) keep(ctx context.Context) {
+func (p *Presence) run(ctx context.Context) {
 	for {
-		if p.current() == 0 {
+		if p.currentLease() == 0 {
 			p.announce(ctx)
 		} else {
 			p.renew(ctx)
@@ -124,9 +124,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.again:
-			p.set(0)
-		case <-p.config.Clock.After(renewEvery):
+		case <-p.reannounce:
+			p.setLease(0)
+		case <-p.config.Clock.After(renewInterval):
 		}
 	}
 }
@@ -145,25 +145,25 @@
 	if _, err := p.config.KV.Commit(ctx, tw.KVTxn{Puts: []tw.KVPut{put}}); err != nil {
 		return
 	}
-	p.set(lease)
-	p.noteAnswer()
+	p.setLease(lease)
+	p.recordAnswer()
 	p.config.Log.Info("presence: announced", zap.Int64("lease", int64(lease)), zap.Duration("ttl", ttl))
 }
 
 func (p *Presence) renew(ctx context.Context) {
-	err := p.config.KV.Renew(ctx, p.current())
+	err := p.config.KV.Renew(ctx, p.currentLease())
 	if err == nil {
-		p.noteAnswer()
+		p.recordAnswer()
 	}
 	if errors.Is(err, tw.ErrNotFound) {
 		p.config.Log.Warn("presence: lease is over, announced anew")
-		p.set(0)
+		p.setLease(0)
 		p.announce(ctx)
 	}
 }
 
-func decodeLive(item tw.KVItem) (Live, error) {
-	var l Live
+func decodeDaemonRecord(item tw.KVItem) (DaemonRecord, error) {
+	var l DaemonRecord
 	err := json.Unmarshal(item.Value, &l)
 	return l, errors.Wrapf(err, "member: %s", item.Key)
 }
--- a/member/members_test.go
+++ b/member/members_test.go
@@ -18,15 +18,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kv := standin.KVConfig{Latency: time.Millisecond}.New()
-		m, end := membertest.Start(kv, member.Live{Daemon: "a", Life: 1, Address: "a:1"})
+		m, end := membertest.Start(kv, member.DaemonRecord{Daemon: "a", Incarnation: 1, Address: "a:1"})
 		defer end()
 		time.Sleep(time.Second)
-		g.Expect(m.StoreAnswers()).To(BeTrue())
+		g.Expect(m.StoreReachable()).To(BeTrue())
 		kv.SetFaults(standin.KVFaults{Down: true})
 		time.Sleep(950 * time.Millisecond) // its record's lease has not run out yet
-		g.Expect(m.StoreAnswers()).To(BeFalse())
+		g.Expect(m.StoreReachable()).To(BeFalse())
 		kv.SetFaults(standin.KVFaults{})
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(m.StoreAnswers()).To(BeTrue())
+		g.Expect(m.StoreReachable()).To(BeTrue())
 	})
 }
--- a/member/messages.go
+++ b/member/messages.go
@@ -15,42 +15,42 @@
 const (
 	OutcomeDone     Outcome = "done"
 	OutcomeNotOwner Outcome = "not-owner"
-	// OutcomeNotTaken proves that nothing was done.
-	OutcomeNotTaken Outcome = "not-taken"
+	// OutcomeNotApplied proves that nothing was done.
+	OutcomeNotApplied Outcome = "not-taken"
 	// OutcomeBusy proves so too: the owner has accepted all that it can start in time.
-	OutcomeBusy    Outcome = "busy"
-	OutcomeUnclear Outcome = "unclear"
-	OutcomeUnknown Outcome = "unknown"
+	OutcomeBusy      Outcome = "busy"
+	OutcomeAmbiguous Outcome = "unclear"
+	OutcomeUnknown   Outcome = "unknown"
 )
 
 type (
 	// PingRequest asks whether a daemon lives.
 	PingRequest struct {
-		From   tw.DaemonID `json:"from"`
-		Config tw.Version  `json:"config"`
+		From          tw.DaemonID `json:"from"`
+		ConfigVersion tw.Version  `json:"config"`
 		// Evacuations are the evacuated halls as far as the asker knows.
 		Evacuations *tw.Evacuations `json:"evacuations,omitempty"`
-		// Doubts are the owners that don't answer as far as the asker knows, Owners is a
+		// Suspicions are the owners that don't answer as far as the asker knows, Owners is a
 		// digest of the ownerships that it knows.
-		Doubts []Doubt `json:"doubts,omitempty"`
-		Owners uint64  `json:"owners,omitempty"`
+		Suspicions   []Suspicion `json:"doubts,omitempty"`
+		OwnersDigest uint64      `json:"owners,omitempty"`
 	}
 
 	// PingResponse is a daemon's word of itself.
 	PingResponse struct {
-		Daemon tw.DaemonID    `json:"daemon"`
-		Life   tw.Incarnation `json:"life"`
-		Config tw.Version     `json:"config"`
+		Daemon        tw.DaemonID    `json:"daemon"`
+		Incarnation   tw.Incarnation `json:"life"`
+		ConfigVersion tw.Version     `json:"config"`
 		// Evacuations are the evacuated halls as far as the daemon knows.
 		Evacuations *tw.Evacuations `json:"evacuations,omitempty"`
 		// Owned are the pools that the daemon owns.
 		Owned []ledger.Owner `json:"owned"`
-		// Doubts are the owners that don't answer as far as the daemon knows.
-		Doubts []Doubt `json:"doubts,omitempty"`
+		// Suspicions are the owners that don't answer as far as the daemon knows.
+		Suspicions []Suspicion `json:"doubts,omitempty"`
 		// Owners are all ownerships that the daemon knows, if the asker knows others.
 		Owners []ledger.Owner `json:"owners,omitempty"`
-		// StoreAnswers: the daemon reaches the metadata store.
-		StoreAnswers bool `json:"store_answers"`
+		// StoreReachable: the daemon reaches the metadata store.
+		StoreReachable bool `json:"store_answers"`
 	}
 
 	// ConfigRequest asks for the configuration that a daemon has.
@@ -105,7 +105,7 @@
 		Pool tw.PoolID `json:"pool"`
 		// Fence is that of the owner who asks; zero if it names none. A daemon
 		// that knows of a newer owner does not take the pool from that one.
-		Fence tw.Fence `json:"fence"`
+		Fence tw.FencingToken `json:"fence"`
 	}
 
 	// TakeResponse says that it will.
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -161,15 +161,15 @@
 	}
 	if !d.fleet.reaches(d.id, other.id) || !d.fleet.reaches(other.id, d.id) {
 		<-ctx.Done()
-		return nil, errors.Wrap(tw.ErrUnclear, "model: cut")
+		return nil, errors.Wrap(tw.ErrAmbiguous, "model: cut")
 	}
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	if !other.up {
-		return nil, tw.ErrGone
+		return nil, tw.ErrNotListening
 	}
-	resp := &member.PingResponse{Daemon: other.id, Life: other.life, StoreAnswers: other.members.StoreAnswers()}
-	resp.Doubts, resp.Owners = other.members.AnswerPing(&ping)
+	resp := &member.PingResponse{Daemon: other.id, Incarnation: other.life, StoreReachable: other.members.StoreReachable()}
+	resp.Suspicions, resp.Owners = other.members.HandlePing(&ping)
 	for _, o := range other.owned {
 		if o.Fence != 0 { // else it is being taken
 			resp.Owned = append(resp.Owned, o)
@@ -204,15 +204,15 @@
 	d.up = true
 	d.owned = map[tw.PoolID]ledger.Owner{}
 	kv := &cutKV{KV: d.fleet.kv, d: d, ctx: d.ctx}
-	self := member.Live{Daemon: d.id, Life: d.life, Address: string(d.id), Hall: tw.HallID(fmt.Sprint(d.hall)), Cores: 1}
+	self := member.DaemonRecord{Daemon: d.id, Incarnation: d.life, Address: string(d.id), Hall: tw.HallID(fmt.Sprint(d.hall)), Cores: 1}
 	clock, log := tw.SystemClock{}, zap.NewNop()
 	d.presence = member.PresenceConfig{KV: kv, Clock: clock, Log: log, Self: self}.New()
 	d.members = member.Config{
 		KV: kv, Clock: clock, Log: log, Self: self, Peers: d, Presence: d.presence,
-		Pools: func() []tw.PoolID { return d.fleet.pools }, Owned: d.ownedPools,
-		Version: func() tw.Version { return 1 }, NewerConfig: func(string, tw.Version) {},
-		Evacuations: func() *tw.Evacuations { return nil }, HeardEvacuations: func(*tw.Evacuations, string) {},
-		Take: func(pool tw.PoolID, _ string) { d.take(kv, pool) },
+		Pools: func() []tw.PoolID { return d.fleet.pools }, OwnedPools: d.ownedPools,
+		ConfigVersion: func() tw.Version { return 1 }, OnNewerConfig: func(string, tw.Version) {},
+		Evacuations: func() *tw.Evacuations { return nil }, OnEvacuations: func(*tw.Evacuations, string) {},
+		TakeOver: func(pool tw.PoolID, _ string) { d.take(kv, pool) },
 	}.New()
 }
 
@@ -244,19 +244,19 @@
 	d.owned[pool] = ledger.Owner{}
 	d.mu.Unlock()
 	d.duties.Go(func() {
-		self := ledger.Owner{Pool: pool, Daemon: d.id, Address: string(d.id), Life: life}
+		self := ledger.Owner{Pool: pool, Daemon: d.id, Address: string(d.id), Incarnation: life}
 		book, err := ledger.Config{KV: kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: self}.Open(ctx)
 		if err == nil {
 			self.Fence = book.Fence()
 			d.mu.Lock()
 			d.owned[pool] = self
 			d.mu.Unlock()
-			members.Took(self)
+			members.RecordOwner(self)
 			d.fleet.mu.Lock()
 			d.fleet.taken[pool]++
 			d.fleet.mu.Unlock()
 		}
-		for err == nil || !errors.Is(err, ledger.ErrDeposed) && ctx.Err() == nil {
+		for err == nil || !errors.Is(err, ledger.ErrOwnershipLost) && ctx.Err() == nil {
 			if book == nil {
 				break
 			}
@@ -267,8 +267,8 @@
 			}
 			_, err = book.Write(ctx, nil)
 		}
-		if errors.Is(err, ledger.ErrDeposed) {
-			members.Yielded(pool)
+		if errors.Is(err, ledger.ErrOwnershipLost) {
+			members.NotePoolLost(pool)
 		}
 		d.mu.Lock()
 		delete(d.owned, pool)
--- a/member/reach_test.go
+++ b/member/reach_test.go
@@ -14,20 +14,20 @@
 
 // isolationCases are what a daemon in the hall "near" reaches.
 var isolationCases = map[string]struct {
-	other     member.Live
+	other     member.DaemonRecord
 	storeDown bool
 	cut       bool
 	want      bool
 }{
-	"store and other hall":       {other: member.Live{Daemon: "b", Address: "b:1", Hall: "far"}},
-	"other hall without a store": {other: member.Live{Daemon: "b", Address: "b:1", Hall: "far"}, storeDown: true},
-	"store without another hall": {other: member.Live{Daemon: "b", Address: "b:1", Hall: "far"}, cut: true},
-	"neither":                    {other: member.Live{Daemon: "b", Address: "b:1", Hall: "far"}, storeDown: true, cut: true, want: true},
+	"store and other hall":       {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}},
+	"other hall without a store": {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}, storeDown: true},
+	"store without another hall": {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}, cut: true},
+	"neither":                    {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}, storeDown: true, cut: true, want: true},
 	"another daemon of the only hall": {
-		other: member.Live{Daemon: "b", Address: "b:1", Hall: "near"}, storeDown: true,
+		other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "near"}, storeDown: true,
 	},
 	"nothing, in the only hall": {
-		other: member.Live{Daemon: "b", Address: "b:1", Hall: "near"}, storeDown: true, cut: true, want: true,
+		other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "near"}, storeDown: true, cut: true, want: true,
 	},
 }
 
@@ -38,23 +38,23 @@
 				g := NewWithT(t)
 				kv := standin.KVConfig{Latency: time.Millisecond}.New()
 				membertest.Announce(kv, c.other)
-				others := &membertest.Others{}
-				m, end := membertest.StartAmong(kv, member.Live{Daemon: "a", Life: 1, Address: "a:1", Hall: "near"}, others)
+				others := &membertest.Peers{}
+				m, end := membertest.StartWithPeers(kv, member.DaemonRecord{Daemon: "a", Incarnation: 1, Address: "a:1", Hall: "near"}, others)
 				defer end()
 				time.Sleep(2 * time.Second)
 				g.Expect(m.Isolated()).To(BeFalse())
-				ctx, stop := m.WhileConnected(t.Context())
+				ctx, stop := m.ContextUntilIsolated(t.Context())
 				defer stop()
 				kv.SetFaults(standin.KVFaults{Down: c.storeDown})
-				others.Cut.Store(c.cut)
+				others.Unresponsive.Store(c.cut)
 				time.Sleep(time.Second)
 				g.Expect(m.Isolated()).To(Equal(c.want))
 				g.Expect(ctx.Err() != nil).To(Equal(c.want))
 				kv.SetFaults(standin.KVFaults{})
-				others.Cut.Store(false)
+				others.Unresponsive.Store(false)
 				time.Sleep(time.Second)
 				g.Expect(m.Isolated()).To(BeFalse())
-				again, stopAgain := m.WhileConnected(t.Context())
+				again, stopAgain := m.ContextUntilIsolated(t.Context())
 				defer stopAgain()
 				g.Expect(again.Err()).NotTo(HaveOccurred())
 			})
--- a/member/rpc.go
+++ b/member/rpc.go
@@ -55,11 +55,11 @@
 		submitOptions []connect.ClientOption
 
 		mu      sync.Mutex
-		clients map[string]*peer
+		clients map[string]*peerClients
 	}
 
-	// peer holds the clients of one daemon.
-	peer struct {
+	// peerClients holds the clients of one daemon.
+	peerClients struct {
 		ping    *connect.Client[PingRequest, PingResponse]
 		config  *connect.Client[ConfigRequest, ConfigResponse]
 		submit  *connect.Client[SubmitRequest, SubmitResponse]
@@ -73,17 +73,17 @@
 )
 
 const (
-	// peerConns bounds the idle connections to one daemon.
-	peerConns     = 8
-	peerIdleLimit = 90 * time.Second
+	// maxIdlePeerConns bounds the idle connections to one daemon.
+	maxIdlePeerConns = 8
+	peerIdleTimeout  = 90 * time.Second
 	// maxPeerMessage is above the largest configuration in the store.
 	maxPeerMessage = 4 << 20
-	// compressAbove is the size of an answer from which it is compressed, as are the
+	// compressMinBytes is the size of an answer from which it is compressed, as are the
 	// reports of hundreds of workers. For the short answers to callers and pings the
 	// compression would cost more processor time than the rest of the call.
-	compressAbove = 2 << 10
-	// compressRequestsAbove is the same for what is sent while a link is full.
-	compressRequestsAbove = 512
+	compressMinBytes = 2 << 10
+	// compressRequestMinBytes is the same for what is sent while a link is full.
+	compressRequestMinBytes = 512
 )
 
 // Name implements connect.Codec.
@@ -115,7 +115,7 @@
 
 func serve[Req, Resp any](mux *http.ServeMux, procedure string, f func(context.Context, *Req) (*Resp, error)) {
 	mux.Handle(procedure, connect.NewUnaryHandlerSimple(procedure, f,
-		connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(maxPeerMessage), connect.WithCompressMinBytes(compressAbove)))
+		connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(maxPeerMessage), connect.WithCompressMinBytes(compressMinBytes)))
 }
 
 // NewPeers makes a client for all daemons; it makes no call yet. The meter counts its bytes;
@@ -123,29 +123,29 @@
 func NewPeers(meter *traffic.Meter) *Peers {
 	transport := &http.Transport{
 		DialContext:         tcp.NewDialer().DialContext,
-		MaxIdleConnsPerHost: peerConns,
-		IdleConnTimeout:     peerIdleLimit,
+		MaxIdleConnsPerHost: maxIdlePeerConns,
+		IdleConnTimeout:     peerIdleTimeout,
 		DisableCompression:  true,
 	}
-	return &Peers{http: &http.Client{Transport: meter.Transport(transport)}, clients: map[string]*peer{}}
+	return &Peers{http: &http.Client{Transport: meter.Transport(transport)}, clients: map[string]*peerClients{}}
 }
 
-// compressed has requests compressed.
-var compressed = []connect.ClientOption{connect.WithSendGzip(), connect.WithCompressMinBytes(compressRequestsAbove)}
+// compressRequests has requests compressRequests.
+var compressRequests = []connect.ClientOption{connect.WithSendGzip(), connect.WithCompressMinBytes(compressRequestMinBytes)}
 
 // CompressSubmissions spares narrow links, at the cost of processor time. It must be called
 // before any other method.
-func (p *Peers) CompressSubmissions() { p.submitOptions = compressed }
+func (p *Peers) CompressSubmissions() { p.submitOptions = compressRequests }
 
 // Close drops idle connections.
 func (p *Peers) Close() { p.http.CloseIdleConnections() }
 
-func (p *Peers) at(address string) *peer {
+func (p *Peers) clientsFor(address string) *peerClients {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	have := p.clients[address]
 	if have == nil {
-		have = &peer{
+		have = &peerClients{
 			ping:    newClient[PingRequest, PingResponse](p, address, procedurePing),
 			config:  newClient[ConfigRequest, ConfigResponse](p, address, procedureConfig),
 			submit:  newClient[SubmitRequest, SubmitResponse](p, address, procedureSubmit, p.submitOptions...),
@@ -154,7 +154,7 @@
 			waiting: newClient[WaitingRequest, WaitingResponse](p, address, procedureWaiting),
 			take:    newClient[TakeRequest, TakeResponse](p, address, procedureTake),
 			report:  newClient[ReportRequest, ReportResponse](p, address, procedureReport),
-			start:   newClient[StartRequest, StartResponse](p, address, procedureStart, compressed...),
+			start:   newClient[StartRequest, StartResponse](p, address, procedureStart, compressRequests...),
 		}
 		p.clients[address] = have
 	}
@@ -168,58 +168,58 @@
 
 // Ping asks whether a daemon lives.
 func (p *Peers) Ping(ctx context.Context, address string, m PingRequest) (*PingResponse, error) {
-	return call(ctx, p.at(address).ping, &m)
+	return call(ctx, p.clientsFor(address).ping, &m)
 }
 
 // Config asks for a daemon's configuration.
 func (p *Peers) Config(ctx context.Context, address string) (*ConfigResponse, error) {
-	return call(ctx, p.at(address).config, &ConfigRequest{})
+	return call(ctx, p.clientsFor(address).config, &ConfigRequest{})
 }
 
 // Submit hands a submission to the owner of its pool.
 func (p *Peers) Submit(ctx context.Context, address string, s tw.Submission) (*SubmitResponse, error) {
-	return call(ctx, p.at(address).submit, &SubmitRequest{Submission: s})
+	return call(ctx, p.clientsFor(address).submit, &SubmitRequest{Submission: s})
 }
 
 // Cancel asks the owner of a pool to cancel a submission.
 func (p *Peers) Cancel(ctx context.Context, address string, m SubmissionRequest) (*SubmissionResponse, error) {
-	return call(ctx, p.at(address).cancel, &m)
+	return call(ctx, p.clientsFor(address).cancel, &m)
 }
 
 // State asks the owner of a pool for a submission's state.
 func (p *Peers) State(ctx context.Context, address string, m SubmissionRequest) (*SubmissionResponse, error) {
-	return call(ctx, p.at(address).state, &m)
+	return call(ctx, p.clientsFor(address).state, &m)
 }
 
 // Waiting asks the owner of a pool for the count of waiting submissions.
 func (p *Peers) Waiting(ctx context.Context, address string, m WaitingRequest) (*WaitingResponse, error) {
-	return call(ctx, p.at(address).waiting, &m)
+	return call(ctx, p.clientsFor(address).waiting, &m)
 }
 
 // Take asks a daemon to take a pool over from the owner with a fence.
-func (p *Peers) Take(ctx context.Context, address string, pool tw.PoolID, from tw.Fence) error {
-	_, err := call(ctx, p.at(address).take, &TakeRequest{Pool: pool, Fence: from})
+func (p *Peers) Take(ctx context.Context, address string, pool tw.PoolID, from tw.FencingToken) error {
+	_, err := call(ctx, p.clientsFor(address).take, &TakeRequest{Pool: pool, Fence: from})
 	return err
 }
 
 // Report asks the owner of a pool how busy it is.
 func (p *Peers) Report(ctx context.Context, address string, m ReportRequest) (*ReportResponse, error) {
-	return call(ctx, p.at(address).report, &m)
+	return call(ctx, p.clientsFor(address).report, &m)
 }
 
 // Start has a daemon give a batch of orders to workers.
 func (p *Peers) Start(ctx context.Context, address string, batch []tw.RelayedStart, answer func(tw.RelayedAnswer)) error {
 	request := newStartRequest(batch)
-	stream, err := p.at(address).start.CallServerStream(ctx, connect.NewRequest(&request))
+	stream, err := p.clientsFor(address).start.CallServerStream(ctx, connect.NewRequest(&request))
 	if err != nil {
-		return sortError(err)
+		return classifyError(err)
 	}
 	defer stream.Close()
 	for stream.Receive() {
 		answer(stream.Msg().answer())
 	}
 	if err := stream.Err(); err != nil {
-		return sortError(err)
+		return classifyError(err)
 	}
 	return nil
 }
@@ -227,18 +227,18 @@
 func call[Req, Resp any](ctx context.Context, client *connect.Client[Req, Resp], m *Req) (*Resp, error) {
 	resp, err := client.CallUnary(ctx, connect.NewRequest(m))
 	if err != nil {
-		return nil, sortError(err)
+		return nil, classifyError(err)
 	}
 	return resp.Msg, nil
 }
 
-// sortError turns errors of the transport into ours.
-func sortError(err error) error {
+// classifyError turns errors of the transport into ours.
+func classifyError(err error) error {
 	switch {
 	case tcp.Refused(err):
-		return fmt.Errorf("member: %w: %w", tw.ErrGone, err)
+		return fmt.Errorf("member: %w: %w", tw.ErrNotListening, err)
 	case tcp.NotConnected(err):
 		return fmt.Errorf("member: %w: %w", tw.ErrUnavailable, err)
 	}
-	return fmt.Errorf("member: %w: %w", tw.ErrUnclear, err)
+	return fmt.Errorf("member: %w: %w", tw.ErrAmbiguous, err)
 }
--- a/member/start_messages.go
+++ b/member/start_messages.go
@@ -26,8 +26,8 @@
 		Step       int             `json:"t,omitempty"`
 		Index      int             `json:"i,omitempty"`
 		Run        tw.RunNumber    `json:"r"`
-		Fence      tw.Fence        `json:"f"`
-		Deadline   tw.WorkerClock  `json:"d"`
+		Fence      tw.FencingToken `json:"f"`
+		Deadline   tw.WorkerTime   `json:"d"`
 		Checkpoint tw.Checkpoint   `json:"c,omitempty"`
 		Ticket     string          `json:"x,omitempty"`
 		// Spec is missing if an earlier order of the submission has brought it.
@@ -37,9 +37,9 @@
 
 	// StartResponse is the answer to one order of the batch.
 	StartResponse struct {
-		Index   int            `json:"n"`
-		Clock   tw.WorkerClock `json:"c,omitempty"`
-		Outcome startOutcome   `json:"o,omitempty"`
+		Index   int           `json:"n"`
+		Clock   tw.WorkerTime `json:"c,omitempty"`
+		Outcome startOutcome  `json:"o,omitempty"`
 		// Reason is that of a refusal.
 		Reason tw.RefusalReason `json:"r,omitempty"`
 	}
@@ -51,10 +51,10 @@
 	startDone    startOutcome = ""
 	startRefused startOutcome = "refused"
 	startNotDone startOutcome = "not-done"
-	// startUnclear is an order that was not answered in time, startCut one whose connection
+	// startTimedOut is an order that was not answered in time, startCut one whose connection
 	// to the worker ended.
-	startUnclear     startOutcome = "unclear"
-	startCut         startOutcome = "cut"
+	startTimedOut    startOutcome = "unclear"
+	startConnLost    startOutcome = "cut"
 	startSpecUnknown startOutcome = "spec-unknown"
 )
 
@@ -97,19 +97,19 @@
 // NewStartResponse is the answer as it is sent.
 func NewStartResponse(a tw.RelayedAnswer) *StartResponse {
 	out := &StartResponse{Index: a.Index, Clock: a.Clock}
-	var refused *tw.OrderRefused
+	var refused *tw.OrderRefusedError
 	switch {
 	case a.Err == nil:
 	case errors.As(a.Err, &refused):
 		out.Outcome, out.Reason, out.Clock = startRefused, refused.Reason, refused.Clock
 	case errors.Is(a.Err, tw.ErrSpecUnknown):
 		out.Outcome = startSpecUnknown
-	case tw.SurelyNotDone(a.Err):
+	case tw.NotApplied(a.Err):
 		out.Outcome = startNotDone
 	case tw.TimedOut(a.Err):
-		out.Outcome = startUnclear
+		out.Outcome = startTimedOut
 	default:
-		out.Outcome = startCut
+		out.Outcome = startConnLost
 	}
 	return out
 }
@@ -119,15 +119,15 @@
 	switch r.Outcome {
 	case startDone:
 	case startRefused:
-		out.Err = &tw.OrderRefused{Reason: r.Reason, Clock: r.Clock}
+		out.Err = &tw.OrderRefusedError{Reason: r.Reason, Clock: r.Clock}
 	case startSpecUnknown:
 		out.Err = tw.ErrSpecUnknown
 	case startNotDone:
 		out.Err = errors.Wrap(tw.ErrUnavailable, "member: the relay did not give the order")
-	case startCut:
-		out.Err = errors.Wrap(tw.ErrUnclear, "member: the worker closed the relay's connection")
+	case startConnLost:
+		out.Err = errors.Wrap(tw.ErrAmbiguous, "member: the worker closed the relay's connection")
 	default:
-		out.Err = fmt.Errorf("member: the relay got no answer: %w: %w", tw.ErrUnclear, context.DeadlineExceeded)
+		out.Err = fmt.Errorf("member: the relay got no answer: %w: %w", tw.ErrAmbiguous, context.DeadlineExceeded)
 	}
 	return out
 }
--- a/member/start_test.go
+++ b/member/start_test.go
@@ -43,10 +43,10 @@
 	g := NewWithT(t)
 	h := &startHandler{wait: make(chan struct{}), answers: []tw.RelayedAnswer{
 		{Index: 5, Clock: 77},
-		{Index: 0, Err: &tw.OrderRefused{Reason: tw.RefusedRoom, Clock: 78}},
+		{Index: 0, Err: &tw.OrderRefusedError{Reason: tw.RefusedNoCapacity, Clock: 78}},
 		{Index: 1, Err: errors.Wrap(tw.ErrUnavailable, "x")},
 		{Index: 2, Err: tw.ErrSpecUnknown},
-		{Index: 3, Err: errors.Wrap(tw.ErrUnclear, "closed")},
+		{Index: 3, Err: errors.Wrap(tw.ErrAmbiguous, "closed")},
 		{Index: 4, Err: context.DeadlineExceeded},
 	}}
 	server := httptest.NewServer(traffic.New(metrics.NewSet()).Handler(member.NewHandler(h)))
@@ -76,12 +76,12 @@
 		g.Expect(a.Index).To(Equal(h.answers[n].Index))
 	}
 	g.Expect(got[0]).To(Equal(tw.RelayedAnswer{Index: 5, Clock: 77}))
-	g.Expect(tw.RefusedFor(got[1].Err, tw.RefusedRoom)).To(BeTrue())
-	g.Expect(tw.SurelyNotDone(got[2].Err)).To(BeTrue())
+	g.Expect(tw.RefusedFor(got[1].Err, tw.RefusedNoCapacity)).To(BeTrue())
+	g.Expect(tw.NotApplied(got[2].Err)).To(BeTrue())
 	g.Expect(got[3].Err).To(MatchError(tw.ErrSpecUnknown))
-	g.Expect(got[4].Err).To(MatchError(tw.ErrUnclear))
+	g.Expect(got[4].Err).To(MatchError(tw.ErrAmbiguous))
 	g.Expect(tw.TimedOut(got[4].Err)).To(BeFalse())
-	g.Expect(got[5].Err).To(MatchError(tw.ErrUnclear))
+	g.Expect(got[5].Err).To(MatchError(tw.ErrAmbiguous))
 	g.Expect(tw.TimedOut(got[5].Err)).To(BeTrue())
 }
 
@@ -93,5 +93,5 @@
 	peers := member.NewPeers(nil)
 	defer peers.Close()
 	err := peers.Start(t.Context(), server.Listener.Addr().String(), make([]tw.RelayedStart, 1), func(tw.RelayedAnswer) {})
-	g.Expect(err).To(MatchError(tw.ErrGone))
+	g.Expect(err).To(MatchError(tw.ErrNotListening))
 }
--- a/member/succession.go
+++ b/member/succession.go
@@ -10,22 +10,22 @@
 
 // takeover is a pool that this daemon should take.
 type takeover struct {
-	pool tw.PoolID
-	why  string
+	pool   tw.PoolID
+	reason string
 }
 
-// toTake lists the pools that this daemon should take now: those without a
+// takeoversDue lists the pools that this daemon should take now: those without a
 // living owner for which it is the first candidate, or whose better
 // candidates have had their chance.
-func (m *Members) toTake(now time.Time) []takeover {
-	settled := m.watcher.Settled()
+func (m *Members) takeoversDue(now time.Time) []takeover {
+	settled := m.watcher.AnsweringSince()
 	if settled.IsZero() {
 		return nil
 	}
-	owned := m.config.Owned()
+	owned := m.config.OwnedPools()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	loads := m.loads()
+	loads := m.poolCounts()
 	var out []takeover
 	pools := m.config.Pools()
 	slices.Sort(pools)
@@ -33,49 +33,49 @@
 		if slices.Contains(owned, pool) {
 			continue
 		}
-		why := m.lost(pool, now, settled)
+		why := m.orphanReason(pool, now, settled)
 		if why == "" {
-			delete(m.lostAt, pool)
+			delete(m.orphanedAt, pool)
 			continue
 		}
-		if m.lostAt[pool].IsZero() {
-			m.lostAt[pool] = now
+		if m.orphanedAt[pool].IsZero() {
+			m.orphanedAt[pool] = now
 		}
 		candidates := m.candidates(pool, loads, now)
 		if len(candidates) > 0 {
 			loads[candidates[0]]++
 		}
 		rank := slices.Index(candidates, m.config.Self.Daemon)
-		if rank < 0 || !m.turnOf(pool, rank, now) || now.Sub(m.yielded[pool]) < yieldTime {
+		if rank < 0 || !m.isTurn(pool, rank, now) || now.Sub(m.poolLostAt[pool]) < retakeDelay {
 			continue
 		}
-		out = append(out, takeover{pool: pool, why: why})
+		out = append(out, takeover{pool: pool, reason: why})
 	}
 	return out
 }
 
-// turnOf tells whether it is this daemon's turn to take a pool without a living
+// isTurn tells whether it is this daemon's turn to take a pool without a living
 // owner, of which it is the candidate of a rank. A pool that it owned itself it
 // takes at once, also while it does not know the others yet: no other daemon
 // counts it as lost before it has missed the former life. After a loss of all
 // daemons each so has its pools back without a storm of takeovers, 1.2 s sooner
 // than by rank: mean worth of days that end so 0.464 before, 0.510 after (30 plays).
-func (m *Members) turnOf(pool tw.PoolID, rank int, now time.Time) bool {
+func (m *Members) isTurn(pool tw.PoolID, rank int, now time.Time) bool {
 	owner := m.owners[pool]
 	if owner.Daemon == m.config.Self.Daemon {
 		return true
 	}
-	if l, present := m.live[owner.Daemon]; present && l.Life != owner.Life {
+	if l, present := m.live[owner.Daemon]; present && l.Incarnation != owner.Incarnation {
 		rank++ // the new life of its owner goes first
 	}
-	return !m.gathering(now) && now.Sub(m.lostAt[pool]) >= time.Duration(rank)*candidateGap
+	return !m.inStartupGrace(now) && now.Sub(m.orphanedAt[pool]) >= time.Duration(rank)*candidateDelay
 }
 
-// gathering tells whether the others may still be announcing themselves.
-func (m *Members) gathering(now time.Time) bool { return now.Sub(m.started) < gatherMembers }
+// inStartupGrace tells whether the others may still be announcing themselves.
+func (m *Members) inStartupGrace(now time.Time) bool { return now.Sub(m.started) < startupGrace }
 
-// lost tells why a pool has no living owner; empty if it has one.
-func (m *Members) lost(pool tw.PoolID, now, settled time.Time) string {
+// orphanReason tells why a pool has no living owner; empty if it has one.
+func (m *Members) orphanReason(pool tw.PoolID, now, settled time.Time) string {
 	o, found := m.owners[pool]
 	if !found {
 		return "it has no owner"
@@ -84,27 +84,27 @@
 		return "a former life of this daemon owned it"
 	}
 	live, present := m.live[o.Daemon]
-	if present && live.Life != o.Life {
+	if present && live.Incarnation != o.Incarnation {
 		return "its owner has started anew"
 	}
-	c := m.contacts[o.Address]
+	c := m.pingStates[o.Address]
 	if c == nil {
 		return ""
 	}
-	if c.refused >= refusedMeansGone {
+	if c.refusedInRow >= refusalsUntilDown {
 		return "its owner's process is gone"
 	}
-	if !present && now.Sub(settled) > absentFor && !c.silentFrom.IsZero() && now.Sub(c.answered) > absentFor {
+	if !present && now.Sub(settled) > recordMissingTimeout && !c.failingSince.IsZero() && now.Sub(c.quietSince) > recordMissingTimeout {
 		return "its owner is silent and its record is gone"
 	}
 	return ""
 }
 
-// loads counts the pools of each live daemon.
-func (m *Members) loads() map[tw.DaemonID]int {
+// poolCounts counts the pools of each live daemon.
+func (m *Members) poolCounts() map[tw.DaemonID]int {
 	loads := map[tw.DaemonID]int{}
 	for _, o := range m.owners {
-		if l, present := m.live[o.Daemon]; present && l.Life == o.Life {
+		if l, present := m.live[o.Daemon]; present && l.Incarnation == o.Incarnation {
 			loads[o.Daemon]++
 		}
 	}
@@ -117,39 +117,39 @@
 func (m *Members) candidates(pool tw.PoolID, loads map[tw.DaemonID]int, now time.Time) []tw.DaemonID {
 	var out []tw.DaemonID
 	for id, l := range m.live {
-		if id != m.config.Self.Daemon && m.silentCandidate(l.Address, now) {
+		if id != m.config.Self.Daemon && m.unresponsiveCandidate(l.Address, now) {
 			continue
 		}
-		if id == m.owners[pool].Daemon && id != m.config.Self.Daemon && l.Life == m.owners[pool].Life {
+		if id == m.owners[pool].Daemon && id != m.config.Self.Daemon && l.Incarnation == m.owners[pool].Incarnation {
 			continue
 		}
 		out = append(out, id)
 	}
-	slices.SortFunc(out, func(a, b tw.DaemonID) int { return m.compare(pool, a, b, loads) })
+	slices.SortFunc(out, func(a, b tw.DaemonID) int { return m.compareByLoad(pool, a, b, loads) })
 	return out
 }
 
-// silentCandidate tells whether a daemon should not be waited for, as it does not answer.
-func (m *Members) silentCandidate(address string, now time.Time) bool {
-	c := m.contacts[address]
+// unresponsiveCandidate tells whether a daemon should not be waited for, as it does not answer.
+func (m *Members) unresponsiveCandidate(address string, now time.Time) bool {
+	c := m.pingStates[address]
 	if c == nil {
-		return m.silent(address, now)
+		return m.unresponsive(address, now)
 	}
-	return !c.silentFrom.IsZero() && now.Sub(c.answered) > pingTimeout
+	return !c.failingSince.IsZero() && now.Sub(c.quietSince) > pingTimeout
 }
 
-// compareCapable puts the daemon first that would rather take a pool if none owned any.
-func compareCapable(pool tw.PoolID, a, b Live) int {
+// compareByCapacity puts the daemon first that would rather take a pool if none owned any.
+func compareByCapacity(pool tw.PoolID, a, b DaemonRecord) int {
 	return cmp.Or(
 		cmp.Compare(b.Cores, a.Cores),
-		cmp.Compare(mix(string(pool), a.Daemon), mix(string(pool), b.Daemon)),
+		cmp.Compare(hashPair(string(pool), a.Daemon), hashPair(string(pool), b.Daemon)),
 		cmp.Compare(a.Daemon, b.Daemon),
 	)
 }
 
 // loadWith is how loaded a daemon would be with one more pool.
 func (m *Members) loadWith(id tw.DaemonID, loads map[tw.DaemonID]int) float64 {
-	cores := float64(m.lastLive[id].Cores)
+	cores := float64(m.lastKnown[id].Cores)
 	if cores <= 0 {
 		cores = 1
 	}
@@ -158,11 +158,11 @@
 
 // Successors are the daemons to which this one should give a pool, the most
 // suitable first.
-func (m *Members) Successors(pool tw.PoolID) []Live {
+func (m *Members) Successors(pool tw.PoolID) []DaemonRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []Live
-	for _, id := range m.candidates(pool, m.loads(), m.config.Clock.Now()) {
+	var out []DaemonRecord
+	for _, id := range m.candidates(pool, m.poolCounts(), m.config.Clock.Now()) {
 		if id != m.config.Self.Daemon {
 			out = append(out, m.live[id])
 		}
@@ -170,59 +170,59 @@
 	return out
 }
 
-// Rescuer is a daemon to ask to take a pool when this one does not reach the
+// TakeoverTarget is a daemon to ask to take a pool when this one does not reach the
 // metadata store itself: one that answers and says that it reaches the store.
 // It is another one each time that one was asked in vain, as the last one may
 // have lost the store too and not know it yet. False if there is none.
-func (m *Members) Rescuer(pool tw.PoolID, asked int) (Live, bool) {
+func (m *Members) TakeoverTarget(pool tw.PoolID, asked int) (DaemonRecord, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	rescuers := m.rescuers(pool)
+	rescuers := m.takeoverTargets(pool)
 	if len(rescuers) == 0 {
-		return Live{}, false
+		return DaemonRecord{}, false
 	}
 	return rescuers[asked%len(rescuers)], true
 }
 
-// Relief is a daemon that would serve a pool of this one far sooner, as it has more processor
+// FasterSuccessor is a daemon that would serve a pool of this one far sooner, as it has more processor
 // for each of its pools; false if there is none. After a day's loss of the larger daemons
 // their pools stayed with small ones that could send a third of the starts.
-func (m *Members) Relief(pool tw.PoolID) (Live, bool) {
+func (m *Members) FasterSuccessor(pool tw.PoolID) (DaemonRecord, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	self := m.lastLive[m.config.Self.Daemon]
-	loads := m.loads()
+	self := m.lastKnown[m.config.Self.Daemon]
+	loads := m.poolCounts()
 	loads[self.Daemon]--
 	now := m.loadWith(self.Daemon, loads)
-	for _, l := range m.rescuers(pool) {
-		if l.Cores >= reliefFactor*self.Cores && reliefFactor*m.loadWith(l.Daemon, loads) <= now {
+	for _, l := range m.takeoverTargets(pool) {
+		if l.Cores >= handoverFactor*self.Cores && handoverFactor*m.loadWith(l.Daemon, loads) <= now {
 			return l, true
 		}
 	}
-	return Live{}, false
+	return DaemonRecord{}, false
 }
 
-// Near lists the addresses of daemons in a data hall that may give orders for this one: first
+// RelayCandidates lists the addresses of daemons in a data hall that may give orders for this one: first
 // those that own nothing, of these those with most processor. Each daemon has others.
-func (m *Members) Near(hall tw.HallID) []string {
+func (m *Members) RelayCandidates(hall tw.HallID) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	loads := m.loads()
-	var near []Live
+	loads := m.poolCounts()
+	var near []DaemonRecord
 	for id, l := range m.live {
 		if l.Hall == hall && id != m.config.Self.Daemon {
 			near = append(near, l)
 		}
 	}
 	self := string(m.config.Self.Daemon)
-	slices.SortFunc(near, func(a, b Live) int {
+	slices.SortFunc(near, func(a, b DaemonRecord) int {
 		return cmp.Or(
 			cmp.Compare(min(loads[a.Daemon], 1), min(loads[b.Daemon], 1)),
 			cmp.Compare(b.Cores, a.Cores),
-			cmp.Compare(mix(self, a.Daemon), mix(self, b.Daemon)),
+			cmp.Compare(hashPair(self, a.Daemon), hashPair(self, b.Daemon)),
 		)
 	})
-	near = near[:min(len(near), mostNear)]
+	near = near[:min(len(near), maxRelayCandidates)]
 	out := make([]string, len(near))
 	for n, l := range near {
 		out[n] = l.Address
@@ -230,40 +230,40 @@
 	return out
 }
 
-// mostNear bounds the daemons of a data hall that give orders for another one.
-const mostNear = 6
+// maxRelayCandidates bounds the daemons of a data hall that give orders for another one.
+const maxRelayCandidates = 6
 
-// reliefFactor is how much more processor a daemon must have for a pool that is handed over
+// handoverFactor is how much more processor a daemon must have for a pool that is handed over
 // to it: that stops the pool's starts for some tenths of a second.
-const reliefFactor = 2
+const handoverFactor = 2
 
-// rescuers are the daemons that answer and say that they reach the store. Their
+// takeoverTargets are the daemons that answer and say that they reach the store. Their
 // order differs by pool, so that one does not get all pools of a daemon.
-func (m *Members) rescuers(pool tw.PoolID) []Live {
-	var out []Live
-	for id, l := range m.lastLive {
-		c := m.contacts[l.Address]
-		if id != m.config.Self.Daemon && c != nil && c.silentFrom.IsZero() && c.storeAnswers {
+func (m *Members) takeoverTargets(pool tw.PoolID) []DaemonRecord {
+	var out []DaemonRecord
+	for id, l := range m.lastKnown {
+		c := m.pingStates[l.Address]
+		if id != m.config.Self.Daemon && c != nil && c.failingSince.IsZero() && c.storeReachable {
 			out = append(out, l)
 		}
 	}
-	loads := m.loads()
-	slices.SortFunc(out, func(a, b Live) int { return m.compare(pool, a.Daemon, b.Daemon, loads) })
+	loads := m.poolCounts()
+	slices.SortFunc(out, func(a, b DaemonRecord) int { return m.compareByLoad(pool, a.Daemon, b.Daemon, loads) })
 	return out
 }
 
-// compare puts the daemon first that should rather take a pool: the one with
+// compareByLoad puts the daemon first that should rather take a pool: the one with
 // fewer pools for its processor share, else in an order that differs by pool.
-func (m *Members) compare(pool tw.PoolID, a, b tw.DaemonID, loads map[tw.DaemonID]int) int {
+func (m *Members) compareByLoad(pool tw.PoolID, a, b tw.DaemonID, loads map[tw.DaemonID]int) int {
 	return cmp.Or(
 		cmp.Compare(m.loadWith(a, loads), m.loadWith(b, loads)),
-		cmp.Compare(mix(string(pool), a), mix(string(pool), b)),
+		cmp.Compare(hashPair(string(pool), a), hashPair(string(pool), b)),
 		cmp.Compare(a, b),
 	)
 }
 
-// mix is a number that differs by what is asked about and by daemon.
-func mix(about string, daemon tw.DaemonID) uint64 {
+// hashPair is a number that differs by what is asked about and by daemon.
+func hashPair(about string, daemon tw.DaemonID) uint64 {
 	return fnv1a(fnv1a(fnv1a(fnvOffset, about), "/"), string(daemon))
 }
 
--- a/member/succession_test.go
+++ b/member/succession_test.go
@@ -18,21 +18,21 @@
 func quorum(clock *fakeclock.Clock) *Members {
 	m := &Members{
 		config: Config{
-			Clock: clock, Log: zap.NewNop(), Self: Live{Daemon: "b", Life: 1, Address: "b:1"},
-			Pools: func() []tw.PoolID { return []tw.PoolID{"p"} }, Owned: func() []tw.PoolID { return nil },
+			Clock: clock, Log: zap.NewNop(), Self: DaemonRecord{Daemon: "b", Incarnation: 1, Address: "b:1"},
+			Pools: func() []tw.PoolID { return []tw.PoolID{"p"} }, OwnedPools: func() []tw.PoolID { return nil },
 		},
-		watcher: &Watcher{settled: clock.Now()}, started: clock.Now(),
-		live: map[tw.DaemonID]Live{}, lastLive: map[tw.DaemonID]Live{}, owners: map[tw.PoolID]ledger.Owner{},
-		contacts: map[string]*contact{}, lostAt: map[tw.PoolID]time.Time{}, yielded: map[tw.PoolID]time.Time{},
+		watcher: &Watcher{answeringSince: clock.Now()}, started: clock.Now(),
+		live: map[tw.DaemonID]DaemonRecord{}, lastKnown: map[tw.DaemonID]DaemonRecord{}, owners: map[tw.PoolID]ledger.Owner{},
+		pingStates: map[string]*pingState{}, orphanedAt: map[tw.PoolID]time.Time{}, poolLostAt: map[tw.PoolID]time.Time{},
 	}
 	for _, id := range []tw.DaemonID{"a", "b", "c"} {
-		l := Live{Daemon: id, Life: 1, Address: string(id) + ":1", Cores: 1}
-		m.live[id], m.lastLive[id] = l, l
+		l := DaemonRecord{Daemon: id, Incarnation: 1, Address: string(id) + ":1", Cores: 1}
+		m.live[id], m.lastKnown[id] = l, l
 	}
-	m.owners["p"] = ledger.Owner{Pool: "p", Daemon: "a", Address: "a:1", Life: 1, Fence: 4}
-	m.contacts["a:1"] = &contact{answered: clock.Now()}
+	m.owners["p"] = ledger.Owner{Pool: "p", Daemon: "a", Address: "a:1", Incarnation: 1, Fence: 4}
+	m.pingStates["a:1"] = &pingState{quietSince: clock.Now()}
 	clock.Advance(time.Minute)
-	m.contacts["a:1"].answered = clock.Now()
+	m.pingStates["a:1"].quietSince = clock.Now()
 	return m
 }
 
@@ -46,10 +46,10 @@
 		befall: func(m *Members, _ time.Time) { delete(m.owners, "p") }, taken: true,
 	},
 	"an owner whose process is gone loses it": {
-		befall: func(m *Members, _ time.Time) { m.contacts["a:1"].refused = refusedMeansGone }, taken: true,
+		befall: func(m *Members, _ time.Time) { m.pingStates["a:1"].refusedInRow = refusalsUntilDown }, taken: true,
 	},
 	"an owner that has started anew loses it": {
-		befall: func(m *Members, _ time.Time) { m.live["a"] = Live{Daemon: "a", Life: 2, Address: "a:1"} }, taken: true,
+		befall: func(m *Members, _ time.Time) { m.live["a"] = DaemonRecord{Daemon: "a", Incarnation: 2, Address: "a:1"} }, taken: true,
 	},
 	"a silent owner keeps it while its record stands": {
 		befall: func(m *Members, now time.Time) { m.silence("a:1", now) },
@@ -67,26 +67,26 @@
 		befall: func(m *Members, now time.Time) {
 			m.silence("a:1", now)
 			delete(m.live, "a")
-			m.watcher.settled = now
+			m.watcher.answeringSince = now
 		},
 	},
 	"nobody takes anything while the store does not answer": {
 		befall: func(m *Members, _ time.Time) {
 			delete(m.owners, "p")
-			m.watcher.settled = time.Time{}
+			m.watcher.answeringSince = time.Time{}
 		},
 	},
 	"a daemon that just lost the pool leaves it to others": {
 		befall: func(m *Members, now time.Time) {
 			delete(m.owners, "p")
-			m.yielded["p"] = now
+			m.poolLostAt["p"] = now
 		},
 	},
 }
 
 func (m *Members) silence(address string, now time.Time) {
-	m.contacts[address].silentFrom = now.Add(-2 * absentFor)
-	m.contacts[address].answered = now.Add(-2 * absentFor)
+	m.pingStates[address].failingSince = now.Add(-2 * recordMissingTimeout)
+	m.pingStates[address].quietSince = now.Add(-2 * recordMissingTimeout)
 }
 
 func TestToTake(t *testing.T) {
@@ -95,9 +95,9 @@
 			clock := fakeclock.New()
 			m := quorum(clock)
 			c.befall(m, clock.Now())
-			m.toTake(clock.Now()) // notes since when the pool is lost
-			clock.Advance(2 * candidateGap)
-			got := m.toTake(clock.Now())
+			m.takeoversDue(clock.Now()) // notes since when the pool is lost
+			clock.Advance(2 * candidateDelay)
+			got := m.takeoversDue(clock.Now())
 			NewWithT(t).Expect(len(got) > 0).To(Equal(c.taken))
 		})
 	}
@@ -107,9 +107,9 @@
 	g := NewWithT(t)
 	clock := fakeclock.New()
 	m := quorum(clock)
-	m.live["b"] = Live{Daemon: "b", Cores: 0.2}
-	m.live["c"] = Live{Daemon: "c", Cores: 0.8}
-	maps.Copy(m.lastLive, m.live)
+	m.live["b"] = DaemonRecord{Daemon: "b", Cores: 0.2}
+	m.live["c"] = DaemonRecord{Daemon: "c", Cores: 0.8}
+	maps.Copy(m.lastKnown, m.live)
 	g.Expect(m.candidates("p", map[tw.DaemonID]int{}, clock.Now())).To(Equal([]tw.DaemonID{"c", "b"}))
 	g.Expect(m.candidates("p", map[tw.DaemonID]int{"c": 9}, clock.Now())).To(Equal([]tw.DaemonID{"b", "c"}))
 }
@@ -120,15 +120,15 @@
 	clock := fakeclock.New()
 	m := quorum(clock)
 	for _, small := range []tw.DaemonID{"a", "c"} {
-		for id := range m.lastLive {
+		for id := range m.lastKnown {
 			cores := tw.Cores(0.8)
 			if id == small {
 				cores = 0.2
 			}
-			m.lastLive[id] = Live{Daemon: id, Life: 1, Address: string(id) + ":1", Cores: cores}
-			m.contacts[string(id)+":1"] = &contact{answered: clock.Now(), storeAnswers: true}
+			m.lastKnown[id] = DaemonRecord{Daemon: id, Incarnation: 1, Address: string(id) + ":1", Cores: cores}
+			m.pingStates[string(id)+":1"] = &pingState{quietSince: clock.Now(), storeReachable: true}
 		}
-		first, _ := m.Rescuer("q", 0)
+		first, _ := m.TakeoverTarget("q", 0)
 		g.Expect(first.Daemon).NotTo(Equal(small))
 	}
 }
@@ -137,10 +137,10 @@
 func TestOwnerNeverGoesBack(t *testing.T) {
 	g := NewWithT(t)
 	m := quorum(fakeclock.New())
-	m.Took(ledger.Owner{Pool: "p", Daemon: "c", Fence: 3})
+	m.RecordOwner(ledger.Owner{Pool: "p", Daemon: "c", Fence: 3})
 	o, _ := m.Owner("p")
 	g.Expect(o.Daemon).To(Equal(tw.DaemonID("a")))
-	m.Took(ledger.Owner{Pool: "p", Daemon: "c", Fence: 5})
+	m.RecordOwner(ledger.Owner{Pool: "p", Daemon: "c", Fence: 5})
 	o, _ = m.Owner("p")
 	g.Expect(o.Daemon).To(Equal(tw.DaemonID("c")))
 }
@@ -152,21 +152,21 @@
 	clock := fakeclock.New()
 	m := quorum(clock)
 	for _, id := range []string{"a", "c"} {
-		m.contacts[id+":1"] = &contact{answered: clock.Now(), storeAnswers: true}
+		m.pingStates[id+":1"] = &pingState{quietSince: clock.Now(), storeReachable: true}
 	}
-	first, found := m.Rescuer("p", 0)
+	first, found := m.TakeoverTarget("p", 0)
 	g.Expect(found).To(BeTrue())
-	second, _ := m.Rescuer("p", 1)
+	second, _ := m.TakeoverTarget("p", 1)
 	g.Expect(second.Daemon).NotTo(Equal(first.Daemon))
-	third, _ := m.Rescuer("p", 2)
+	third, _ := m.TakeoverTarget("p", 2)
 	g.Expect(third.Daemon).To(Equal(first.Daemon))
-	m.contacts[first.Address].storeAnswers = false
+	m.pingStates[first.Address].storeReachable = false
 	for asked := range 3 {
-		next, _ := m.Rescuer("p", asked)
+		next, _ := m.TakeoverTarget("p", asked)
 		g.Expect(next.Daemon).To(Equal(second.Daemon))
 	}
-	m.contacts[second.Address].silentFrom = clock.Now()
-	_, found = m.Rescuer("p", 0)
+	m.pingStates[second.Address].failingSince = clock.Now()
+	_, found = m.TakeoverTarget("p", 0)
 	g.Expect(found).To(BeFalse())
 }
 
@@ -193,22 +193,22 @@
 			g := NewWithT(t)
 			clock := fakeclock.New()
 			m := quorum(clock)
-			m.owners["p"] = ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Life: 1, Fence: 5}
+			m.owners["p"] = ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Incarnation: 1, Fence: 5}
 			for id, l := range m.live {
 				l.Cores = 2
 				if cores := c.cores[id]; cores > 0 {
 					l.Cores = cores
 				}
-				m.live[id], m.lastLive[id] = l, l
-				m.contacts[l.Address] = &contact{answered: clock.Now(), storeAnswers: true}
+				m.live[id], m.lastKnown[id] = l, l
+				m.pingStates[l.Address] = &pingState{quietSince: clock.Now(), storeReachable: true}
 				if c.silent {
-					m.contacts[l.Address].silentFrom = clock.Now()
+					m.pingStates[l.Address].failingSince = clock.Now()
 				}
 			}
 			for pool, owner := range c.pools {
-				m.owners[pool] = ledger.Owner{Pool: pool, Daemon: owner, Life: 1}
+				m.owners[pool] = ledger.Owner{Pool: pool, Daemon: owner, Incarnation: 1}
 			}
-			l, found := m.Relief("p")
+			l, found := m.FasterSuccessor("p")
 			g.Expect(found).To(Equal(c.want != ""))
 			g.Expect(l.Daemon).To(Equal(c.want))
 		})
--- a/member/watcher.go
+++ b/member/watcher.go
@@ -39,22 +39,22 @@
 		done   chan struct{}
 
 		mu sync.Mutex
-		// settled is since when every read has been answered; zero while not.
-		settled time.Time
-		// stopWatch ends the watch that is under way.
-		stopWatch context.CancelFunc
-		// refreshed is when Refresh last had all items read anew.
-		refreshed time.Time
+		// answeringSince is since when every read has been answered; zero while not.
+		answeringSince time.Time
+		// cancelWatch ends the watch that is under way.
+		cancelWatch context.CancelFunc
+		// lastRefresh is when Refresh last had all items read anew.
+		lastRefresh time.Time
 	}
 )
 
 const (
-	// watchRetryFirst and watchRetryMost bound the pause after a failed read;
+	// watchRetryMin and watchRetryMost bound the pause after a failed read;
 	// the pauses are jittered, so that daemons do not return all at once.
-	watchRetryFirst = 100 * time.Millisecond
-	watchRetryMost  = 500 * time.Millisecond
-	// refreshGap is the least time between two reads that Refresh asks for.
-	refreshGap = 600 * time.Millisecond
+	watchRetryMin = 100 * time.Millisecond
+	watchRetryMax = 500 * time.Millisecond
+	// refreshMinInterval is the least time between two reads that Refresh asks for.
+	refreshMinInterval = 600 * time.Millisecond
 )
 
 // errRefresh ends a watch because all is to be read anew.
@@ -77,12 +77,12 @@
 	<-w.done
 }
 
-// Settled is since when the store has answered without a break; zero if it
+// AnsweringSince is since when the store has answered without a break; zero if it
 // does not answer.
-func (w *Watcher) Settled() time.Time {
+func (w *Watcher) AnsweringSince() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.settled
+	return w.answeringSince
 }
 
 // Refresh has all items read anew, because somebody knows of one that the watch
@@ -91,18 +91,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.config.Clock.Now()
-	if w.stopWatch == nil || now.Sub(w.refreshed) < refreshGap {
+	if w.cancelWatch == nil || now.Sub(w.lastRefresh) < refreshMinInterval {
 		return
 	}
-	w.refreshed = now
+	w.lastRefresh = now
 	w.config.Log.Info("watch: silent, read anew", zap.String("prefix", string(w.config.Prefix)))
-	w.stopWatch()
+	w.cancelWatch()
 }
 
 func (w *Watcher) run(ctx context.Context) {
-	pause := watchRetryFirst
+	pause := watchRetryMin
 	for ctx.Err() == nil {
-		err := w.follow(ctx, func() { pause = watchRetryFirst })
+		err := w.follow(ctx, func() { pause = watchRetryMin })
 		if ctx.Err() != nil {
 			return
 		}
@@ -113,9 +113,9 @@
 			w.config.Log.Info("watch: history is gone, read anew", zap.String("prefix", string(w.config.Prefix)))
 			continue
 		}
-		w.unsettle(err)
+		w.markFailing(err)
 		jittered := pause/2 + rand.N(pause)
-		pause = min(2*pause, watchRetryMost)
+		pause = min(2*pause, watchRetryMax)
 		select {
 		case <-ctx.Done():
 		case <-w.config.Clock.After(jittered):
@@ -130,7 +130,7 @@
 		return err
 	}
 	answered()
-	w.settle()
+	w.markAnswering()
 	items := make(map[tw.Key]tw.KVItem, len(list))
 	for _, item := range list {
 		items[item.Key] = item
@@ -142,7 +142,7 @@
 			return err
 		}
 		at = max(at, next)
-		if apply(items, events) {
+		if applyEvents(items, events) {
 			w.config.Changed(items, at)
 		}
 		gap := w.config.Gap + time.Duration(len(items))*w.config.ItemGap
@@ -160,8 +160,8 @@
 func (w *Watcher) watch(ctx context.Context, at tw.KVRevision) ([]tw.KVEvent, tw.KVRevision, error) {
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	w.setStop(stop)
-	defer w.setStop(nil)
+	w.setCancelWatch(stop)
+	defer w.setCancelWatch(nil)
 	events, next, err := w.config.KV.Watch(watchCtx, w.config.Prefix, at, w.config.Wait)
 	if err != nil && watchCtx.Err() != nil && ctx.Err() == nil {
 		return nil, 0, errRefresh
@@ -169,14 +169,14 @@
 	return events, next, err
 }
 
-func (w *Watcher) setStop(stop context.CancelFunc) {
+func (w *Watcher) setCancelWatch(stop context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stopWatch = stop
+	w.cancelWatch = stop
 }
 
-// apply takes events into the items; it tells whether anything changed.
-func apply(items map[tw.Key]tw.KVItem, events []tw.KVEvent) bool {
+// applyEvents takes events into the items; it tells whether anything changed.
+func applyEvents(items map[tw.Key]tw.KVItem, events []tw.KVEvent) bool {
 	changed := false
 	for _, e := range events {
 		have, found := items[e.Item.Key]
@@ -193,20 +193,20 @@
 	return changed
 }
 
-func (w *Watcher) settle() {
+func (w *Watcher) markAnswering() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.settled.IsZero() {
-		w.settled = w.config.Clock.Now()
+	if w.answeringSince.IsZero() {
+		w.answeringSince = w.config.Clock.Now()
 		w.config.Log.Info("watch: store answers", zap.String("prefix", string(w.config.Prefix)))
 	}
 }
 
-func (w *Watcher) unsettle(err error) {
+func (w *Watcher) markFailing(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.settled.IsZero() {
-		w.settled = time.Time{}
+	if !w.answeringSince.IsZero() {
+		w.answeringSince = time.Time{}
 		w.config.Log.Warn("watch: store does not answer", zap.String("prefix", string(w.config.Prefix)), logsink.Err(err))
 	}
 }
--- a/member/watcher_test.go
+++ b/member/watcher_test.go
@@ -53,7 +53,7 @@
 				}.New()
 				defer w.Close()
 				time.Sleep(100 * time.Millisecond)
-				g.Expect(w.Settled().IsZero()).To(BeFalse())
+				g.Expect(w.AnsweringSince().IsZero()).To(BeFalse())
 				c.happen(kv)
 				time.Sleep(2 * time.Second)
 				last := "nothing was shown"
@@ -72,7 +72,7 @@
 		g := NewWithT(t)
 		kv := standin.KVConfig{Latency: time.Millisecond}.New()
 		p := member.PresenceConfig{
-			KV: kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Self: member.Live{Daemon: "a"}, MinTTL: time.Second,
+			KV: kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Self: member.DaemonRecord{Daemon: "a"}, MinTTL: time.Second,
 		}.New()
 		there := func() bool {
 			_, err := kv.Get(t.Context(), "tw/member/live/a")
@@ -111,6 +111,6 @@
 		g.Expect(shown).To(HaveLen(2))
 		g.Expect(<-shown).To(BeEmpty())
 		g.Expect(<-shown).To(Equal("one"))
-		g.Expect(w.Settled().IsZero()).To(BeFalse())
+		g.Expect(w.AnsweringSince().IsZero()).To(BeFalse())
 	})
 }
--- a/organisation.go
+++ b/organisation.go
@@ -26,9 +26,9 @@
 		// Weight is the share when all is full, and how many submissions a second
 		// are owed service.
 		Weight float64 `json:"weight"`
-		// Maximum is what may run over all workers; a resource that is zero has no
+		// UsageCap is what may run over all workers; a resource that is zero has no
 		// limit.
-		Maximum Resources `json:"maximum"`
+		UsageCap Resources `json:"maximum"`
 	}
 )
 
@@ -60,7 +60,7 @@
 func (o *Organisation) Fits(s *Submission) bool {
 	for i := range s.Steps {
 		step := &s.Steps[i]
-		if step.Gang && !o.Maximum.Allows(step.Need.Times(step.Count)) {
+		if step.Gang && !o.UsageCap.Allows(step.Need.Times(step.Count)) {
 			return false
 		}
 	}
@@ -68,4 +68,4 @@
 }
 
 // Capped tells whether the organisation has a usage cap.
-func (o *Organisation) Capped() bool { return o.Maximum != Resources{} }
+func (o *Organisation) Capped() bool { return o.UsageCap != Resources{} }
--- a/plan.go
+++ b/plan.go
@@ -10,14 +10,14 @@
 		Epoch      Epoch        `json:"epoch"`
 		Revision   Revision     `json:"revision"` // configuration it follows
 		Instances  []Assignment `json:"instances"`
-		// SetAside lists the jobs that can run nowhere, with the reason.
-		SetAside []SetAside `json:"set_aside,omitempty"`
+		// Unplaced lists the jobs that can run nowhere, with the reason.
+		Unplaced []UnplacedJob `json:"set_aside,omitempty"`
 		// SparesNeeded is how many spares the hall should hold.
 		SparesNeeded int `json:"spares_needed"`
 	}
 
-	// SetAside is a job that the hall cannot place.
-	SetAside struct {
+	// UnplacedJob is a job that the hall cannot place.
+	UnplacedJob struct {
 		Job    JobID  `json:"job"`
 		Reason Reason `json:"reason"`
 	}
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// After tells whether the plan was written after another one of its hall.
-func (p *Plan) After(q *Plan) bool {
+// NewerThan tells whether the plan was written after another one of its hall.
+func (p *Plan) NewerThan(q *Plan) bool {
 	if p.Generation != q.Generation {
 		return p.Generation > q.Generation
 	}
@@ -50,6 +50,6 @@
 		a.Waves = append([]WaveID(nil), a.Waves...)
 		c.Instances[i] = a
 	}
-	c.SetAside = append([]SetAside(nil), p.SetAside...)
+	c.Unplaced = append([]UnplacedJob(nil), p.Unplaced...)
 	return c
 }
--- a/pool.go
+++ b/pool.go
@@ -13,7 +13,7 @@
 	MinSize int `toml:"min_size"`
 }
 
-func (p *Pool) validate(at string, faults *Faults) {
+func (p *Pool) validate(at string, faults *ValidationErrors) {
 	if p.ID == "" {
 		faults.Add(at+".id", "is missing")
 	}
--- a/queue/busy_test.go
+++ b/queue/busy_test.go
@@ -32,7 +32,7 @@
 		answers: []error{errBusy}, keptBefore: true, kept: true, within: 20 * time.Millisecond,
 	},
 	"is not said to be refused after a try that is unclear": {
-		answers: []error{tw.ErrUnclear, errBusy}, kept: true, within: 20 * time.Millisecond,
+		answers: []error{tw.ErrAmbiguous, errBusy}, kept: true, within: 20 * time.Millisecond,
 	},
 	"is taken once the owner takes it": {answers: []error{nil}, within: 20 * time.Millisecond},
 }
@@ -46,7 +46,7 @@
 				defer end()
 				s := tw.Submission{ID: "00000000000000aa", Policy: tw.RoutePolicy{Pool: "p"}}
 				if c.keptBefore {
-					_, err := r.KV.Commit(t.Context(), ledger.AcceptUnowned(&s))
+					_, err := r.KV.Commit(t.Context(), ledger.AcceptViaInbox(&s))
 					g.Expect(err).NotTo(HaveOccurred())
 				}
 				answers := c.answers
@@ -59,11 +59,11 @@
 				g.Expect(time.Since(began)).To(BeNumerically("<=", c.within))
 				if c.busy {
 					g.Expect(err).To(Equal(errBusy))
-					g.Expect(notTaken(err)).To(BeTrue())
+					g.Expect(notApplied(err)).To(BeTrue())
 				} else {
 					g.Expect(err).NotTo(HaveOccurred())
 				}
-				_, err = ledger.Find(t.Context(), r.KV, s.ID)
+				_, err = ledger.FindSubmission(t.Context(), r.KV, s.ID)
 				g.Expect(err == nil).To(Equal(c.kept))
 			})
 		})
@@ -107,7 +107,7 @@
 		time.Sleep(time.Second)
 		g.Expect(submit("00000000000000ab")).To(HaveOccurred())
 		g.Expect(asked).To(Equal(2))
-		_, err := ledger.Find(t.Context(), r.KV, "00000000000000aa")
+		_, err := ledger.FindSubmission(t.Context(), r.KV, "00000000000000aa")
 		g.Expect(err).To(MatchError(tw.ErrNotFound))
 	})
 }
@@ -129,12 +129,12 @@
 		answer = run.ErrNotOwner
 		err := submit("00000000000000ab")
 		g.Expect(errors.HasType(err, errBusy)).To(BeTrue())
-		g.Expect(notTaken(err)).To(BeTrue())
-		_, err = ledger.Find(t.Context(), r.KV, "00000000000000ab")
+		g.Expect(notApplied(err)).To(BeTrue())
+		_, err = ledger.FindSubmission(t.Context(), r.KV, "00000000000000ab")
 		g.Expect(err).To(MatchError(tw.ErrNotFound))
 		time.Sleep(4 * time.Second)
 		g.Expect(submit("00000000000000ac")).To(Succeed())
-		_, err = ledger.Find(t.Context(), r.KV, "00000000000000ac")
+		_, err = ledger.FindSubmission(t.Context(), r.KV, "00000000000000ac")
 		g.Expect(err).NotTo(HaveOccurred())
 	})
 }
--- a/queue/cap_test.go
+++ b/queue/cap_test.go
@@ -41,7 +41,7 @@
 			if c.before {
 				g.Expect(g.callWith([]string{redKey}, http.MethodPost, "/x/"+goodID, c.body).Code).To(Equal(http.StatusOK))
 			}
-			g.config.Organisations[0].Maximum = c.maximum
+			g.config.Organisations[0].UsageCap = c.maximum
 			w := g.callWith([]string{redKey}, http.MethodPost, "/x/"+goodID, c.body)
 			g.Expect(w.Code).To(Equal(c.status), w.Body.String())
 			g.Expect(w.Header().Get("Retry-After") != "").To(Equal(c.status == http.StatusServiceUnavailable))
--- a/queue/handler.go
+++ b/queue/handler.go
@@ -40,11 +40,11 @@
 		Codec  Codec
 		// Config is the configuration in force; nil if there is none yet.
 		Config func() *tw.QueueConfig
-		// Keyed: the deployment has organisations, whose callers show a key.
-		Keyed   bool
-		Clock   tw.Clock
-		Log     *zap.Logger
-		Metrics *metrics.Set
+		// RequireKeys: the deployment has organisations, whose callers show a key.
+		RequireKeys bool
+		Clock       tw.Clock
+		Log         *zap.Logger
+		Metrics     *metrics.Set
 	}
 
 	// Handler serves callers.
@@ -63,8 +63,8 @@
 	// answerMargin is left of a caller's time when a request is given up, for
 	// the way of the answer.
 	answerMargin = 200 * time.Millisecond
-	// leastTime is what a request is given however little its caller says.
-	leastTime = 100 * time.Millisecond
+	// minRequestTime is what a request is given however little its caller says.
+	minRequestTime = 100 * time.Millisecond
 	// retryAfter tells callers when to come back, in seconds: outages of the
 	// store and changes of owners last about so long.
 	retryAfter = "1"
@@ -77,8 +77,8 @@
 // New makes the handler.
 func (c HandlerConfig) New() *Handler { return &Handler{HandlerConfig: c} }
 
-// asks is the question for a submission of the caller's.
-func (t target) asks(id tw.SubmissionID) member.SubmissionRequest {
+// submissionRequest is the question for a submission of the caller's.
+func (t target) submissionRequest(id tw.SubmissionID) member.SubmissionRequest {
 	return member.SubmissionRequest{Pool: t.route.Policy.Pool, ID: id, Organisation: t.organisation()}
 }
 
@@ -121,7 +121,7 @@
 	if route.Timeout > 0 {
 		allowed = min(allowed, route.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), max(leastTime, allowed-answerMargin))
+	ctx, cancel := context.WithTimeout(r.Context(), max(minRequestTime, allowed-answerMargin))
 	defer cancel()
 	h.serve(ctx, w, r, target{config: config, route: route, caller: caller})
 }
@@ -129,7 +129,7 @@
 // caller is the organisation that a request comes from: nobody where no key is asked
 // for. It is false for a request whose key opens nothing.
 func (h *Handler) caller(r *http.Request, config *tw.QueueConfig, route *tw.QueueRoute) (*tw.Organisation, bool) {
-	if !h.Keyed || route.Public {
+	if !h.RequireKeys || route.Public {
 		return nil, true
 	}
 	key, single := h.Codec.Key(r)
@@ -179,7 +179,7 @@
 	s.Organisation = t.organisation()
 	s.Policy = t.route.Policy
 	s.Accepted = h.Clock.Now()
-	if t.caller != nil && !t.caller.Fits(&s) && !h.Router.Kept(ctx, &s) {
+	if t.caller != nil && !t.caller.Fits(&s) && !h.Router.Stored(ctx, &s) {
 		w.Header().Set("Retry-After", capRetryAfter)
 		h.refuse(w, r, http.StatusServiceUnavailable, "not taken: a gang of it asks for more than the organisation's usage cap")
 		return
@@ -189,8 +189,8 @@
 	h.Metrics.GetOrCreateHistogram("tamarind_submit_seconds").Update(h.Clock.Now().Sub(began).Seconds())
 	switch {
 	case err == nil:
-		h.answer(w, r, h.Codec.State(tw.Waiting))
-	case notTaken(err):
+		h.answer(w, r, h.Codec.State(tw.SubmissionWaiting))
+	case notApplied(err):
 		if busy := (*run.BusyError)(nil); errors.As(err, &busy) {
 			w.Header().Set("Retry-After", wholeSeconds(busy.RetryAfter))
 		}
@@ -201,7 +201,7 @@
 }
 
 func (h *Handler) state(ctx context.Context, w http.ResponseWriter, r *http.Request, t target, id tw.SubmissionID) {
-	state, err := h.Router.State(ctx, t.asks(id))
+	state, err := h.Router.State(ctx, t.submissionRequest(id))
 	switch {
 	case err == nil:
 		h.answer(w, r, h.Codec.State(state))
@@ -213,10 +213,10 @@
 }
 
 func (h *Handler) cancel(ctx context.Context, w http.ResponseWriter, r *http.Request, t target, id tw.SubmissionID) {
-	err := h.Router.Cancel(ctx, t.asks(id))
+	err := h.Router.Cancel(ctx, t.submissionRequest(id))
 	switch {
 	case err == nil:
-		h.answer(w, r, h.Codec.State(tw.Cancelled))
+		h.answer(w, r, h.Codec.State(tw.SubmissionCancelled))
 	case errors.Is(err, run.ErrUnknown):
 		h.refuse(w, r, http.StatusGone, "no such submission")
 	default:
--- a/queue/handler_test.go
+++ b/queue/handler_test.go
@@ -66,7 +66,7 @@
 }
 
 func (g *gate) kept() bool {
-	_, err := ledger.Find(g.t.Context(), g.kv, goodID)
+	_, err := ledger.FindSubmission(g.t.Context(), g.kv, goodID)
 	return err == nil
 }
 
@@ -141,11 +141,11 @@
 }{
 	"done":        {want: member.OutcomeDone},
 	"not owner":   {err: run.ErrNotOwner, want: member.OutcomeNotOwner},
-	"unavailable": {err: tw.ErrUnavailable, want: member.OutcomeNotTaken},
-	"over rate":   {err: tw.ErrRateLimited, want: member.OutcomeNotTaken},
+	"unavailable": {err: tw.ErrUnavailable, want: member.OutcomeNotApplied},
+	"over rate":   {err: tw.ErrRateLimited, want: member.OutcomeNotApplied},
 	"busy":        {err: &run.BusyError{RetryAfter: time.Second}, want: member.OutcomeBusy},
 	"unknown":     {err: run.ErrUnknown, want: member.OutcomeUnknown},
-	"unclear":     {err: tw.ErrUnclear, want: member.OutcomeUnclear},
+	"unclear":     {err: tw.ErrAmbiguous, want: member.OutcomeAmbiguous},
 }
 
 func TestOutcomes(t *testing.T) {
@@ -155,7 +155,7 @@
 			g.Expect(queue.OutcomeOf(c.err)).To(Equal(c.want))
 			back := queue.ErrorOf(c.want)
 			g.Expect(back == nil).To(Equal(c.err == nil))
-			g.Expect(tw.SurelyNotDone(back)).To(Equal(tw.SurelyNotDone(c.err)))
+			g.Expect(tw.NotApplied(back)).To(Equal(tw.NotApplied(c.err)))
 		})
 	}
 }
--- a/queue/keys_test.go
+++ b/queue/keys_test.go
@@ -26,7 +26,7 @@
 // key and a public one.
 func newKeyedGate(t *testing.T) *gate {
 	g := newGate(t)
-	g.handler.Keyed = true
+	g.handler.RequireKeys = true
 	g.config.Routes = append(g.config.Routes, tw.QueueRoute{
 		Host: "a.example", Prefix: "/open/", Public: true, Policy: tw.RoutePolicy{Route: "o", Pool: "p", Attempts: 1},
 	})
@@ -129,7 +129,7 @@
 			g.Expect(theirs.Body.String()).To(Equal(none.Body.String()))
 		}
 		g.Expect(g.callWith(other.keys, http.MethodPost, other.path+goodID, goodBody).Code).To(Equal(http.StatusServiceUnavailable))
-		record, err := ledger.Find(t.Context(), g.kv, goodID)
+		record, err := ledger.FindSubmission(t.Context(), g.kv, goodID)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(record.Organisation).To(Equal(tw.OrganisationID("red")))
 		g.Expect(g.callWith([]string{redKey + "2"}, http.MethodGet, "/x/"+goodID, "").Code).To(Equal(http.StatusOK))
--- a/queue/reach_test.go
+++ b/queue/reach_test.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	<-ctx.Done()
-	return tw.ErrUnclear
+	return tw.ErrAmbiguous
 }
 
 func (k *mutedKV) Commit(ctx context.Context, txn tw.KVTxn) (tw.KVRevision, error) {
@@ -49,19 +49,19 @@
 type cutDaemon struct {
 	*Router
 	kv     *mutedKV
-	others *membertest.Others
+	others *membertest.Peers
 }
 
 // cutNow makes everything outside the daemon silent.
 func (d *cutDaemon) cutNow() {
 	d.kv.muted.Store(true)
-	d.others.Cut.Store(true)
+	d.others.Unresponsive.Store(true)
 }
 
 func startCutDaemon() (d *cutDaemon, end func()) {
-	d = &cutDaemon{kv: &mutedKV{KV: standin.KVConfig{Latency: time.Millisecond}.New()}, others: &membertest.Others{}}
-	membertest.Announce(d.kv.KV, member.Live{Daemon: "b", Life: 1, Address: "b:1", Hall: "far"})
-	members, end := membertest.StartAmong(d.kv, member.Live{Daemon: "a", Life: 1, Address: "a:1", Hall: "near"}, d.others)
+	d = &cutDaemon{kv: &mutedKV{KV: standin.KVConfig{Latency: time.Millisecond}.New()}, others: &membertest.Peers{}}
+	membertest.Announce(d.kv.KV, member.DaemonRecord{Daemon: "b", Incarnation: 1, Address: "b:1", Hall: "far"})
+	members, end := membertest.StartWithPeers(d.kv, member.DaemonRecord{Daemon: "a", Incarnation: 1, Address: "a:1", Hall: "near"}, d.others)
 	d.Router = RouterConfig{Pools: noOwners{}, Members: members, KV: d.kv, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
 	time.Sleep(2 * time.Second)
 	return d, end
@@ -93,8 +93,8 @@
 	},
 	"an owner that is known not to answer is not asked": {
 		befall: func(d *cutDaemon) {
-			d.Members.Took(ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Life: 1, Fence: 3})
-			d.others.Cut.Store(true)
+			d.Members.RecordOwner(ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Incarnation: 1, Fence: 3})
+			d.others.Unresponsive.Store(true)
 			time.Sleep(2 * time.Second)
 		},
 		taken: true, within: 10 * time.Millisecond,
@@ -118,7 +118,7 @@
 				err := d.Submit(ctx, tw.Submission{ID: "5c0e7a21d94b36f8", Policy: tw.RoutePolicy{Pool: "p"}})
 				g.Expect(time.Since(began)).To(BeNumerically("<=", c.within))
 				g.Expect(err == nil).To(Equal(c.taken))
-				g.Expect(err != nil && notTaken(err)).To(Equal(c.proved))
+				g.Expect(err != nil && notApplied(err)).To(Equal(c.proved))
 			})
 		})
 	}
--- a/queue/router.go
+++ b/queue/router.go
@@ -53,11 +53,11 @@
 	// peerTimeout bounds one call to an owner: a submission takes two round
 	// trips of 2 ms and a write of 4 ms, or of 240 ms in a slow store.
 	peerTimeout = 900 * time.Millisecond
-	// routeRetry is the pause before an owner is looked for again.
-	routeRetry = 60 * time.Millisecond
-	// countAge is how old a count of waiting submissions may be; the platform
+	// retryDelay is the pause before an owner is looked for again.
+	retryDelay = 60 * time.Millisecond
+	// countMaxAge is how old a count of waiting submissions may be; the platform
 	// allows 2 s.
-	countAge = 1500 * time.Millisecond
+	countMaxAge = 1500 * time.Millisecond
 )
 
 // errIsolated proves that nothing was sent: nothing would answer.
@@ -75,14 +75,14 @@
 }
 
 func (r *Router) submit(ctx context.Context, s tw.Submission, toOwner func(context.Context, tw.Submission) error) error {
-	ctx, stop := r.Members.WhileConnected(ctx)
+	ctx, stop := r.Members.ContextUntilIsolated(ctx)
 	defer stop()
 	unclear := false
 	for {
 		if r.Members.Isolated() && !unclear {
 			return errIsolated
 		}
-		err := r.knownBusy(s.Policy.Pool)
+		err := r.cachedBusy(s.Policy.Pool)
 		if err == nil {
 			err = toOwner(ctx, s)
 		}
@@ -91,28 +91,28 @@
 		}
 		if busy := (*run.BusyError)(nil); errors.As(err, &busy) {
 			// The store would keep what the owner can't start in time.
-			r.noteBusy(s.Policy.Pool, busy)
-			err = r.keptOr(ctx, s, busy)
+			r.recordBusy(s.Policy.Pool, busy)
+			err = r.nilIfStored(ctx, s, busy)
 		} else {
-			unclear = unclear || !notTaken(err)
-			err = r.keepWithoutOwner(ctx, s)
+			unclear = unclear || !notApplied(err)
+			err = r.submitWithoutOwner(ctx, s)
 		}
 		if err == nil {
 			return nil
 		}
-		unclear = unclear || !notTaken(err)
+		unclear = unclear || !notApplied(err)
 		if !unclear {
 			return err
 		}
-		if !r.pause(ctx) {
-			return errors.Wrap(tw.ErrUnclear, "queue: submission")
+		if !r.waitRetry(ctx) {
+			return errors.Wrap(tw.ErrAmbiguous, "queue: submission")
 		}
 	}
 }
 
-// notTaken tells whether an error proves that nothing was done.
-func notTaken(err error) bool {
-	return tw.SurelyNotDone(err) || errors.Is(err, run.ErrNotOwner) || errors.Is(err, tw.ErrGone)
+// notApplied tells whether an error proves that nothing was done.
+func notApplied(err error) bool {
+	return tw.NotApplied(err) || errors.Is(err, run.ErrNotOwner) || errors.Is(err, tw.ErrNotListening)
 }
 
 func (r *Router) submitToOwner(ctx context.Context, s tw.Submission) error {
@@ -145,7 +145,7 @@
 	if !found {
 		return owner, errors.Wrap(run.ErrNotOwner, "queue: the pool has no owner")
 	}
-	if r.Members.Silent(owner.Address) {
+	if r.Members.Unresponsive(owner.Address) {
 		return owner, errors.Wrap(run.ErrNotOwner, "queue: the pool's owner does not answer")
 	}
 	return owner, nil
@@ -154,10 +154,10 @@
 // submitToStore keeps a submission without the pool's owner, which finds it
 // in its inbox.
 func (r *Router) submitToStore(ctx context.Context, s tw.Submission) error {
-	_, err := r.KV.Commit(ctx, ledger.AcceptUnowned(&s))
-	var conflict *tw.KVConflict
+	_, err := r.KV.Commit(ctx, ledger.AcceptViaInbox(&s))
+	var conflict *tw.KVConflictError
 	if errors.As(err, &conflict) {
-		return keptAlready(conflict, &s)
+		return resolveDuplicate(conflict, &s)
 	}
 	if err == nil {
 		r.Log.Info("submission: kept without the owner", zap.String("submission", string(s.ID)),
@@ -166,10 +166,10 @@
 	return err
 }
 
-// keptAlready tells what it means for a submission that its id is taken: nothing if it was
+// resolveDuplicate tells what it means for a submission that its id is taken: nothing if it was
 // kept before. One of another organisation is not to be told of; as far as the caller can
 // tell, its own was not taken.
-func keptAlready(conflict *tw.KVConflict, s *tw.Submission) error {
+func resolveDuplicate(conflict *tw.KVConflictError, s *tw.Submission) error {
 	record, err := ledger.DecodeRecord(conflict.Find(ledger.SubmissionKey(s.ID)))
 	if err == nil && record.Organisation != s.Organisation {
 		return errors.Wrap(tw.ErrUnavailable, "queue: the store does not take it")
@@ -179,11 +179,11 @@
 
 // Cancel cancels a submission. It fails with run.ErrUnknown if there is none.
 func (r *Router) Cancel(ctx context.Context, m member.SubmissionRequest) error {
-	ctx, stop := r.Members.WhileConnected(ctx)
+	ctx, stop := r.Members.ContextUntilIsolated(ctx)
 	defer stop()
 	for {
 		err := r.cancelOnce(ctx, m)
-		if err == nil || errors.Is(err, run.ErrUnknown) || !r.pause(ctx) {
+		if err == nil || errors.Is(err, run.ErrUnknown) || !r.waitRetry(ctx) {
 			return err
 		}
 	}
@@ -194,7 +194,7 @@
 	if err == nil {
 		return nil
 	}
-	record, findErr := ledger.Find(ctx, r.KV, m.ID)
+	record, findErr := ledger.FindSubmission(ctx, r.KV, m.ID)
 	switch {
 	case errors.Is(findErr, tw.ErrNotFound):
 		return run.ErrUnknown
@@ -211,7 +211,7 @@
 			return nil
 		}
 	}
-	_, err = r.KV.Commit(ctx, ledger.AskCancel(record.Pool, m.ID))
+	_, err = r.KV.Commit(ctx, ledger.CancelViaInbox(record.Pool, m.ID))
 	return err
 }
 
@@ -241,11 +241,11 @@
 			return state, nil
 		}
 	}
-	ctx, stop := r.Members.WhileConnected(ctx)
+	ctx, stop := r.Members.ContextUntilIsolated(ctx)
 	defer stop()
 	for {
 		state, err := r.stateOnce(ctx, m)
-		if err == nil || errors.Is(err, run.ErrUnknown) || !r.pause(ctx) {
+		if err == nil || errors.Is(err, run.ErrUnknown) || !r.waitRetry(ctx) {
 			return state, err
 		}
 	}
@@ -256,7 +256,7 @@
 	if err == nil {
 		return state, nil
 	}
-	record, err := ledger.Find(ctx, r.KV, m.ID)
+	record, err := ledger.FindSubmission(ctx, r.KV, m.ID)
 	switch {
 	case errors.Is(err, tw.ErrNotFound):
 		return "", run.ErrUnknown
@@ -283,9 +283,9 @@
 		return "", err
 	}
 	if progress.Finished > 0 || len(progress.Repetitions) > 0 {
-		return tw.Started, nil
+		return tw.SubmissionStarted, nil
 	}
-	return tw.Waiting, nil
+	return tw.SubmissionWaiting, nil
 }
 
 func (r *Router) stateAtOwner(ctx context.Context, m member.SubmissionRequest) (tw.SubmissionState, error) {
@@ -316,7 +316,7 @@
 		r.counts[route] = waitingCount{count: count, at: asked}
 		return count, nil
 	}
-	if last, known := r.counts[route]; known && r.Clock.Now().Sub(last.at) <= countAge {
+	if last, known := r.counts[route]; known && r.Clock.Now().Sub(last.at) <= countMaxAge {
 		return last.count, nil
 	}
 	return 0, err
@@ -339,12 +339,12 @@
 	return resp.Count, ErrorOf(resp.Outcome)
 }
 
-// pause waits before the next try; false if there is no time for one.
-func (r *Router) pause(ctx context.Context) bool {
+// waitRetry waits before the next try; false if there is no time for one.
+func (r *Router) waitRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-r.Clock.After(routeRetry):
+	case <-r.Clock.After(retryDelay):
 		return ctx.Err() == nil
 	}
 }
@@ -356,14 +356,14 @@
 		return nil
 	case member.OutcomeNotOwner:
 		return run.ErrNotOwner
-	case member.OutcomeNotTaken:
+	case member.OutcomeNotApplied:
 		return tw.ErrUnavailable
 	case member.OutcomeBusy:
 		return &run.BusyError{}
 	case member.OutcomeUnknown:
 		return run.ErrUnknown
 	}
-	return tw.ErrUnclear
+	return tw.ErrAmbiguous
 }
 
 // OutcomeOf is the outcome that an error of an Owner stands for.
@@ -375,10 +375,10 @@
 		return member.OutcomeNotOwner
 	case errors.HasType(err, (*run.BusyError)(nil)):
 		return member.OutcomeBusy
-	case tw.SurelyNotDone(err):
-		return member.OutcomeNotTaken
+	case tw.NotApplied(err):
+		return member.OutcomeNotApplied
 	case errors.Is(err, run.ErrUnknown):
 		return member.OutcomeUnknown
 	}
-	return member.OutcomeUnclear
+	return member.OutcomeAmbiguous
 }
--- a/queue/router_test.go
+++ b/queue/router_test.go
@@ -23,7 +23,7 @@
 // lonely is a router of a daemon that knows of no owner.
 func lonely() (r *Router, end func()) {
 	kv := standin.KVConfig{Latency: time.Millisecond}.New()
-	members, end := membertest.Start(kv, member.Live{Daemon: "a", Life: 1, Address: "a:1"})
+	members, end := membertest.Start(kv, member.DaemonRecord{Daemon: "a", Incarnation: 1, Address: "a:1"})
 	r = RouterConfig{Pools: noOwners{}, Members: members, KV: kv, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
 	return r, end
 }
--- a/queue_config.go
+++ b/queue_config.go
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Parking finds the pool whose machines are off, or nil.
-func (c *QueueConfig) Parking() *QueuePool {
+// ParkingPool finds the pool whose machines are off, or nil.
+func (c *QueueConfig) ParkingPool() *QueuePool {
 	for i := range c.Pools {
 		if c.Pools[i].Parking {
 			return &c.Pools[i]
--- a/relay.go
+++ b/relay.go
@@ -22,7 +22,7 @@
 	// RelayedAnswer is what became of one order of a batch.
 	RelayedAnswer struct {
 		Index int // of the order in the batch
-		Clock WorkerClock
+		Clock WorkerTime
 		// Err is as for WorkerOrders, or ErrSpecUnknown.
 		Err error
 	}
