--- a/relay/load.go
+++ b/relay/load.go
@@ -7,22 +7,22 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// load tells whether a daemon is short of its link: when it sends much of what that could
+// linkLoad tells whether a daemon is short of its link: when it sends much of what that could
 // carry, and workers seem slow to answer. Slow workers alone are no reason, nor is a lack of
 // processor time, which a batch and its answers take as well.
-type load struct {
-	// most is about how many starts a second the link could carry; infinite if that is
+type linkLoad struct {
+	// maxRate is about how many starts a second the link could carry; infinite if that is
 	// not known.
-	most float64
-	// took is the smoothed time of a direct start, open those that are not answered.
-	took time.Duration
-	open int
+	maxRate float64
+	// latency is the smoothed time of a direct start, open those that are not answered.
+	latency  time.Duration
+	inFlight int
 	// endedAt is when a direct start last came to an end.
 	endedAt time.Time
-	// count decays with rateTime and counts the starts up to countedAt.
-	count     float64
-	countedAt time.Time
-	relaying  bool
+	// decayedCount decays with rateTime and counts the starts up to countedAt.
+	decayedCount float64
+	countedAt    time.Time
+	relaying     bool
 	// busyAt is when the daemon last was asked for many starts.
 	busyAt time.Time
 }
@@ -32,67 +32,67 @@
 	// could carry of such is many.
 	orderBytes = 730
 	busyShare  = 0.2
-	// slowStart is how long a direct start takes at a daemon that is short.
-	slowStart = 25 * time.Millisecond
-	// rateTime is over what the rate of starts is smoothed.
-	rateTime = 250 * time.Millisecond
-	// calmTime is how long there must be few starts before all are given directly again.
-	calmTime = time.Second
+	// slowStartLatency is how long a direct start takes at a daemon that is short.
+	slowStartLatency = 25 * time.Millisecond
+	// rateWindow is over what the rate of starts is smoothed.
+	rateWindow = 250 * time.Millisecond
+	// relayHoldTime is how long there must be few starts before all are given directly again.
+	relayHoldTime = time.Second
 	// stalledStarts without an answer for two times slowStart are slow, too.
 	stalledStarts = 4
 	// directWhileRelaying starts at a time go over the daemon's own connections.
 	directWhileRelaying = 1
-	// startWeight smooths the time of a start over about the last ten.
-	startWeight = 0.1
+	// latencyWeight smooths the time of a start over about the last ten.
+	latencyWeight = 0.1
 )
 
-// mostStarts is about how many starts a second a link could carry.
-func mostStarts(link tw.BytesPerSecond) float64 {
+// maxStartRate is about how many starts a second a link could carry.
+func maxStartRate(link tw.BytesPerSecond) float64 {
 	if link == 0 {
 		return math.Inf(1)
 	}
 	return float64(link) / orderBytes
 }
 
-// start counts a start and tells whether it may go over a relay.
-func (l *load) start(now time.Time) bool {
-	if math.IsInf(l.most, 1) {
+// recordStart counts a recordStart and tells whether it may go over a relay.
+func (l *linkLoad) recordStart(now time.Time) bool {
+	if math.IsInf(l.maxRate, 1) {
 		return false
 	}
-	l.count = l.rate(now)*rateTime.Seconds() + 1
+	l.decayedCount = l.rate(now)*rateWindow.Seconds() + 1
 	l.countedAt = now
-	if l.rate(now) > busyShare*l.most {
+	if l.rate(now) > busyShare*l.maxRate {
 		l.busyAt = now
-		l.relaying = l.relaying || l.slow(now)
+		l.relaying = l.relaying || l.isSlow(now)
 	}
-	if l.relaying && now.Sub(l.busyAt) > calmTime {
-		l.relaying, l.took = false, 0
+	if l.relaying && now.Sub(l.busyAt) > relayHoldTime {
+		l.relaying, l.latency = false, 0
 	}
 	return l.relaying
 }
 
 // rate is how many starts a second there are.
-func (l *load) rate(now time.Time) float64 {
+func (l *linkLoad) rate(now time.Time) float64 {
 	if l.countedAt.IsZero() {
 		return 0
 	}
-	return l.count / rateTime.Seconds() * math.Exp(-now.Sub(l.countedAt).Seconds()/rateTime.Seconds())
+	return l.decayedCount / rateWindow.Seconds() * math.Exp(-now.Sub(l.countedAt).Seconds()/rateWindow.Seconds())
 }
 
-func (l *load) slow(now time.Time) bool {
-	return l.took > slowStart || l.open >= stalledStarts && now.Sub(l.endedAt) > 2*slowStart
+func (l *linkLoad) isSlow(now time.Time) bool {
+	return l.latency > slowStartLatency || l.inFlight >= stalledStarts && now.Sub(l.endedAt) > 2*slowStartLatency
 }
 
-func (l *load) sent() { l.open++ }
+func (l *linkLoad) directSent() { l.inFlight++ }
 
-func (l *load) ended(now time.Time, took time.Duration, answered bool) {
-	l.open--
+func (l *linkLoad) directEnded(now time.Time, took time.Duration, answered bool) {
+	l.inFlight--
 	l.endedAt = now
 	switch {
 	case !answered:
-	case l.took == 0:
-		l.took = took
+	case l.latency == 0:
+		l.latency = took
 	default:
-		l.took += time.Duration(startWeight * float64(took-l.took))
+		l.latency += time.Duration(latencyWeight * float64(took-l.latency))
 	}
 }
--- a/relay/orders.go
+++ b/relay/orders.go
@@ -21,9 +21,9 @@
 		Clock   tw.Clock
 		Log     *zap.Logger
 		Metrics *metrics.Set
-		// Link is what the daemon's link carries in one direction; zero if that is not
+		// LinkBandwidth is what the daemon's link carries in one direction; zero if that is not
 		// known, and nothing is relayed then.
-		Link tw.BytesPerSecond
+		LinkBandwidth tw.BytesPerSecond
 	}
 
 	// Orders gives orders to workers. While the daemon is short, starts go over relays;
@@ -38,14 +38,14 @@
 		batches sync.WaitGroup
 		done    chan struct{}
 
-		mu    sync.Mutex
-		load  load
-		links map[string]*link
-		near  map[tw.HallID]nearby
+		mu         sync.Mutex
+		load       linkLoad
+		batchers   map[string]*batcher
+		relayLists map[tw.HallID]relayList
 	}
 
-	// nearby are the relays of a data hall, as listed at a time.
-	nearby struct {
+	// relayList are the relays of a data hall, as listed at a time.
+	relayList struct {
 		addresses []string
 		at        time.Time
 	}
@@ -55,22 +55,22 @@
 )
 
 const (
-	// nearAge is how old the list of a data hall's relays may be.
-	nearAge = 500 * time.Millisecond
-	// mostLinks is more than the relays of all data halls.
-	mostLinks = 128
-	// relayedAtOnce starts to one worker may be under way over relays.
-	relayedAtOnce = 4
-	// avoidTime is how long a relay that did not answer gets no orders.
-	avoidTime = 2 * time.Second
+	// maxRelayListAge is how old the list of a data hall's relays may be.
+	maxRelayListAge = 500 * time.Millisecond
+	// maxBatchers is more than the relays of all data halls.
+	maxBatchers = 128
+	// maxRelayedPerWorker starts to one worker may be under way over relays.
+	maxRelayedPerWorker = 4
+	// relayBackoff is how long a relay that did not answer gets no orders.
+	relayBackoff = 2 * time.Second
 )
 
 // errNotRelayed is the error of an order that surely was not given by a relay.
 var errNotRelayed = errors.New("not relayed")
 
 var (
-	_ tw.WorkerOrders   = (*Orders)(nil)
-	_ tw.ParallelStarts = (*Orders)(nil)
+	_ tw.WorkerOrders    = (*Orders)(nil)
+	_ tw.ParallelStarter = (*Orders)(nil)
 )
 
 // New makes Orders, which Close ends; no call is made before the first order.
@@ -81,9 +81,9 @@
 	}
 	return &Orders{
 		WorkerOrders: c.Direct, config: c, ctx: ctx, cancel: cancel, done: make(chan struct{}),
-		counts: counts{answered: count("answered"), unclear: count("unclear"), notRelayed: count("not relayed")},
-		load:   load{most: mostStarts(c.Link)},
-		links:  map[string]*link{}, near: map[tw.HallID]nearby{},
+		counts:   counts{answered: count("answered"), unclear: count("unclear"), notRelayed: count("not relayed")},
+		load:     linkLoad{maxRate: maxStartRate(c.LinkBandwidth)},
+		batchers: map[string]*batcher{}, relayLists: map[tw.HallID]relayList{},
 	}
 }
 
@@ -98,8 +98,8 @@
 func (o *Orders) Done() <-chan struct{} { return o.done }
 
 // Start implements tw.WorkerOrders.
-func (o *Orders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
-	if via := o.via(to); via != nil {
+func (o *Orders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
+	if via := o.pickRelay(to); via != nil {
 		clock, err := via.start(ctx, to, order)
 		if !errors.Is(err, errNotRelayed) {
 			return clock, err
@@ -108,88 +108,88 @@
 			return 0, errors.Wrap(tw.ErrUnavailable, "relay: the order was not given in time")
 		}
 		o.mu.Lock()
-		o.load.sent()
+		o.load.directSent()
 		o.mu.Unlock()
 	}
 	return o.direct(ctx, to, order)
 }
 
 // direct gives an order that is counted as sent.
-func (o *Orders) direct(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (o *Orders) direct(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	began := o.config.Clock.Now()
 	clock, err := o.WorkerOrders.Start(ctx, to, order)
 	now := o.config.Clock.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.load.ended(now, now.Sub(began), tw.Answered(err))
+	o.load.directEnded(now, now.Sub(began), tw.Answered(err))
 	return clock, err
 }
 
-// via is the relay for a start to a worker, or nil if it is to be given directly, which is
+// pickRelay is the relay for a start to a worker, or nil if it is to be given directly, which is
 // counted then. The fewest relays of the worker's data hall are used: their batches are larger
 // then, and they open fewer connections to workers.
-func (o *Orders) via(to tw.WorkerRef) *link {
+func (o *Orders) pickRelay(to tw.WorkerRef) *batcher {
 	now := o.config.Clock.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	was := o.load.relaying
-	relays := o.load.start(now)
+	relays := o.load.recordStart(now)
 	if relays != was {
 		o.config.Log.Info("orders: relaying", zap.Bool("on", relays), zap.Float64("starts_per_second", o.load.rate(now)),
-			zap.Float64("most", o.load.most), zap.Duration("direct_took", o.load.took), zap.Int("direct_open", o.load.open))
+			zap.Float64("most", o.load.maxRate), zap.Duration("direct_took", o.load.latency), zap.Int("direct_open", o.load.inFlight))
 	}
-	if !relays || o.load.open < directWhileRelaying {
-		o.load.sent()
+	if !relays || o.load.inFlight < directWhileRelaying {
+		o.load.directSent()
 		return nil
 	}
-	var least *link
-	fewest := openMost
+	var least *batcher
+	fewest := maxInFlight
 	for _, address := range o.relays(now, to.Hall) {
-		l := o.linkTo(address)
+		l := o.batcherFor(address)
 		open, usable := l.state(now)
 		switch {
 		case !usable:
-		case open < openPerRelay:
+		case open < preferredInFlight:
 			return l
 		case open < fewest:
 			least, fewest = l, open
 		}
 	}
 	if least == nil {
-		o.load.sent()
+		o.load.directSent()
 	}
 	return least
 }
 
-// StartsAtOnce implements tw.ParallelStarts: batches grow where several starts to one worker
+// MaxParallelStarts implements tw.ParallelStarts: batches grow where several starts to one worker
 // are under way, and no more connections to it are needed.
-func (o *Orders) StartsAtOnce() int {
+func (o *Orders) MaxParallelStarts() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.load.relaying {
-		return relayedAtOnce
+		return maxRelayedPerWorker
 	}
 	return 1
 }
 
 // relays are the addresses of a data hall's relays.
 func (o *Orders) relays(now time.Time, hall tw.HallID) []string {
-	have, known := o.near[hall]
-	if !known || now.Sub(have.at) > nearAge {
-		have = nearby{addresses: o.config.Relays.Near(hall), at: now}
-		o.near[hall] = have
+	have, known := o.relayLists[hall]
+	if !known || now.Sub(have.at) > maxRelayListAge {
+		have = relayList{addresses: o.config.Relays.Near(hall), at: now}
+		o.relayLists[hall] = have
 	}
 	return have.addresses
 }
 
-func (o *Orders) linkTo(address string) *link {
-	l := o.links[address]
+func (o *Orders) batcherFor(address string) *batcher {
+	l := o.batchers[address]
 	if l == nil {
-		if len(o.links) >= mostLinks {
-			clear(o.links) // relays that have left; orders under way keep their links
+		if len(o.batchers) >= maxBatchers {
+			clear(o.batchers) // relays that have left; orders under way keep their links
 		}
-		l = &link{orders: o, address: address, specs: newSpecs()}
-		o.links[address] = l
+		l = &batcher{orders: o, address: address, sentSpecs: newSpecCache()}
+		o.batchers[address] = l
 	}
 	return l
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -52,16 +52,16 @@
 	limit = 400 * time.Millisecond
 )
 
-func (w *workers) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (w *workers) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	select {
 	case <-time.After(w.takes):
 	case <-ctx.Done():
-		return 0, tw.ErrUnclear
+		return 0, tw.ErrAmbiguous
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.specs = append(w.specs, order.Spec)
-	return tw.WorkerClock(order.Run), w.errs[to.ID]
+	return tw.WorkerTime(order.Run), w.errs[to.ID]
 }
 
 func (w *workers) starts() int {
@@ -87,7 +87,7 @@
 
 func (r *rig) orders() *relay.Orders {
 	return relay.Config{
-		Direct: r.direct, Relays: r, Clock: tw.SystemClock{}, Log: zap.NewNop(), Metrics: metrics.NewSet(), Link: link,
+		Direct: r.direct, Relays: r, Clock: tw.SystemClock{}, Log: zap.NewNop(), Metrics: metrics.NewSet(), LinkBandwidth: link,
 	}.New()
 }
 
@@ -110,7 +110,7 @@
 	}
 	if r.silent[address] {
 		<-ctx.Done()
-		return tw.ErrUnclear
+		return tw.ErrAmbiguous
 	}
 	r.servers[address].Start(ctx, batch, answer)
 	return nil
@@ -215,7 +215,7 @@
 
 // What becomes of orders whose relay fails, or whose worker does.
 func TestRelayedOrdersThatFail(t *testing.T) {
-	refused := &tw.OrderRefused{Reason: tw.RefusedRoom}
+	refused := &tw.OrderRefusedError{Reason: tw.RefusedNoCapacity}
 	for name, c := range map[string]struct {
 		fail   error // of the calls to the relay
 		silent bool
@@ -223,12 +223,12 @@
 		want   error // nil if the order is done in the end
 		direct bool  // it is given directly then
 	}{
-		"a relay that is gone":                {fail: tw.ErrGone, direct: true},
+		"a relay that is gone":                {fail: tw.ErrNotListening, direct: true},
 		"a relay that can't be reached":       {fail: tw.ErrUnavailable, direct: true},
-		"a relay whose answer is lost":        {fail: tw.ErrUnclear, want: tw.ErrUnclear},
-		"a silent relay":                      {silent: true, want: tw.ErrUnclear},
+		"a relay whose answer is lost":        {fail: tw.ErrAmbiguous, want: tw.ErrAmbiguous},
+		"a silent relay":                      {silent: true, want: tw.ErrAmbiguous},
 		"a worker that refuses":               {worker: refused, want: refused},
-		"a worker that does not answer":       {worker: tw.ErrUnclear, want: tw.ErrUnclear},
+		"a worker that does not answer":       {worker: tw.ErrAmbiguous, want: tw.ErrAmbiguous},
 		"a worker that the relay can't reach": {worker: tw.ErrUnavailable, direct: true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/relay/server.go
+++ b/relay/server.go
@@ -25,25 +25,25 @@
 
 	// Server gives orders to start for owners at other daemons.
 	Server struct {
-		config ServerConfig
-		open   atomic.Int64
-		given  *metrics.Counter
+		config    ServerConfig
+		inFlight  atomic.Int64
+		forwarded *metrics.Counter
 
 		mu    sync.Mutex
-		specs *specs
+		specs *specCache
 	}
 )
 
 const (
-	// mostOpen bounds the orders that a relay has not had an answer to.
-	mostOpen = 128
-	// mostTime bounds an order whatever limit it came with.
-	mostTime = 2 * time.Second
+	// maxServerInFlight bounds the orders that a relay has not had an answer to.
+	maxServerInFlight = 128
+	// maxOrderTime bounds an order whatever limit it came with.
+	maxOrderTime = 2 * time.Second
 )
 
 // New makes a server.
 func (c ServerConfig) New() *Server {
-	return &Server{config: c, specs: newSpecs(), given: c.Metrics.GetOrCreateCounter("tamarind_starts_given_for_others_total")}
+	return &Server{config: c, specs: newSpecCache(), forwarded: c.Metrics.GetOrCreateCounter("tamarind_starts_given_for_others_total")}
 }
 
 // Start gives the orders of a batch side by side, hands over each answer as it comes, and
@@ -52,12 +52,12 @@
 	began := s.config.Clock.Now()
 	answers := make(chan tw.RelayedAnswer, len(batch))
 	for n, start := range batch {
-		if err := s.accept(&start); err != nil {
+		if err := s.admit(&start); err != nil {
 			answers <- tw.RelayedAnswer{Index: n, Err: err}
 			continue
 		}
 		go func() {
-			clock, err := s.give(ctx, start)
+			clock, err := s.forward(ctx, start)
 			answers <- tw.RelayedAnswer{Index: n, Clock: clock, Err: err}
 		}()
 	}
@@ -73,20 +73,20 @@
 		zap.Duration("took", s.config.Clock.Now().Sub(began)))
 }
 
-// accept completes an order and counts it as open, or says why it is not given.
-func (s *Server) accept(start *tw.RelayedStart) error {
-	if err := s.complete(start); err != nil {
+// admit completes an order and counts it as open, or says why it is not given.
+func (s *Server) admit(start *tw.RelayedStart) error {
+	if err := s.fillSpec(start); err != nil {
 		return err
 	}
-	if s.open.Add(1) > mostOpen {
-		s.open.Add(-1)
+	if s.inFlight.Add(1) > maxServerInFlight {
+		s.inFlight.Add(-1)
 		return errors.Wrap(tw.ErrUnavailable, "relay: too many orders")
 	}
 	return nil
 }
 
-// complete adds the spec that an order was sent without, and keeps one that came with it.
-func (s *Server) complete(start *tw.RelayedStart) error {
+// fillSpec adds the spec that an order was sent without, and keeps one that came with it.
+func (s *Server) fillSpec(start *tw.RelayedStart) error {
 	id := start.Order.Subtask.Submission
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,10 +101,10 @@
 	return nil
 }
 
-func (s *Server) give(ctx context.Context, start tw.RelayedStart) (tw.WorkerClock, error) {
-	defer s.open.Add(-1)
-	s.given.Inc()
-	limited, cancel := context.WithTimeout(ctx, min(start.Limit, mostTime))
+func (s *Server) forward(ctx context.Context, start tw.RelayedStart) (tw.WorkerTime, error) {
+	defer s.inFlight.Add(-1)
+	s.forwarded.Inc()
+	limited, cancel := context.WithTimeout(ctx, min(start.Limit, maxOrderTime))
 	defer cancel()
 	return s.config.Orders.Start(limited, start.To, start.Order)
 }
--- a/relay/specs.go
+++ b/relay/specs.go
@@ -2,27 +2,27 @@
 
 import tw "github.com/tamarindworks/tamarindworks"
 
-// specs holds the specs of the latest submissions, the oldest of which makes room.
-type specs struct {
+// specCache holds the specCache of the latest submissions, the oldest of which makes room.
+type specCache struct {
 	texts map[tw.SubmissionID]string
 	order []tw.SubmissionID
 }
 
-// mostSpecs bounds how many specs a relay keeps. A spec has 4,000 bytes at most.
-const mostSpecs = 1000
+// maxSpecs bounds how many specs a relay keeps. A spec has 4,000 bytes at most.
+const maxSpecs = 1000
 
-func newSpecs() *specs { return &specs{texts: map[tw.SubmissionID]string{}} }
+func newSpecCache() *specCache { return &specCache{texts: map[tw.SubmissionID]string{}} }
 
-func (s *specs) has(id tw.SubmissionID) bool {
+func (s *specCache) has(id tw.SubmissionID) bool {
 	_, known := s.texts[id]
 	return known
 }
 
-func (s *specs) add(id tw.SubmissionID, text string) {
+func (s *specCache) add(id tw.SubmissionID, text string) {
 	if s.has(id) {
 		return
 	}
-	if len(s.order) == mostSpecs {
+	if len(s.order) == maxSpecs {
 		delete(s.texts, s.order[0])
 		s.order = s.order[1:]
 	}
@@ -30,7 +30,7 @@
 	s.order = append(s.order, id)
 }
 
-// forget makes no room, as the submission is soon added again.
-func (s *specs) forget(id tw.SubmissionID) { delete(s.texts, id) }
+// remove makes no room, as the submission is soon added again.
+func (s *specCache) remove(id tw.SubmissionID) { delete(s.texts, id) }
 
-func (s *specs) clear() { *s = *newSpecs() }
+func (s *specCache) clear() { *s = *newSpecCache() }
--- a/route.go
+++ b/route.go
@@ -26,13 +26,13 @@
 
 // Classes, from most to least urgent.
 const (
-	Quick  Class = "quick"
-	Normal Class = "normal"
-	Long   Class = "long"
+	ClassQuick  Class = "quick"
+	ClassNormal Class = "normal"
+	ClassLong   Class = "long"
 )
 
 // Classes lists all classes, the most urgent first.
-var Classes = []Class{Quick, Normal, Long}
+var Classes = []Class{ClassQuick, ClassNormal, ClassLong}
 
 const (
 	defaultTimeout = Duration(10 * time.Second)
@@ -40,12 +40,12 @@
 )
 
 // Valid tells whether c is one of Classes.
-func (c Class) Valid() bool { return c == Quick || c == Normal || c == Long }
+func (c Class) Valid() bool { return c == ClassQuick || c == ClassNormal || c == ClassLong }
 
-// Defaults fills what was left out.
-func (r *Route) Defaults() {
+// SetDefaults fills what was left out.
+func (r *Route) SetDefaults() {
 	if r.Class == "" {
-		r.Class = Normal
+		r.Class = ClassNormal
 	}
 	if r.Timeout == 0 {
 		r.Timeout = defaultTimeout
@@ -76,7 +76,7 @@
 	return len(path) == len(r.Path) || strings.HasSuffix(r.Path, "/") || path[len(r.Path)] == '/'
 }
 
-func (r *Route) validate(at string, faults *Faults) {
+func (r *Route) validate(at string, faults *ValidationErrors) {
 	if !strings.HasPrefix(r.Path, "/") {
 		faults.Add(at+".path", "is %q, must begin with /", r.Path)
 	}
--- a/run/admission.go
+++ b/run/admission.go
@@ -21,25 +21,25 @@
 }
 
 const (
-	// admitLeast and admitMost bound how long accepted work may have to wait for its
+	// minAdmitWait and admitMost bound how long accepted work may have to wait for its
 	// orders, whatever its objective leaves. Work that has room must begin within 3 s, or
 	// it counts as lost; a third of that is left for what isn't foreseen.
-	admitLeast = 500 * time.Millisecond
-	admitMost  = 2 * time.Second
-	// retryMost bounds when callers are told to come back: in a few seconds a faster
+	minAdmitWait = 500 * time.Millisecond
+	maxAdmitWait = 2 * time.Second
+	// maxRetryAfter bounds when callers are told to come back: in a few seconds a faster
 	// daemon may own the pool, and to be refused again costs them little.
-	retryMost = 2 * time.Second
-	// standingAfter is how long an owner is short before what waits counts as a standing
+	maxRetryAfter = 2 * time.Second
+	// standingQueueAfter is how long an owner is short before what waits counts as a standing
 	// queue: turns of demand rise for about so long.
-	standingAfter = 3 * time.Second
-	// orderSize is what an order to start takes on a link beside its spec, in bytes, and
+	standingQueueAfter = 3 * time.Second
+	// orderOverheadBytes is what an order to start takes on a link beside its spec, in bytes, and
 	// startsShare the part of a full link that carries such orders: 120 of 190 kB a second
 	// were counted, the rest being looks, records, and messages between daemons.
-	orderSize   = 330
-	startsShare = 0.6
-	// firstsWithin is within what a link must carry an order for each submission that
+	orderOverheadBytes = 330
+	startsLinkShare    = 0.6
+	// firstStartsWithin is within what a link must carry an order for each submission that
 	// waits: that and starveAfter are less than the time after which work counts as lost.
-	firstsWithin = time.Second
+	firstStartsWithin = time.Second
 )
 
 // Error implements error.
@@ -50,68 +50,68 @@
 // Is implements the interface of errors.Is: nothing was done.
 func (e *BusyError) Is(target error) bool { return target == tw.ErrRateLimited }
 
-// overloaded tells whether the orders of a submission would have to wait for too long; nil if
+// checkOverload tells whether the orders of a submission would have to wait for too long; nil if
 // not. Lasting work is taken in any case: it goes before all other and is little.
-func (o *Owner) overloaded(s *tw.Submission) *BusyError {
-	o.freshBacklog()
-	if lasts(s) {
+func (o *Owner) checkOverload(s *tw.Submission) *BusyError {
+	o.refreshBacklog()
+	if hasLastingStep(s) {
 		return nil
 	}
-	excess := o.ordersExcess(s)
+	excess := o.orderWaitExcess(s)
 	if excess <= 0 {
-		excess = o.linkExcess(s)
+		excess = o.linkWaitExcess(s)
 	}
 	if excess <= 0 {
 		return nil
 	}
-	return comeBack(s, min(excess, retryMost))
+	return newBusyError(s, min(excess, maxRetryAfter))
 }
 
-// comeBack refuses a submission until a time has passed. The times that callers are told are
+// newBusyError refuses a submission until a time has passed. The times that callers are told are
 // spread up to twice that, so that those who are refused at the same moment don't return so.
-func comeBack(s *tw.Submission, after time.Duration) *BusyError {
+func newBusyError(s *tw.Submission, after time.Duration) *BusyError {
 	return &BusyError{RetryAfter: after + time.Duration(spread.Fraction(string(s.ID))*float64(after))}
 }
 
-// ordersExcess is how much longer than it may the orders of a submission would have to wait,
+// orderWaitExcess is how much longer than it may the orders of a submission would have to wait,
 // by the rate at which orders are answered while the owner is short.
-func (o *Owner) ordersExcess(s *tw.Submission) time.Duration {
+func (o *Owner) orderWaitExcess(s *tw.Submission) time.Duration {
 	rate := o.window.capacity(o.now)
 	if rate == 0 {
 		return 0
 	}
-	return inTime(o.backlogAhead(s.Policy.Priority), rate) - o.mayWait(s)
+	return timeToStart(o.backlogAhead(s.Policy.Priority), rate) - o.maxOrderWait(s)
 }
 
-// linkExcess is the same for the first subtasks of all that is accepted, by what the daemon's
+// linkWaitExcess is the same for the first subtasks of all that is accepted, by what the daemon's
 // link can carry. A pool that lacks room doesn't show how little its owner can send; once
 // room comes, something of each submission must begin soon.
-func (o *Owner) linkExcess(s *tw.Submission) time.Duration {
+func (o *Owner) linkWaitExcess(s *tw.Submission) time.Duration {
 	if o.link == 0 {
 		return 0
 	}
-	rate := startsShare * float64(o.link) / float64(len(s.Spec)+orderSize)
-	return inTime(o.backlog.submissions, rate) - firstsWithin
+	rate := startsLinkShare * float64(o.link) / float64(len(s.Spec)+orderOverheadBytes)
+	return timeToStart(o.backlog.submissions, rate) - firstStartsWithin
 }
 
-// inTime is how long a number of starts takes at a rate a second.
-func inTime(starts int, rate float64) time.Duration {
+// timeToStart is how long a number of starts takes at a rate a second.
+func timeToStart(starts int, rate float64) time.Duration {
 	return time.Duration(float64(starts) / rate * float64(time.Second))
 }
 
-// mayWait is how long the orders of a submission may have to wait for it to be taken. What
+// maxOrderWait is how long the orders of a submission may have to wait for it to be taken. What
 // comes at once in a short height is worked off; in a standing queue all work would be late.
-func (o *Owner) mayWait(s *tw.Submission) time.Duration {
-	if o.window.shortage(o.now) < standingAfter {
-		return admitMost
+func (o *Owner) maxOrderWait(s *tw.Submission) time.Duration {
+	if o.window.shortage(o.now) < standingQueueAfter {
+		return maxAdmitWait
 	}
-	return min(max(admitLeast, o.slack(s)), admitMost)
+	return min(max(minAdmitWait, o.slack(s)), maxAdmitWait)
 }
 
-// lasts tells whether a submission has steps that run until they are cancelled.
-func lasts(s *tw.Submission) bool {
+// hasLastingStep tells whether a submission has steps that run until they are cancelled.
+func hasLastingStep(s *tw.Submission) bool {
 	for i := range s.Steps {
-		if s.Steps[i].Lasting {
+		if s.Steps[i].LongRunning {
 			return true
 		}
 	}
@@ -125,7 +125,7 @@
 		rep.steps = append(rep.steps, rep.newStep(i))
 	}
 	longest := time.Duration(0)
-	for _, rest := range o.chain(rep) {
+	for _, rest := range o.criticalPaths(rep) {
 		longest = max(longest, rest)
 	}
 	return o.objective(rep) - longest
--- a/run/advice.go
+++ b/run/advice.go
@@ -14,27 +14,27 @@
 	// adviser asks the advice service which workers may run a step. The
 	// service takes one call at a time of each daemon, so one goroutine asks.
 	adviser struct {
-		o       *Owner
-		service tw.Advisor
-		asks    chan adviceAsk
-		done    chan struct{}
+		o        *Owner
+		service  tw.Advisor
+		requests chan adviceRequest
+		done     chan struct{}
 	}
 
 	// stepAdvice is what is known of a step; it belongs to the loop.
 	stepAdvice struct {
-		asking  bool
-		askedAt time.Time
-		tickets map[tw.WorkerID]ticket
-		// asked are the workers about which there is an answer.
-		asked map[tw.WorkerID]time.Time
+		inFlight    bool
+		requestedAt time.Time
+		tickets     map[tw.WorkerID]ticket
+		// answered are the workers about which there is an answer.
+		answered map[tw.WorkerID]time.Time
 	}
 
 	ticket struct {
-		text  string
-		until time.Time
+		text      string
+		expiresAt time.Time
 	}
 
-	adviceAsk struct {
+	adviceRequest struct {
 		st      *step
 		id      tw.SubtaskID
 		workers []tw.WorkerID
@@ -42,17 +42,17 @@
 )
 
 const (
-	// adviceQueue is below the 32 calls that the service lets wait.
-	adviceQueue = 16
-	// adviceWorkers bounds the workers of one call: each costs time.
-	adviceWorkers = 30
-	// adviceMargin is left of a ticket's time when it is used.
-	adviceMargin = 250 * time.Millisecond
+	// adviceQueueSize is below the 32 calls that the service lets wait.
+	adviceQueueSize = 16
+	// maxAdviceWorkers bounds the workers of one call: each costs time.
+	maxAdviceWorkers = 30
+	// ticketMargin is left of a ticket's time when it is used.
+	ticketMargin = 250 * time.Millisecond
 	adviceRetry  = 300 * time.Millisecond
 )
 
 func newAdviser(o *Owner, service tw.Advisor) *adviser {
-	a := &adviser{o: o, service: service, asks: make(chan adviceAsk, adviceQueue), done: make(chan struct{})}
+	a := &adviser{o: o, service: service, requests: make(chan adviceRequest, adviceQueueSize), done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
 		a.serve()
@@ -67,10 +67,10 @@
 		select {
 		case <-a.o.ctx.Done():
 			return
-		case ask := <-a.asks:
+		case ask := <-a.requests:
 			sent := a.o.clock.Now()
 			advice, err := a.service.Advise(a.o.ctx, ask.id, ask.workers)
-			a.o.post(a.o.ctx, func() { a.answered(ask, sent, advice, err) })
+			a.o.post(a.o.ctx, func() { a.handleAnswer(ask, sent, advice, err) })
 			if err != nil {
 				select {
 				case <-a.o.ctx.Done():
@@ -85,30 +85,30 @@
 // what waits, the service is asked; known is false until it has answered.
 func (a *adviser) allowed(st *step) (allowed map[tw.WorkerID]bool, known bool) {
 	if st.advice == nil {
-		st.advice = &stepAdvice{tickets: map[tw.WorkerID]ticket{}, asked: map[tw.WorkerID]time.Time{}}
+		st.advice = &stepAdvice{tickets: map[tw.WorkerID]ticket{}, answered: map[tw.WorkerID]time.Time{}}
 	}
 	now := a.o.now
 	allowed = map[tw.WorkerID]bool{}
 	for id, t := range st.advice.tickets {
-		if now.Add(adviceMargin).Before(t.until) {
+		if now.Add(ticketMargin).Before(t.expiresAt) {
 			allowed[id] = true
 		}
 	}
-	a.ask(st)
+	a.request(st)
 	return allowed, len(allowed) > 0
 }
 
-// ask asks about the usable workers of which nothing valid is known.
-func (a *adviser) ask(st *step) {
+// request asks about the usable workers of which nothing valid is known.
+func (a *adviser) request(st *step) {
 	now := a.o.now
 	valid := st.rep.sub.Policy.Advice.Valid
-	if st.advice.asking || now.Sub(st.advice.askedAt) < adviceRetry {
+	if st.advice.inFlight || now.Sub(st.advice.requestedAt) < adviceRetry {
 		return
 	}
 	var unasked []*worker
 	for id, w := range a.o.workers {
-		at, asked := st.advice.asked[id]
-		if w.usable(now) && (!asked || now.Sub(at) > valid-adviceMargin) {
+		at, asked := st.advice.answered[id]
+		if w.usable(now) && (!asked || now.Sub(at) > valid-ticketMargin) {
 			unasked = append(unasked, w)
 		}
 	}
@@ -117,35 +117,35 @@
 	}
 	slices.SortFunc(unasked, func(x, y *worker) int { return int(y.free().CPU - x.free().CPU) })
 	var ids []tw.WorkerID
-	for _, w := range unasked[:min(len(unasked), adviceWorkers)] {
+	for _, w := range unasked[:min(len(unasked), maxAdviceWorkers)] {
 		ids = append(ids, w.entry.ID)
 	}
 	id := st.tasks[0].id
 	select {
-	case a.asks <- adviceAsk{st: st, id: id, workers: ids}:
-		st.advice.asking = true
-		st.advice.askedAt = now
+	case a.requests <- adviceRequest{st: st, id: id, workers: ids}:
+		st.advice.inFlight = true
+		st.advice.requestedAt = now
 	default: // asked again by the next placement pass
 	}
 }
 
-func (a *adviser) answered(ask adviceAsk, sent time.Time, advice tw.Advice, err error) {
+func (a *adviser) handleAnswer(ask adviceRequest, sent time.Time, advice tw.Advice, err error) {
 	known := ask.st.advice
-	known.asking = false
+	known.inFlight = false
 	if err != nil {
 		a.o.log.Warn("advice: not answered", zap.Stringer("step", ask.id), logsink.Err(err))
 		return
 	}
 	for _, id := range ask.workers {
-		known.asked[id] = sent
+		known.answered[id] = sent
 		delete(known.tickets, id)
 	}
 	for id, text := range advice.Tickets {
-		known.tickets[id] = ticket{text: text, until: sent.Add(advice.Valid)}
+		known.tickets[id] = ticket{text: text, expiresAt: sent.Add(advice.Valid)}
 	}
 	a.o.log.Info("advice: answered", zap.Stringer("step", ask.id), zap.Int("asked", len(ask.workers)),
 		zap.Int("allowed", len(advice.Tickets)), zap.Duration("took", a.o.now.Sub(sent)))
-	a.o.placeSoon = true
+	a.o.placeRequested = true
 }
 
 // ticket is what a start on a worker must bring; empty for none.
@@ -160,6 +160,6 @@
 func (a *adviser) invalidate(st *step) {
 	if st.advice != nil {
 		clear(st.advice.tickets)
-		clear(st.advice.asked)
+		clear(st.advice.answered)
 	}
 }
--- a/run/backlog.go
+++ b/run/backlog.go
@@ -4,8 +4,8 @@
 
 // backlog counts the subtasks that an owner has accepted and not ordered, by priority.
 type backlog struct {
-	counts map[int]int
-	at     time.Time
+	counts    map[int]int
+	countedAt time.Time
 	// submissions are those with such subtasks.
 	submissions int
 	// arrivals are submissions that were not kept yet at that time.
@@ -13,10 +13,10 @@
 }
 
 const (
-	// backlogAge is how old a count of the backlog may be, which visits all that is accepted.
-	backlogAge = 50 * time.Millisecond
-	// arrivalAge is how long a submission may take to be kept before it isn't counted.
-	arrivalAge = 2 * time.Second
+	// maxBacklogAge is how old a count of the backlog may be, which visits all that is accepted.
+	maxBacklogAge = 50 * time.Millisecond
+	// maxArrivalAge is how long a submission may take to be kept before it isn't counted.
+	maxArrivalAge = 2 * time.Second
 )
 
 // backlogAhead counts the subtasks that go before new work of a priority, by a fresh backlog.
@@ -30,9 +30,9 @@
 	return ahead
 }
 
-// freshBacklog counts the backlog anew unless that was done just before.
-func (o *Owner) freshBacklog() {
-	if o.now.Sub(o.backlog.at) > backlogAge {
+// refreshBacklog counts the backlog anew unless that was done just before.
+func (o *Owner) refreshBacklog() {
+	if o.now.Sub(o.backlog.countedAt) > maxBacklogAge {
 		o.countBacklog()
 	}
 }
@@ -41,35 +41,35 @@
 // been kept or refused meanwhile.
 func (o *Owner) countBacklog() {
 	b := &o.backlog
-	b.counts, b.at, b.submissions = map[int]int{}, o.now, 0
+	b.counts, b.countedAt, b.submissions = map[int]int{}, o.now, 0
 	for _, sub := range o.live {
-		if n := sub.unordered(); n > 0 {
+		if n := sub.pendingSubtasks(); n > 0 {
 			b.counts[sub.Policy.Priority] += n
 			b.submissions++
 		}
 	}
 	var waiting []*submission
 	for _, sub := range b.arrivals {
-		if o.submissions[sub.ID] == sub && !sub.durable && o.now.Sub(sub.Accepted) < arrivalAge {
+		if o.submissions[sub.ID] == sub && !sub.durable && o.now.Sub(sub.Accepted) < maxArrivalAge {
 			waiting = append(waiting, sub)
 			b.submissions++
-			b.counts[sub.Policy.Priority] += sub.size()
+			b.counts[sub.Policy.Priority] += sub.subtasksPerRepetition()
 		}
 	}
 	b.arrivals = waiting
 }
 
-// arrived counts a submission that is being kept.
-func (b *backlog) arrived(sub *submission) {
+// addArrival counts a submission that is being kept.
+func (b *backlog) addArrival(sub *submission) {
 	b.arrivals = append(b.arrivals, sub)
 	if b.counts != nil {
 		b.submissions++
-		b.counts[sub.Policy.Priority] += sub.size()
+		b.counts[sub.Policy.Priority] += sub.subtasksPerRepetition()
 	}
 }
 
-// size is how many subtasks a repetition of the submission has.
-func (s *submission) size() int {
+// subtasksPerRepetition is how many subtasks a repetition of the submission has.
+func (s *submission) subtasksPerRepetition() int {
 	n := 0
 	for i := range s.Steps {
 		n += s.Steps[i].Count
@@ -77,10 +77,10 @@
 	return n
 }
 
-// unordered counts the subtasks of the open repetitions that are not done, and of which no
+// pendingSubtasks counts the subtasks of the open repetitions that are not done, and of which no
 // run is known.
-func (s *submission) unordered() int {
-	if s.over() {
+func (s *submission) pendingSubtasks() int {
+	if s.closed() {
 		return 0
 	}
 	n := 0
--- a/run/born_test.go
+++ b/run/born_test.go
@@ -16,14 +16,14 @@
 )
 
 // bornNow is the birth of a life that begins now.
-func bornNow() tw.WorkerBirth { return tw.WorkerBirth(time.Now().UnixMilli()) }
+func bornNow() tw.WorkerStartTime { return tw.WorkerStartTime(time.Now().UnixMilli()) }
 
 // giveBirths has all workers tell when they were born.
 func (r *rig) giveBirths() {
 	for id, entry := range r.list {
-		entry.Born = bornNow()
+		entry.StartTime = bornNow()
 		r.list[id] = entry
-		r.fleet.Set(id, func(w *standin.SimWorker) { w.Entry.Born = entry.Born })
+		r.fleet.Set(id, func(w *standin.SimWorker) { w.Entry.StartTime = entry.StartTime })
 	}
 }
 
@@ -46,7 +46,7 @@
 		r.submit(o, submission("s1", 8))
 		time.Sleep(300 * time.Millisecond)
 		r.relistWorker(o, r.restart(0))
-		r.eventually(o, "s1", tw.Succeeded, 6*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 	},
 	"the ends of the new life are taken up, though it counts anew": func(r *rig, o *run.Owner) {
 		for n := range 5 {
@@ -56,14 +56,14 @@
 		r.restart(0)
 		r.restart(1)
 		r.submit(o, submission("s1", 8))
-		r.eventually(o, "s1", tw.Succeeded, 8*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(48))
 	},
 	"before its entry tells of it": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
 		time.Sleep(300 * time.Millisecond)
 		r.restart(0)
-		r.eventually(o, "s1", tw.Succeeded, 8*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
 	"an account of the former life that comes late changes nothing": func(r *rig, o *run.Owner) {
 		former := r.list[workerID(0)]
@@ -75,7 +75,7 @@
 			r.relistWorker(o, former)
 			time.Sleep(100 * time.Millisecond)
 		}
-		r.eventually(o, "s1", tw.Succeeded, 6*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 		r.Expect(r.fleet.Starts()).To(BeNumerically("<=", 12))
 	},
 	"a machine that was known as down is used as soon as it is back": func(r *rig, o *run.Owner) {
@@ -102,7 +102,7 @@
 		time.Sleep(20 * time.Millisecond)
 		r.relistWorker(o, r.restart(0))
 		r.fleet.DoLate()
-		r.eventually(o, "s1", tw.Succeeded, 8*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
 	"again and again": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 4, 4))
@@ -112,7 +112,7 @@
 			r.relistWorker(o, r.restart(1))
 			time.Sleep(250 * time.Millisecond)
 		}
-		r.eventually(o, "s1", tw.Succeeded, 8*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
 	"a new owner knows nothing of the former life": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
@@ -120,7 +120,7 @@
 		o.Close()
 		r.restart(0)
 		next := r.take("b")
-		r.eventually(next, "s1", tw.Succeeded, 20*time.Second)
+		r.eventually(next, "s1", tw.SubmissionSucceeded, 20*time.Second)
 	},
 }
 
--- a/run/caps.go
+++ b/run/caps.go
@@ -24,56 +24,56 @@
 	// caps keeps the pool's work within the usage caps. All but its goroutine, which only
 	// waits for the store, belongs to the owner's loop.
 	caps struct {
-		usage  usage
-		config func() *tw.QueueConfig
-		jobs   chan shareJob
-		done   chan struct{}
+		usage   usage
+		config  func() *tw.QueueConfig
+		updates chan shareUpdate
+		done    chan struct{}
 
 		// held are the pool's parts as recorded. It is nil until they carry the fence of
 		// this ownership: before that, the former owner could still change them.
 		held map[tw.OrganisationID]ledger.ShareUnits
-		// giving are the parts that a change under way may leave; nil if there is none.
-		giving map[tw.OrganisationID]ledger.ShareUnits
-		// wanted are the parts that the last placement passes lacked, least the smallest
+		// inFlight are the parts that a change under way may leave; nil if there is none.
+		inFlight map[tw.OrganisationID]ledger.ShareUnits
+		// wanted are the parts that the last placement passes lacked, minUseful the smallest
 		// that lets any of that start.
-		wanted, least map[tw.OrganisationID]ledger.ShareUnits
+		wanted, minUseful map[tw.OrganisationID]ledger.ShareUnits
 		// peak and lastPeak are the largest parts in use in this window and the last.
 		peak, lastPeak map[tw.OrganisationID]ledger.ShareUnits
-		windowFrom     time.Time
-		// raiseFrom is before when no further part is asked for.
-		raiseFrom time.Time
-		// short: others held what was wished for the last time.
-		short bool
+		windowStart    time.Time
+		// raiseAfter is before when no further part is asked for.
+		raiseAfter time.Time
+		// contended: others held what was wished for the last time.
+		contended bool
 		// leftover is what submissions that had ended under a former owner had running.
 		leftover usage
 	}
 
-	// shareJob is one change of the pool's parts.
-	shareJob struct {
-		// targets are the parts wished for, and least the smallest that is of any use:
+	// shareUpdate is one change of the pool's parts.
+	shareUpdate struct {
+		// targets are the parts wished for, and minUseful the smallest that is of any use:
 		// pools that each take less than the work they have waits for would all wait.
-		targets, least map[tw.OrganisationID]ledger.ShareUnits
+		targets, minUseful map[tw.OrganisationID]ledger.ShareUnits
 		// floors are left to the pools.
 		floors map[tw.PoolID]ledger.ShareUnits
-		// again: others held what was wished for the last time.
-		again bool
+		// refresh: others held what was wished for the last time.
+		refresh bool
 	}
 )
 
 const (
-	// floorShare of a pool's even share of each cap stays with the pool, so that an owner
+	// floorDivisor of a pool's even share of each cap stays with the pool, so that an owner
 	// which the store turns away can start something for everybody.
-	floorShare = 4
-	// sparePart is held beyond what is in use while a pool is busy, so that few starts
+	floorDivisor = 4
+	// spareShare is held beyond what is in use while a pool is busy, so that few starts
 	// wait for the store: a part is taken in a write of 4 ms, in a slow store of 240 ms.
-	sparePart = ledger.CapUnits / 8
-	// keepPart is for how long a part is kept that is not in use. The pools' demand turns
+	spareShare = ledger.CapUnits / 8
+	// idleShareTime is for how long a part is kept that is not in use. The pools' demand turns
 	// within seconds.
-	keepPart = 400 * time.Millisecond
-	// raiseGap gathers wishes of several organisations into one write.
-	raiseGap = 15 * time.Millisecond
-	// shortGap is the pause before parts are asked for again that others hold.
-	shortGap = 100 * time.Millisecond
+	idleShareTime = 400 * time.Millisecond
+	// raiseInterval gathers wishes of several organisations into one write.
+	raiseInterval = 15 * time.Millisecond
+	// contendedRetry is the pause before parts are asked for again that others hold.
+	contendedRetry = 100 * time.Millisecond
 )
 
 func newCaps(o *Owner, config func() *tw.QueueConfig) *caps {
@@ -81,14 +81,14 @@
 		config = func() *tw.QueueConfig { return nil }
 	}
 	c := &caps{
-		usage: usage{}, leftover: usage{}, config: config, jobs: make(chan shareJob, 1), done: make(chan struct{}),
-		wanted: map[tw.OrganisationID]ledger.ShareUnits{}, least: map[tw.OrganisationID]ledger.ShareUnits{},
+		usage: usage{}, leftover: usage{}, config: config, updates: make(chan shareUpdate, 1), done: make(chan struct{}),
+		wanted: map[tw.OrganisationID]ledger.ShareUnits{}, minUseful: map[tw.OrganisationID]ledger.ShareUnits{},
 		peak: map[tw.OrganisationID]ledger.ShareUnits{},
 	}
 	book := ledger.ShareBookConfig{KV: o.kv, Clock: o.clock, Log: o.log, Pool: o.pool, Fence: o.self.Fence}.New()
 	go func() {
 		defer close(c.done)
-		c.record(o, book)
+		c.runUpdates(o, book)
 	}()
 	return c
 }
@@ -99,40 +99,40 @@
 // not have been stopped yet.
 func (c *caps) inherit(r ledger.Record) {
 	if r.Organisation != "" {
-		c.leftover[r.Organisation] = c.leftover[r.Organisation].Plus(r.Left)
+		c.leftover[r.Organisation] = c.leftover[r.Organisation].Plus(r.Stopping)
 	}
 }
 
-// record brings changes into the store, until the owner ends.
-func (c *caps) record(o *Owner, book *ledger.ShareBook) {
+// runUpdates brings changes into the store, until the owner ends.
+func (c *caps) runUpdates(o *Owner, book *ledger.ShareBook) {
 	for {
 		select {
 		case <-o.ctx.Done():
 			return
-		case job := <-c.jobs:
-			if job.again {
+		case job := <-c.updates:
+			if job.refresh {
 				if err := book.Refresh(o.ctx); err != nil {
 					o.log.Info("caps: parts of others not read", logsink.Err(err))
 				}
 			}
-			units, err := book.Set(o.ctx, func(s ledger.Shares) map[tw.OrganisationID]ledger.ShareUnits { return job.choose(s, o.pool) })
-			if !o.post(o.ctx, func() { c.recorded(o, job, units, err) }) {
+			units, err := book.Set(o.ctx, func(s ledger.Shares) map[tw.OrganisationID]ledger.ShareUnits { return job.nextShares(s, o.pool) })
+			if !o.post(o.ctx, func() { c.updateDone(o, job, units, err) }) {
 				return
 			}
 		}
 	}
 }
 
-// choose is what the pool's parts are to be by the present record. Of a former owner's
+// nextShares is what the pool's parts are to be by the present record. Of a former owner's
 // parts none is given back that is not in the job, as the work that it started may run on.
-func (j shareJob) choose(s ledger.Shares, pool tw.PoolID) map[tw.OrganisationID]ledger.ShareUnits {
+func (j shareUpdate) nextShares(s ledger.Shares, pool tw.PoolID) map[tw.OrganisationID]ledger.ShareUnits {
 	out := maps.Clone(s.Pools[pool].Units)
 	if out == nil {
 		out = map[tw.OrganisationID]ledger.ShareUnits{}
 	}
 	for organisation, target := range j.targets {
 		has, free := out[organisation], s.Free(organisation, pool, j.floors)
-		if target > has && free < j.least[organisation] {
+		if target > has && free < j.minUseful[organisation] {
 			continue
 		}
 		out[organisation] = min(target, max(has, free))
@@ -140,13 +140,13 @@
 	return out
 }
 
-// recorded takes up the outcome of a change.
-func (c *caps) recorded(o *Owner, job shareJob, units map[tw.OrganisationID]ledger.ShareUnits, err error) {
-	c.giving = nil
+// updateDone takes up the outcome of a change.
+func (c *caps) updateDone(o *Owner, job shareUpdate, units map[tw.OrganisationID]ledger.ShareUnits, err error) {
+	c.inFlight = nil
 	if err != nil {
 		o.log.Error("caps: parts not recorded", logsink.Err(err))
-		c.raiseFrom, c.short = o.now.Add(time.Second), true // the record is read anew first
-		if errors.Is(err, ledger.ErrDeposed) {
+		c.raiseAfter, c.contended = o.now.Add(time.Second), true // the record is read anew first
+		if errors.Is(err, ledger.ErrOwnershipLost) {
 			c.held = nil
 		}
 		return
@@ -157,13 +157,13 @@
 			short++
 		}
 	}
-	c.short = short > 0
-	if c.short {
-		c.raiseFrom = o.now.Add(shortGap)
+	c.contended = short > 0
+	if c.contended {
+		c.raiseAfter = o.now.Add(contendedRetry)
 	}
 	o.log.Info("caps: parts recorded", zap.Int("organisations", len(job.targets)), zap.Int("short", short))
 	c.held = units
-	o.placeSoon = true
+	o.placeRequested = true
 }
 
 // organisations are those with a cap.
@@ -190,13 +190,13 @@
 		}
 	}
 	for pool := range out {
-		out[pool] = ledger.CapUnits / ledger.ShareUnits(floorShare*len(out))
+		out[pool] = ledger.CapUnits / ledger.ShareUnits(floorDivisor*len(out))
 	}
 	return out
 }
 
-// most is the largest part that a pool can have.
-func most(floors map[tw.PoolID]ledger.ShareUnits, pool tw.PoolID) ledger.ShareUnits {
+// maxShare is the largest part that a pool can have.
+func maxShare(floors map[tw.PoolID]ledger.ShareUnits, pool tw.PoolID) ledger.ShareUnits {
 	left := ledger.CapUnits
 	for other, floor := range floors {
 		if other != pool {
@@ -214,12 +214,12 @@
 		return nil
 	}
 	unknown := o.unknownUsage()
-	largest := most(c.floors(), o.pool)
+	largest := maxShare(c.floors(), o.pool)
 	out := make(schedule.Budgets, len(organisations))
 	for _, org := range organisations {
 		used := c.usage[org.ID].Plus(unknown[org.ID])
 		out[org.ID] = &schedule.Budget{
-			Left: part(org.Maximum, c.usable(org.ID)).Minus(used), Largest: part(org.Maximum, largest), Cap: part(org.Maximum, ledger.CapUnits),
+			Remaining: capShare(org.UsageCap, c.usable(org.ID)).Minus(used), MaxCharge: capShare(org.UsageCap, largest), Cap: capShare(org.UsageCap, ledger.CapUnits),
 		}
 	}
 	return out
@@ -228,68 +228,68 @@
 // usable is the pool's part that no change under way may take from it.
 func (c *caps) usable(id tw.OrganisationID) ledger.ShareUnits {
 	units := c.held[id]
-	if giving, changes := c.giving[id]; changes {
+	if giving, changes := c.inFlight[id]; changes {
 		units = min(units, giving)
 	}
 	return units
 }
 
-// passed notes what a placement pass has used of the budgets, and what it lacked.
-func (c *caps) passed(o *Owner, budgets schedule.Budgets) {
+// notePass notes what a placement pass has used of the budgets, and what it lacked.
+func (c *caps) notePass(o *Owner, budgets schedule.Budgets) {
 	if budgets == nil {
 		return
 	}
-	largest := most(c.floors(), o.pool)
+	largest := maxShare(c.floors(), o.pool)
 	for _, org := range c.organisations() {
 		budget := budgets[org.ID]
 		if budget == nil {
 			continue
 		}
-		used := part(org.Maximum, c.usable(org.ID)).Minus(budget.Left)
-		c.peak[org.ID] = max(c.peak[org.ID], unitsOf(used, org.Maximum))
+		used := capShare(org.UsageCap, c.usable(org.ID)).Minus(budget.Remaining)
+		c.peak[org.ID] = max(c.peak[org.ID], unitsOf(used, org.UsageCap))
 		if (budget.Withheld == tw.Resources{}) {
 			continue
 		}
-		o.metrics.withheld.Inc()
+		o.metrics.capWithheld.Inc()
 		if c.held == nil || c.held[org.ID] < largest {
-			c.wanted[org.ID] = min(unitsOf(used.Plus(budget.Withheld), org.Maximum), largest)
-			c.least[org.ID] = unitsOf(used.Plus(budget.Smallest), org.Maximum)
+			c.wanted[org.ID] = min(unitsOf(used.Plus(budget.Withheld), org.UsageCap), largest)
+			c.minUseful[org.ID] = unitsOf(used.Plus(budget.MinWithheld), org.UsageCap)
 		}
 	}
 }
 
 // adjust changes the pool's parts if that is due, and returns when it is next.
 func (c *caps) adjust(o *Owner) time.Time {
-	if c.giving != nil || !o.permit.valid(o.now) {
+	if c.inFlight != nil || !o.permit.valid(o.now) {
 		return time.Time{}
 	}
-	due := c.windowFrom.Add(keepPart)
+	due := c.windowStart.Add(idleShareTime)
 	if c.held == nil || len(c.wanted) > 0 {
-		due = c.raiseFrom
+		due = c.raiseAfter
 	}
 	organisations := c.organisations()
 	if len(organisations) == 0 || o.now.Before(due) {
 		return due
 	}
-	turned := c.turnWindow(o.now)
+	turned := c.rotateWindow(o.now)
 	floors := c.floors()
-	job := shareJob{
-		targets: map[tw.OrganisationID]ledger.ShareUnits{}, least: maps.Clone(c.least), floors: floors, again: c.short,
+	job := shareUpdate{
+		targets: map[tw.OrganisationID]ledger.ShareUnits{}, minUseful: maps.Clone(c.minUseful), floors: floors, refresh: c.contended,
 	}
 	unknown := o.unknownUsage()
 	for _, org := range organisations {
-		inUse := max(c.peak[org.ID], c.lastPeak[org.ID], unitsOf(c.usage[org.ID].Plus(unknown[org.ID]), org.Maximum))
+		inUse := max(c.peak[org.ID], c.lastPeak[org.ID], unitsOf(c.usage[org.ID].Plus(unknown[org.ID]), org.UsageCap))
 		if target, due := c.target(org.ID, inUse, floors[o.pool], turned); due {
-			job.targets[org.ID] = min(target, max(most(floors, o.pool), inUse))
+			job.targets[org.ID] = min(target, max(maxShare(floors, o.pool), inUse))
 		}
 	}
 	clear(c.wanted)
 	if len(job.targets) > 0 || c.held == nil {
-		c.giving = job.targets
-		c.raiseFrom = o.now.Add(raiseGap)
-		c.jobs <- job
+		c.inFlight = job.targets
+		c.raiseAfter = o.now.Add(raiseInterval)
+		c.updates <- job
 	}
-	return c.windowFrom.Add(keepPart)
+	return c.windowStart.Add(idleShareTime)
 }
 
 // target is the part that the pool is to have of a cap, of which inUse is in use; due tells
@@ -298,11 +298,11 @@
 	held, wanted := c.held[id], c.wanted[id]
 	keep, slack := floor, ledger.ShareUnits(0)
 	if inUse > 0 {
-		keep, slack = max(floor, inUse+sparePart), sparePart/4
+		keep, slack = max(floor, inUse+spareShare), spareShare/4
 	}
 	switch {
 	case wanted > held:
-		return max(keep, wanted+sparePart), true
+		return max(keep, wanted+spareShare), true
 	case c.held == nil, turned && held < floor:
 		return max(held, keep), true
 	case turned && held > keep+slack:
@@ -311,12 +311,12 @@
 	return 0, false
 }
 
-// turnWindow begins a new window of peaks if the last is over.
-func (c *caps) turnWindow(now time.Time) bool {
-	if now.Sub(c.windowFrom) < keepPart {
+// rotateWindow begins a new window of peaks if the last is over.
+func (c *caps) rotateWindow(now time.Time) bool {
+	if now.Sub(c.windowStart) < idleShareTime {
 		return false
 	}
-	c.windowFrom = now
+	c.windowStart = now
 	c.lastPeak, c.peak = c.peak, map[tw.OrganisationID]ledger.ShareUnits{}
 	return true
 }
--- a/run/caps_test.go
+++ b/run/caps_test.go
@@ -71,26 +71,26 @@
 func (r *capRig) setCap(subtasks int) {
 	r.cap = subtasks
 	config := &tw.QueueConfig{Version: 1, Organisations: []tw.Organisation{
-		{ID: "red", Maximum: tw.Resources{CPU: tw.Millicores(1000 * subtasks)}}, {ID: "blue"},
+		{ID: "red", UsageCap: tw.Resources{CPU: tw.Millicores(1000 * subtasks)}}, {ID: "blue"},
 	}}
 	for _, name := range capPools {
 		config.Pools = append(config.Pools, tw.QueuePool{ID: name})
 	}
 	r.config.Store(config)
-	r.fleet.SetCap("red", config.Organisations[0].Maximum)
+	r.fleet.SetCap("red", config.Organisations[0].UsageCap)
 }
 
 // takePool makes another daemon the owner of a pool, whoever owned it before.
 func (r *capRig) takePool(name tw.PoolID) *run.Owner {
 	r.books++
-	self := ledger.Owner{Pool: name, Daemon: tw.DaemonID(fmt.Sprintf("d%d", r.books)), Life: tw.Incarnation(r.books)}
+	self := ledger.Owner{Pool: name, Daemon: tw.DaemonID(fmt.Sprintf("d%d", r.books)), Incarnation: tw.Incarnation(r.books)}
 	book, err := ledger.Config{KV: r.kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: self}.Open(r.ctx)
 	r.Expect(err).NotTo(HaveOccurred())
 	loaded, err := book.Load(r.ctx)
 	r.Expect(err).NotTo(HaveOccurred())
 	self.Fence = book.Fence()
 	o := run.Config{
-		Book: book, Loaded: loaded, Self: self, KV: r.kv, Orders: r.fleet, Advisor: noAdvisor{}, Census: r.census,
+		Book: book, Loaded: loaded, Self: self, KV: r.kv, Orders: r.fleet, Advisor: noAdvisor{}, MachineCache: r.census,
 		Clock: tw.SystemClock{}, Log: testLog(), Metrics: metrics.NewSet(), Configuration: r.config.Load,
 		Bounds: run.Bounds{MaxHold: maxHold, StopTime: stopTime, KeepEnded: 2 * time.Minute},
 	}.New()
@@ -102,7 +102,7 @@
 			list[id] = entry
 		}
 	}
-	o.SetWorkers(r.ctx, run.WorkerList{Workers: list, Settled: time.Now().Add(-time.Minute)})
+	o.SetWorkers(r.ctx, run.WorkerList{Workers: list, StableSince: time.Now().Add(-time.Minute)})
 	return o
 }
 
--- a/run/census.go
+++ b/run/census.go
@@ -12,22 +12,22 @@
 )
 
 type (
-	// CensusConfig configures a Census.
-	CensusConfig struct {
+	// MachineCacheConfig configures a Census.
+	MachineCacheConfig struct {
 		Machines tw.Machines
 		Clock    tw.Clock
 		Log      *zap.Logger
 	}
 
-	// Census keeps the platform's list of machines for all parts of a daemon,
+	// MachineCache keeps the platform's list of machines for all parts of a daemon,
 	// and reads it when one of them wants it newer.
-	Census struct {
-		machines tw.Machines
-		clock    tw.Clock
-		log      *zap.Logger
-		wanted   chan struct{}
-		cancel   context.CancelFunc
-		done     chan struct{}
+	MachineCache struct {
+		machines        tw.Machines
+		clock           tw.Clock
+		log             *zap.Logger
+		refreshRequests chan struct{}
+		cancel          context.CancelFunc
+		done            chan struct{}
 
 		mu     sync.Mutex
 		latest *MachineList
@@ -36,61 +36,61 @@
 	// MachineList is the list of machines as of a moment.
 	MachineList struct {
 		Machines map[tw.InstanceID]tw.Machine
-		// Asked is when the list was asked for: it shows what was so then, or
+		// RequestedAt is when the list was asked for: it shows what was so then, or
 		// later.
-		Asked time.Time
+		RequestedAt time.Time
 	}
 )
 
-// censusGap is the least time between two reads of the list: the platform
+// minRefreshInterval is the least time between two reads of the list: the platform
 // takes some tens a second of all daemons together, and prices each.
-const censusGap = 200 * time.Millisecond
+const minRefreshInterval = 200 * time.Millisecond
 
 // New starts the duty that reads the list.
-func (c CensusConfig) New() *Census {
+func (c MachineCacheConfig) New() *MachineCache {
 	ctx, cancel := context.WithCancel(context.Background())
-	census := &Census{
+	census := &MachineCache{
 		machines: c.Machines, clock: c.Clock, log: c.Log, cancel: cancel,
-		wanted: make(chan struct{}, 1), done: make(chan struct{}),
+		refreshRequests: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	go func() {
 		defer close(census.done)
-		census.read(ctx)
+		census.refreshLoop(ctx)
 	}()
 	return census
 }
 
 // Close ends the duty.
-func (c *Census) Close() {
+func (c *MachineCache) Close() {
 	c.cancel()
 	<-c.done
 }
 
-// Want asks for a list that is newer than the gap between two reads.
-func (c *Census) Want(now time.Time) {
-	if latest := c.Latest(); latest != nil && now.Sub(latest.Asked) < censusGap {
+// RequestRefresh asks for a list that is newer than the gap between two reads.
+func (c *MachineCache) RequestRefresh(now time.Time) {
+	if latest := c.Latest(); latest != nil && now.Sub(latest.RequestedAt) < minRefreshInterval {
 		return
 	}
 	select {
-	case c.wanted <- struct{}{}:
+	case c.refreshRequests <- struct{}{}:
 	default: // one is wanted already
 	}
 }
 
 // Latest is the last list, or nil.
-func (c *Census) Latest() *MachineList {
+func (c *MachineCache) Latest() *MachineList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.latest
 }
 
-func (c *Census) read(ctx context.Context) {
+func (c *MachineCache) refreshLoop(ctx context.Context) {
 	failing := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.wanted:
+		case <-c.refreshRequests:
 		}
 		asked := c.clock.Now()
 		list, err := c.machines.List(ctx)
@@ -107,13 +107,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.clock.After(censusGap):
+		case <-c.clock.After(minRefreshInterval):
 		}
 	}
 }
 
-func (c *Census) set(asked time.Time, list []tw.Machine) {
-	latest := &MachineList{Machines: make(map[tw.InstanceID]tw.Machine, len(list)), Asked: asked}
+func (c *MachineCache) set(asked time.Time, list []tw.Machine) {
+	latest := &MachineList{Machines: make(map[tw.InstanceID]tw.Machine, len(list)), RequestedAt: asked}
 	for _, m := range list {
 		latest.Machines[m.ID] = m
 	}
--- a/run/crash_test.go
+++ b/run/crash_test.go
@@ -27,27 +27,27 @@
 	"gives up a subtask that brings its workers down": func(r *rig) {
 		o := r.take("a")
 		r.poison(o, submission("s1", 3), 0)
-		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.Failed })
+		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
 		r.Expect(r.fleet.CrashesUnder(subtask("s1", 0, 0))).To(BeNumerically("<=", 4))
 	},
 	"gives up a lasting one": func(r *rig) {
 		o := r.take("a")
 		r.poison(o, lasting("s1", 2), 1)
-		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.Failed })
+		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
 	},
 	"gives up a gang of which one member does": func(r *rig) {
 		o := r.take("a")
 		s := submission("s1", 3)
 		s.Steps[0].Gang = true
 		r.poison(o, s, 2)
-		r.nurse(o, 30*time.Second, func() bool { return r.state(o, "s1") == tw.Failed })
+		r.nurse(o, 30*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
 	},
 	"gives up one of which copies may run": func(r *rig) {
 		o := r.take("a")
 		s := submission("s1", 2)
-		s.Steps[0].Copies = true
+		s.Steps[0].AllowCopies = true
 		r.poison(o, s, 0)
-		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.Failed })
+		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
 	},
 	// A suspect whose worker has not been heard of since was copied after a second, beside the
 	// run that might bring that worker down; at the highest count the copy's start was not
@@ -59,7 +59,7 @@
 	"starts no copy of a suspect before it is cleared": func(r *rig) {
 		o := r.take("a")
 		s := submission("s1", 1)
-		s.Steps[0].Copies = true
+		s.Steps[0].AllowCopies = true
 		s.Steps[0].Estimate = 600 * time.Millisecond
 		running := func() []tw.WorkerID { return r.fleet.RunningOn(subtask("s1", 0, 0)) }
 		r.submit(o, s)
@@ -71,7 +71,7 @@
 		r.nurse(o, 2500*time.Millisecond, nil)
 		r.Expect(r.fleet.Starts()).To(Equal(2))
 		r.fleet.Set(silent, func(w *standin.SimWorker) { w.Silent = false })
-		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.Succeeded })
+		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionSucceeded })
 	},
 	"gives it up over takeovers": func(r *rig) {
 		o := r.take("a")
@@ -79,20 +79,20 @@
 		for n := range 4 {
 			crashes := r.fleet.CrashesUnder(subtask("s1", 0, 0))
 			r.nurse(o, 10*time.Second, func() bool {
-				return r.state(o, "s1") == tw.Failed || r.fleet.CrashesUnder(subtask("s1", 0, 0)) > crashes
+				return r.state(o, "s1") == tw.SubmissionFailed || r.fleet.CrashesUnder(subtask("s1", 0, 0)) > crashes
 			})
 			r.nurse(o, 500*time.Millisecond, nil) // what it knows is recorded by then
 			o.Close()
 			o = r.take(tw.DaemonID(fmt.Sprint("b", n)))
 		}
-		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.Failed })
+		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
 	},
 	"gives it up while the list of machines is not readable": func(r *rig) {
 		o := r.take("a")
 		time.Sleep(settled)
 		r.cloud.SetDown(true)
 		r.poison(o, submission("s1", 1), 0)
-		r.nurse(o, time.Minute, func() bool { return r.state(o, "s1") == tw.Failed })
+		r.nurse(o, time.Minute, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
 	},
 	"lets what ran beside it go on": func(r *rig) {
 		o := r.take("a")
@@ -103,11 +103,11 @@
 		for n := range 4 {
 			r.submit(o, submission(fmt.Sprint("later", n), 3))
 		}
-		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.Failed })
+		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
 		for n := range 4 {
 			r.nurse(o, 20*time.Second, func() bool {
-				return r.state(o, tw.SubmissionID(fmt.Sprint("beside", n))) == tw.Succeeded &&
-					r.state(o, tw.SubmissionID(fmt.Sprint("later", n))) == tw.Succeeded
+				return r.state(o, tw.SubmissionID(fmt.Sprint("beside", n))) == tw.SubmissionSucceeded &&
+					r.state(o, tw.SubmissionID(fmt.Sprint("later", n))) == tw.SubmissionSucceeded
 			})
 		}
 	},
@@ -119,8 +119,8 @@
 		}
 		for n := range 5 {
 			r.nurse(o, time.Minute, func() bool {
-				return r.state(o, tw.SubmissionID(fmt.Sprint("s", n))) == tw.Failed &&
-					r.state(o, tw.SubmissionID(fmt.Sprint("t", n))) == tw.Succeeded
+				return r.state(o, tw.SubmissionID(fmt.Sprint("s", n))) == tw.SubmissionFailed &&
+					r.state(o, tw.SubmissionID(fmt.Sprint("t", n))) == tw.SubmissionSucceeded
 			})
 		}
 	},
@@ -143,7 +143,7 @@
 			r.cloud.Add(tw.Machine{ID: r.list[workerID(n)].Instance, Pool: pool, State: tw.MachineDown})
 		}
 		r.submit(o, submission("s1", 2))
-		r.eventually(o, "s1", tw.Succeeded, 20*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 20*time.Second)
 	},
 	// A subtask that stands still on whatever worker it is on is not a fault of these: each
 	// one was kept without work for 4 s after it, one after the other.
@@ -159,7 +159,7 @@
 			r.Expect(err).NotTo(HaveOccurred())
 			unsound := 0
 			for _, w := range report.Workers {
-				if !w.Sound {
+				if !w.Schedulable {
 					unsound++
 				}
 			}
@@ -181,8 +181,8 @@
 				}
 			}
 		}
-		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.Succeeded })
-		r.Expect(r.state(o, "s2")).To(Equal(tw.Started))
+		r.nurse(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionSucceeded })
+		r.Expect(r.state(o, "s2")).To(Equal(tw.SubmissionStarted))
 		r.Expect(r.fleet.Running(subtask("s2", 0, 0))).To(Equal(1))
 	},
 }
--- a/run/end.go
+++ b/run/end.go
@@ -8,8 +8,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// takeEnd takes up an end that a worker lists.
-func (o *Owner) takeEnd(w *worker, e tw.EndedSubtask) {
+// handleEnd takes up an end that a worker lists.
+func (o *Owner) handleEnd(w *worker, e tw.EndedSubtask) {
 	o.metrics.endedRun(e.Kind)
 	r := w.runs[runKey{task: e.Subtask, run: e.Run}]
 	sub := o.submissions[e.Subtask.Submission]
@@ -20,18 +20,18 @@
 		t = o.taskOf(sub, e.Subtask)
 	}
 	o.logEnd(w, e, r)
-	o.watchDoubled(w, t, r, e)
+	o.logDuplicateRun(w, t, r, e)
 	if sub == nil || !sub.durable {
-		o.keepEnd(w, e)
+		o.keepUnclaimedEnd(w, e)
 	}
 	if t == nil {
 		return
 	}
 	if r != nil {
-		o.judge(w, r, e.Kind)
+		o.recordOutcome(w, r, e.Kind)
 		w.remove(r)
-		o.uncount(r)
-		t.drop(r)
+		o.uncountCrash(r)
+		t.removeRun(r)
 	}
 	o.applyEnd(w, t, e)
 }
@@ -39,8 +39,8 @@
 // applyEnd follows what the end of a run means for its subtask.
 func (o *Owner) applyEnd(w *worker, t *task, e tw.EndedSubtask) {
 	t.endedAt = o.now
-	o.placeSoon = true
-	o.begin(t.step.rep.sub)
+	o.placeRequested = true
+	o.markBegun(t.step.rep.sub)
 	if t.step.rep.sub.final != "" {
 		return
 	}
@@ -48,7 +48,7 @@
 	case tw.EndDone:
 		o.taskDone(t, e.Run)
 	case tw.EndFailed:
-		o.exonerate(t)
+		o.clearSuspect(t)
 		o.taskFailed(w, t, e.Run)
 	default:
 		o.taskInterrupted(t, e)
@@ -62,20 +62,20 @@
 	}
 	if r != nil {
 		fields = append(fields, zap.Duration("ran", o.now.Sub(r.startedAt)))
-		if r.why != "" {
-			fields = append(fields, zap.String("stopped_for", r.why))
+		if r.stopReason != "" {
+			fields = append(fields, zap.String("stopped_for", r.stopReason))
 		}
 	}
 	o.log.Info("run: ended", fields...)
 }
 
-// watchDoubled tells of a run that was given up and has ended as done all the same,
+// logDuplicateRun tells of a run that was given up and has ended as done all the same,
 // while another run of its subtask goes on.
-func (o *Owner) watchDoubled(w *worker, t *task, r *runState, e tw.EndedSubtask) {
-	if r != nil || t == nil || e.Kind != tw.EndDone || !t.active() || t.step.spec.Copies {
+func (o *Owner) logDuplicateRun(w *worker, t *task, r *runState, e tw.EndedSubtask) {
+	if r != nil || t == nil || e.Kind != tw.EndDone || !t.active() || t.step.spec.AllowCopies {
 		return
 	}
-	o.metrics.doubled.Inc()
+	o.metrics.duplicateRuns.Inc()
 	other := t.runs[0]
 	o.log.Warn("run: ended though it was given up", zap.Stringer("subtask", e.Subtask), zap.Int64("run", int64(e.Run)),
 		zap.String("worker", string(w.entry.ID)), zap.Int64("other_run", int64(other.run)),
@@ -105,27 +105,27 @@
 			}
 		}
 	}
-	o.writer.mark(sub)
+	o.writer.markDirty(sub)
 	if t.step.done == t.step.spec.Count {
 		o.stepDone(t.step)
 	}
 }
 
 func (o *Owner) stepDone(st *step) {
-	st.rep.open--
-	if st.rep.open == 0 {
-		o.settleFinished(st.rep.sub)
+	st.rep.openSteps--
+	if st.rep.openSteps == 0 {
+		o.closeFinished(st.rep.sub)
 	}
 }
 
-// settleFinished closes the repetitions that are done, and the submission
+// closeFinished closes the repetitions that are done, and the submission
 // with the last of them.
-func (o *Owner) settleFinished(sub *submission) {
-	if sub.over() {
+func (o *Owner) closeFinished(sub *submission) {
+	if sub.closed() {
 		return
 	}
 	for k, rep := range sub.reps {
-		if rep.open == 0 {
+		if rep.openSteps == 0 {
 			delete(sub.reps, k)
 		}
 	}
@@ -134,7 +134,7 @@
 		sub.progress.Finished++
 	}
 	if sub.progress.Finished >= sub.Repetitions() {
-		o.conclude(sub, tw.Succeeded, "all subtasks are done")
+		o.endSubmission(sub, tw.SubmissionSucceeded, "all subtasks are done")
 	}
 }
 
@@ -143,9 +143,9 @@
 	if t.done {
 		return
 	}
-	t.lastWorker = w.entry.ID
+	t.lastFailedOn = w.entry.ID
 	spec := t.step.spec
-	if !t.fail(run) || spec.Lasting {
+	if !t.fail(run) || spec.LongRunning {
 		return
 	}
 	sub := t.step.rep.sub
@@ -154,65 +154,65 @@
 		p.Failures = map[int][]tw.RunNumber{}
 	}
 	p.Failures[t.id.Index] = append(p.Failures[t.id.Index], run)
-	o.writer.mark(sub)
+	o.writer.markDirty(sub)
 	if t.failed() >= sub.Policy.Attempts {
-		o.conclude(sub, tw.Failed, "subtask "+t.id.String()+" has failed in all its attempts")
+		o.endSubmission(sub, tw.SubmissionFailed, "subtask "+t.id.String()+" has failed in all its attempts")
 	}
 }
 
 // taskInterrupted keeps the checkpoint of a run that did not end by itself.
 func (o *Owner) taskInterrupted(t *task, e tw.EndedSubtask) {
-	if e.Saved == "" || t.done || !t.step.spec.Checkpoints {
+	if e.Checkpoint == "" || t.done || !t.step.spec.Checkpoints {
 		return
 	}
-	t.saved = e.Saved
+	t.saved = e.Checkpoint
 	p := t.step.rep.sub.progress.Step(t.id.Repetition, t.id.Step)
-	if p.Saved == nil {
-		p.Saved = map[int]tw.Checkpoint{}
+	if p.Checkpoints == nil {
+		p.Checkpoints = map[int]tw.Checkpoint{}
 	}
-	p.Saved[t.id.Index] = e.Saved
-	o.writer.mark(t.step.rep.sub)
+	p.Checkpoints[t.id.Index] = e.Checkpoint
+	o.writer.markDirty(t.step.rep.sub)
 }
 
-// judge learns from the end of a run how its worker does.
-func (o *Owner) judge(w *worker, r *runState, kind tw.EndKind) {
+// recordOutcome learns from the end of a run how its worker does.
+func (o *Owner) recordOutcome(w *worker, r *runState, kind tw.EndKind) {
 	took := o.now.Sub(r.startedAt)
 	switch kind {
 	case tw.EndDone:
 		w.health.failures = 0
-		w.tookTime(took, o.expected(r.task.step))
-		o.learn(r.task, took)
+		w.noteRunTime(took, o.expectedRunTime(r.task.step))
+		o.noteRunTime(r.task, took)
 	case tw.EndFailed:
-		o.judgeFailure(w, r.task)
+		o.recordFailure(w, r.task)
 	}
 }
 
-// judgeFailure shuns a worker that fails several runs in a row, unless these
+// recordFailure shuns a worker that fails several runs in a row, unless these
 // fail elsewhere too. Lasting subtasks may fail at any time.
-func (o *Owner) judgeFailure(w *worker, t *task) {
-	if t.failed() > 0 && t.lastWorker != w.entry.ID {
+func (o *Owner) recordFailure(w *worker, t *task) {
+	if t.failed() > 0 && t.lastFailedOn != w.entry.ID {
 		return
 	}
 	w.health.failures++
-	if w.health.failures >= failuresToShun {
+	if w.health.failures >= failuresToQuarantine {
 		w.health.failures = 0
-		o.shun(w, shunTime, "it fails what it starts")
+		o.quarantine(w, quarantineTime, "it fails what it starts")
 	}
 }
 
-// shun keeps new work away from a worker for a while, but never from more
+// quarantine keeps new work away from a worker for a while, but never from more
 // than half of the workers.
-func (o *Owner) shun(w *worker, d time.Duration, why string) {
+func (o *Owner) quarantine(w *worker, d time.Duration, why string) {
 	shunned := 0
 	for _, other := range o.workers {
-		if o.now.Before(other.health.shunUntil) {
+		if o.now.Before(other.health.quarantinedUntil) {
 			shunned++
 		}
 	}
 	if 2*(shunned+1) > len(o.workers) {
 		return
 	}
-	w.health.shunUntil = o.now.Add(d)
+	w.health.quarantinedUntil = o.now.Add(d)
 	o.log.Info("worker: given no work", zap.String("worker", string(w.entry.ID)),
 		zap.String("why", why), zap.Duration("for", d))
 }
--- a/run/evacuation.go
+++ b/run/evacuation.go
@@ -6,8 +6,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// followEvacuations takes up which halls are evacuated. It tells whether that is known.
-func (o *Owner) followEvacuations() bool {
+// updateEvacuations takes up which halls are evacuated. It tells whether that is known.
+func (o *Owner) updateEvacuations() bool {
 	latest := o.evacuations()
 	if !latest.NewerThan(o.evacuated) {
 		return o.evacuated != nil
@@ -19,28 +19,28 @@
 	}
 	workers, runs, lastingRuns := 0, 0, 0
 	for _, w := range o.workers {
-		w.leaving = o.toBeEmptied(w)
+		w.vacating = o.mustVacate(w)
 		if latest.Has(w.entry.Hall) {
 			workers++
 			runs += len(w.runs)
 			lastingRuns += w.tally.lastingRuns
 		}
 	}
-	o.placeSoon = true
+	o.placeRequested = true
 	o.log.Info("owner: evacuated halls have changed", zap.Any("halls", latest.Halls), zap.Int64("revision", int64(latest.Revision)),
 		zap.Int("workers", workers), zap.Int("of", len(o.workers)), zap.Int("runs", runs), zap.Int("lasting_runs", lastingRuns))
 	return true
 }
 
-// toBeEmptied tells whether a worker gets no new work and its lasting work is to go.
-func (o *Owner) toBeEmptied(w *worker) bool {
+// mustVacate tells whether a worker gets no new work and its lasting work is to go.
+func (o *Owner) mustVacate(w *worker) bool {
 	return o.vacate[w.entry.Instance] || o.evacuated.Has(w.entry.Hall)
 }
 
-// evacuatedWhole refuses a submission that no machine may run, as all halls are evacuated; nil
+// checkAllEvacuated refuses a submission that no machine may run, as all halls are evacuated; nil
 // if it may be taken. Lasting and scheduled work is of use also when it begins later.
-func (o *Owner) evacuatedWhole(s *tw.Submission) *BusyError {
-	if !o.evacuated.Any() || lasts(s) || s.Repetitions() > 1 {
+func (o *Owner) checkAllEvacuated(s *tw.Submission) *BusyError {
+	if !o.evacuated.Any() || hasLastingStep(s) || s.Repetitions() > 1 {
 		return nil
 	}
 	for _, w := range o.workers {
@@ -49,9 +49,9 @@
 		}
 	}
 	// Machines of other pools may be moved here.
-	list := o.census.Latest()
+	list := o.machineCache.Latest()
 	if list == nil {
-		o.census.Want(o.now)
+		o.machineCache.RequestRefresh(o.now)
 		return nil
 	}
 	for _, machine := range list.Machines {
@@ -59,5 +59,5 @@
 			return nil
 		}
 	}
-	return comeBack(s, retryMost)
+	return newBusyError(s, maxRetryAfter)
 }
--- a/run/evacuation_test.go
+++ b/run/evacuation_test.go
@@ -45,8 +45,8 @@
 		r.evacuate(o, "h0")
 		time.Sleep(evacuateTime)
 		r.submit(o, submission("s2", 12))
-		r.eventually(o, "s1", tw.Succeeded, 3*time.Second)
-		r.eventually(o, "s2", tw.Succeeded, 8*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 3*time.Second)
+		r.eventually(o, "s2", tw.SubmissionSucceeded, 8*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(20), "runs were stopped")
 	},
 	"the hall is used again once the evacuation is withdrawn": func(r *rig, o *run.Owner) {
@@ -65,12 +65,12 @@
 			r.evacuate(o)
 			time.Sleep(100 * time.Millisecond)
 		}
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(16))
 	},
 	"lasting work goes elsewhere, no more of it away than may be": func(r *rig, o *run.Owner) {
 		s := submission("s1", 4)
-		s.Steps[0].Lasting, s.Steps[0].MaxAway = true, 1
+		s.Steps[0].LongRunning, s.Steps[0].MaxDisrupted = true, 1
 		r.submit(o, s)
 		time.Sleep(2 * time.Second)
 		there := r.inHall("s1", 4, "h0")
@@ -97,7 +97,7 @@
 		r.evacuate(o, "h0")
 		time.Sleep(evacuateTime)
 		s := submission("s1", 2)
-		s.Steps[0].Copies = true
+		s.Steps[0].AllowCopies = true
 		r.submit(o, s)
 		time.Sleep(6 * time.Second)
 		r.Expect(r.inHall("s1", 2, "h0")).To(BeZero())
@@ -113,7 +113,7 @@
 		r.Expect(r.fleet.Starts()).To(BeZero())
 		r.evacuations.Store(known)
 		r.evacuate(next, "h0")
-		r.eventually(next, "s1", tw.Succeeded, 8*time.Second)
+		r.eventually(next, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
 	"a new owner goes by what it knows": func(r *rig, o *run.Owner) {
 		r.evacuate(o, "h1")
@@ -121,7 +121,7 @@
 		time.Sleep(evacuateTime)
 		next := r.take("b")
 		r.submit(next, submission("s1", 16))
-		r.eventually(next, "s1", tw.Succeeded, 8*time.Second)
+		r.eventually(next, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
 	"where all halls are evacuated, work is refused at once": func(r *rig, o *run.Owner) {
 		r.evacuate(o, "h0", "h1")
@@ -132,7 +132,7 @@
 		var busy *run.BusyError
 		r.Expect(errors.As(err, &busy)).To(BeTrue(), "%v", err)
 		r.Expect(busy.RetryAfter).To(BeNumerically(">", 0))
-		r.Expect(tw.SurelyNotDone(err)).To(BeTrue())
+		r.Expect(tw.NotApplied(err)).To(BeTrue())
 		r.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
 		r.submit(o, lasting("s2", 1))
 		r.evacuate(o)
@@ -140,12 +140,12 @@
 		r.Expect(r.fleet.Begun("s1")).To(BeFalse())
 		r.Expect(r.fleet.Begun("s2")).To(BeTrue())
 		r.submit(o, s)
-		r.eventually(o, "s1", tw.Succeeded, 3*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 3*time.Second)
 	},
 	"it is taken while another pool has a machine in another hall": func(r *rig, o *run.Owner) {
 		r.cloud.Add(tw.Machine{ID: "m9", Pool: "other", State: tw.MachineUp, Worker: "w9", Hall: "h2"})
 		time.Sleep(time.Second)
-		r.census.Want(time.Now())
+		r.census.RequestRefresh(time.Now())
 		time.Sleep(time.Second)
 		r.evacuate(o, "h0", "h1")
 		r.submit(o, submission("s1", 2))
--- a/run/faults_test.go
+++ b/run/faults_test.go
@@ -21,7 +21,7 @@
 
 func (c *cutOrders) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
 	if _, lost := c.workers.Load(to.ID); lost {
-		return tw.HoldReport{}, tw.ErrUnclear
+		return tw.HoldReport{}, tw.ErrAmbiguous
 	}
 	return c.WorkerOrders.Hold(ctx, to, order)
 }
@@ -32,10 +32,10 @@
 	mute atomic.Int64
 }
 
-func (m *muteOrders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (m *muteOrders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	if m.mute.Add(-1) >= 0 {
 		<-ctx.Done()
-		return 0, tw.ErrUnclear
+		return 0, tw.ErrAmbiguous
 	}
 	return m.WorkerOrders.Start(ctx, to, order)
 }
@@ -73,12 +73,12 @@
 	share float64
 }
 
-func (s *slowClocks) shown(c tw.WorkerClock) tw.WorkerClock {
-	return tw.WorkerClock(float64(c) * (1 - s.share))
+func (s *slowClocks) shown(c tw.WorkerTime) tw.WorkerTime {
+	return tw.WorkerTime(float64(c) * (1 - s.share))
 }
 
-func (s *slowClocks) meant(c tw.WorkerClock) tw.WorkerClock {
-	return tw.WorkerClock(float64(c) / (1 - s.share))
+func (s *slowClocks) meant(c tw.WorkerTime) tw.WorkerTime {
+	return tw.WorkerTime(float64(c) / (1 - s.share))
 }
 
 func (s *slowClocks) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
@@ -88,7 +88,7 @@
 	return report, err
 }
 
-func (s *slowClocks) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (s *slowClocks) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	order.Deadline = s.meant(order.Deadline)
 	clock, err := s.WorkerOrders.Start(ctx, to, order)
 	return s.shown(clock), err
@@ -102,11 +102,11 @@
 
 func (k *muteKV) Commit(ctx context.Context, txn tw.KVTxn) (tw.KVRevision, error) {
 	if k.mute.Load() {
-		return 0, tw.ErrUnclear
+		return 0, tw.ErrAmbiguous
 	}
 	revision, err := k.KV.Commit(ctx, txn)
 	if k.deaf.Load() {
-		return 0, tw.ErrUnclear
+		return 0, tw.ErrAmbiguous
 	}
 	return revision, err
 }
--- a/run/feed.go
+++ b/run/feed.go
@@ -14,9 +14,9 @@
 // WorkerList is the pool's part of the list of workers.
 type WorkerList struct {
 	Workers map[tw.WorkerID]tw.WorkerEntry
-	// Settled says since when the store has been reachable without a break;
+	// StableSince says since when the store has been reachable without a break;
 	// entries may be missing for a while after that.
-	Settled time.Time
+	StableSince time.Time
 }
 
 // SetWorkers hands over a new list of workers.
@@ -24,8 +24,8 @@
 	o.post(ctx, func() { o.setWorkers(list) })
 }
 
-// follow takes up the directions of the one who moves machines.
-func (o *Owner) follow(d Directions) {
+// applyDirections takes up the directions of the one who moves machines.
+func (o *Owner) applyDirections(d Directions) {
 	machines := make(map[tw.InstanceID]bool, len(d.Vacate))
 	for _, id := range d.Vacate {
 		machines[id] = true
@@ -33,13 +33,13 @@
 	o.setVacate(machines)
 	for _, id := range d.Gone {
 		if w := o.workers[id]; w != nil {
-			o.bury(w, orderedAway)
+			o.removeTerminated(w, machineRemoved)
 		}
-		o.noteEnded(id) // also if it was not known here
+		o.markTerminated(id) // also if it was not known here
 	}
 	for _, id := range d.Running {
-		if w := o.workers[id]; o.runsAfterAll(id) && (w == nil || !w.listed) {
-			o.readWorkers()
+		if w := o.workers[id]; o.unmarkTerminated(id) && (w == nil || !w.listed) {
+			o.refreshWorkers()
 			return
 		}
 	}
@@ -48,43 +48,43 @@
 func (o *Owner) setVacate(machines map[tw.InstanceID]bool) {
 	o.vacate, o.vacateAt = machines, o.now
 	for _, w := range o.workers {
-		leaving := o.toBeEmptied(w)
-		if leaving != w.leaving {
+		leaving := o.mustVacate(w)
+		if leaving != w.vacating {
 			o.log.Info("worker: to be emptied", zap.String("worker", string(w.entry.ID)), zap.Bool("wanted", leaving),
 				zap.Int("runs", len(w.runs)))
-			o.placeSoon = true
+			o.placeRequested = true
 		}
-		w.leaving = leaving
+		w.vacating = leaving
 	}
 }
 
-// vacateTime is how long machines are kept empty for a manager that no longer
+// vacateTTL is how long machines are kept empty for a manager that no longer
 // asks for it. It asks several times a second.
-const vacateTime = 2 * time.Second
+const vacateTTL = 2 * time.Second
 
 func (o *Owner) setWorkers(list WorkerList) {
-	o.feedAt = list.Settled
+	o.listStableSince = list.StableSince
 	for _, id := range slices.Sorted(maps.Keys(list.Workers)) {
-		if life, ended := o.ended[id]; ended && life.isOver(list.Workers[id]) {
-			life.seen = o.now
-			o.ended[id] = life
+		if life, ended := o.terminated[id]; ended && life.matches(list.Workers[id]) {
+			life.seenAt = o.now
+			o.terminated[id] = life
 			continue
 		}
-		delete(o.ended, id)
+		delete(o.terminated, id)
 		o.setWorker(list.Workers[id])
 	}
-	maps.DeleteFunc(o.ended, func(_ tw.WorkerID, life endedLife) bool { return o.now.Sub(life.seen) > endedKept })
+	maps.DeleteFunc(o.terminated, func(_ tw.WorkerID, life terminatedWorker) bool { return o.now.Sub(life.seenAt) > terminatedRetention })
 	for id, w := range o.workers {
 		if _, listed := list.Workers[id]; listed {
 			continue
 		}
 		if w.listed {
 			w.listed = false
-			w.missingFrom = o.now
+			w.missingSince = o.now
 			o.log.Info("worker: no longer listed", zap.String("worker", string(id)), zap.Int("runs", len(w.runs)))
 		}
 	}
-	o.placeSoon = true
+	o.placeRequested = true
 }
 
 func (o *Owner) setWorker(entry tw.WorkerEntry) {
@@ -92,12 +92,12 @@
 	if w == nil {
 		w = o.addWorker(entry)
 	}
-	if w.born != 0 && entry.Born != 0 && entry.Born < w.born {
+	if w.startTime != 0 && entry.StartTime != 0 && entry.StartTime < w.startTime {
 		w.listed = true
 		return // an account of a former life
 	}
-	if w.born != 0 && entry.Born > w.born {
-		w = o.beginLife(w, entry)
+	if w.startTime != 0 && entry.StartTime > w.startTime {
+		w = o.replaceIncarnation(w, entry)
 	}
 	if entry.Draining && !w.entry.Draining {
 		o.log.Info("worker: draining", zap.String("worker", string(entry.ID)),
@@ -107,43 +107,43 @@
 		// The list of machines knew it before its own entry gave its address.
 		w.session.close()
 		w.session = newSession(o, entry.Ref())
-		w.starts = 0 // what the former session had is given up
-		w.looking = false
-		w.nextLook = o.now
+		w.startsInFlight = 0 // what the former session had is given up
+		w.polling = false
+		w.nextPoll = o.now
 	}
 	if w.entry.Instance != entry.Instance {
-		o.dropLife(w)
-		w.entry.Instance, w.rivalFrom = entry.Instance, time.Time{}
-		o.addLife(w)
-		o.noteRivals(w)
+		o.unindexWorker(w)
+		w.entry.Instance, w.duplicateSince = entry.Instance, time.Time{}
+		o.indexWorker(w)
+		o.markDuplicates(w)
 	}
 	w.entry = entry
 	w.listed = true
-	w.leaving = o.toBeEmptied(w)
+	w.vacating = o.mustVacate(w)
 }
 
 func (o *Owner) addWorker(entry tw.WorkerEntry) *worker {
 	w := &worker{
-		entry: entry, born: entry.Born, listed: true, runs: map[runKey]*runState{}, rank: o.freeRank(), usage: o.caps.usage,
+		entry: entry, startTime: entry.StartTime, listed: true, runs: map[runKey]*runState{}, rank: o.freeRank(), usage: o.caps.usage,
 		// Whoever owned the pool before may have prolonged what runs there
 		// until its permit ended. Workers that really are new answer their first
 		// look at once, so that this costs nothing.
-		doubtUntil: o.takenAt.Add(permitTime + o.holdBound()),
+		grantsExpireAt: o.takeoverAt.Add(permitTTL + o.maxHoldTime()),
 	}
-	w.inheritedDoubt = o.now.Before(w.doubtUntil)
+	w.mayHaveInheritedRuns = o.now.Before(w.grantsExpireAt)
 	w.session = newSession(o, entry.Ref())
 	o.workers[entry.ID] = w
 	o.ranks[w.rank] = true
-	o.byPlace = nil
-	o.addLife(w)
-	o.noteRivals(w)
+	o.sortedWorkers = nil
+	o.indexWorker(w)
+	o.markDuplicates(w)
 	o.log.Info("worker: listed", zap.String("worker", string(entry.ID)), zap.String("instance", string(entry.Instance)),
 		zap.String("rack", string(entry.Rack())), zap.Int64("cpu", int64(entry.Capacity.CPU)))
 	return w
 }
 
-// holdBound is the local time for which a hold can keep work alive.
-func (o *Owner) holdBound() time.Duration {
+// maxHoldTime is the local time for which a hold can keep work alive.
+func (o *Owner) maxHoldTime() time.Duration {
 	return time.Duration(float64(o.bounds.MaxHold)*clockDrift) + grantMargin
 }
 
@@ -159,77 +159,77 @@
 // watchWorkers resolves doubts about workers that do not answer.
 func (o *Owner) watchWorkers() time.Time {
 	var next time.Time
-	o.followEvacuations()
-	if len(o.vacate) > 0 && o.now.Sub(o.vacateAt) > vacateTime {
+	o.updateEvacuations()
+	if len(o.vacate) > 0 && o.now.Sub(o.vacateAt) > vacateTTL {
 		o.setVacate(nil)
 	}
-	if !o.counted {
+	if !o.machineListRead {
 		// The census takes no wish for a list while it has one that is nearly new, be
 		// that from before the takeover.
-		o.census.Want(o.now)
-		next = o.now.Add(censusGap / 4)
+		o.machineCache.RequestRefresh(o.now)
+		next = o.now.Add(minRefreshInterval / 4)
 	}
 	for _, w := range o.workers {
-		if !w.listed && o.mayDrop(w) {
-			o.forget(w, "not listed any more, and nothing of it is left")
+		if !w.listed && o.canRemove(w) {
+			o.removeWorker(w, "not listed any more, and nothing of it is left")
 			continue
 		}
-		doubted := !w.doubtFrom().IsZero()
-		if w.known && !doubted {
+		doubted := !w.livenessUnknownSince().IsZero()
+		if w.stateKnown && !doubted {
 			continue
 		}
 		if doubted {
-			o.census.Want(o.now)
+			o.machineCache.RequestRefresh(o.now)
 		}
-		if !w.doubtUntil.IsZero() && !o.now.Before(w.doubtUntil) {
-			if !w.listed || w.unanswered > 0 || !w.known {
-				o.expire(w)
+		if !w.grantsExpireAt.IsZero() && !o.now.Before(w.grantsExpireAt) {
+			if !w.listed || w.unanswered > 0 || !w.stateKnown {
+				o.expireRuns(w)
 			}
 		}
-		next = earlier(next, o.now.Add(lookRetry))
+		next = earlier(next, o.now.Add(pollRetryDelay))
 	}
-	o.consultCensus()
+	o.applyMachineList()
 	if next.IsZero() {
-		return o.now.Add(confirmEvery)
+		return o.now.Add(confirmInterval)
 	}
 	return next
 }
 
-// mayDrop tells whether an unlisted worker needs no more attention.
-func (o *Owner) mayDrop(w *worker) bool {
-	missing := o.now.Sub(w.missingFrom) > goneAfter && o.now.Sub(o.feedAt) > goneAfter
-	if !missing || len(w.runs) > 0 || w.inheritedDoubt {
+// canRemove tells whether an unlisted worker needs no more attention.
+func (o *Owner) canRemove(w *worker) bool {
+	missing := o.now.Sub(w.missingSince) > missingTimeout && o.now.Sub(o.listStableSince) > missingTimeout
+	if !missing || len(w.runs) > 0 || w.mayHaveInheritedRuns {
 		return false
 	}
-	return w.told >= w.seen || w.unanswered > 2
+	return w.confirmedEnd >= w.seenEnd || w.unanswered > 2
 }
 
-// expire drops the runs of a worker that has not answered until everything
+// expireRuns drops the runs of a worker that has not answered until everything
 // that was granted there has run out.
-func (o *Owner) expire(w *worker) {
-	if len(w.runs) == 0 && !w.inheritedDoubt {
+func (o *Owner) expireRuns(w *worker) {
+	if len(w.runs) == 0 && !w.mayHaveInheritedRuns {
 		return
 	}
 	o.log.Info("worker: all that ran there has lapsed", zap.String("worker", string(w.entry.ID)),
-		zap.Duration("silent", o.now.Sub(w.silentFrom)), zap.Int("runs", len(w.runs)))
-	w.inheritedDoubt = false
-	w.known = false // it must be looked at before it is used again
-	o.blame(w, false)
+		zap.Duration("silent", o.now.Sub(w.silentSince)), zap.Int("runs", len(w.runs)))
+	w.mayHaveInheritedRuns = false
+	w.stateKnown = false // it must be looked at before it is used again
+	o.attributeCrash(w, false)
 	for _, r := range w.runs {
 		o.runGone(r, "lapsed on a silent worker")
 	}
-	o.placeSoon = true
+	o.placeRequested = true
 }
 
-// inheritedDoubts tells whether runs of the former owner may be on workers
+// mayHaveInheritedRuns tells whether runs of the former owner may be on workers
 // that have not answered.
-func (o *Owner) inheritedDoubts() bool {
-	if !o.counted && o.now.Before(o.takenAt.Add(permitTime+o.holdBound())) {
-		o.census.Want(o.now)
+func (o *Owner) mayHaveInheritedRuns() bool {
+	if !o.machineListRead && o.now.Before(o.takeoverAt.Add(permitTTL+o.maxHoldTime())) {
+		o.machineCache.RequestRefresh(o.now)
 		return true
 	}
 	for _, w := range o.workers {
-		if w.inheritedDoubt {
+		if w.mayHaveInheritedRuns {
 			return true
 		}
 	}
--- a/run/inbox_test.go
+++ b/run/inbox_test.go
@@ -14,7 +14,7 @@
 // leave keeps a submission as another daemon does that can't reach the owner.
 func (r *rig) leave(s tw.Submission) tw.Submission {
 	r.fleet.Expect(&s, nil)
-	_, err := r.kv.Commit(r.ctx, ledger.AcceptUnowned(&s))
+	_, err := r.kv.Commit(r.ctx, ledger.AcceptViaInbox(&s))
 	r.Expect(err).NotTo(HaveOccurred())
 	return s
 }
@@ -25,25 +25,25 @@
 	"takes up what another daemon has kept without it": func(r *rig) {
 		o := r.take("a")
 		r.keepUnowned(o, submission("s1", 2))
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
 	"starts what stands in the inbox although a worker is silent": func(r *rig) {
 		r.take("a").Close()
 		r.leave(submission("s1", 2))
 		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Silent = true })
 		b := r.take("b")
-		r.eventually(b, "s1", tw.Succeeded, 2*time.Second)
+		r.eventually(b, "s1", tw.SubmissionSucceeded, 2*time.Second)
 	},
 	"starts nothing whose message is still in the inbox": func(r *rig) {
 		o := r.take("a")
 		r.leave(submission("s1", 2))
 		r.kv.SetFaults(standin.KVFaults{LateWrites: 1000})
-		o.Inbox(r.ctx, ledger.InboxRecord{Kind: ledger.InboxSubmitted, ID: "s1"})
+		o.HandleInbox(r.ctx, ledger.InboxRecord{Kind: ledger.InboxSubmitted, ID: "s1"})
 		time.Sleep(time.Second)
-		r.Expect(r.state(o, "s1")).To(Equal(tw.Waiting))
+		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionWaiting))
 		r.Expect(r.fleet.Begun("s1")).To(BeFalse())
 		r.kv.SetFaults(standin.KVFaults{})
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
 	// A daemon that did not reach the owner had left the cancel in the inbox and had
 	// answered it. The next owner knew the submission from the store, started it, and
@@ -59,12 +59,12 @@
 	"starts nothing whose cancel is in the inbox when it takes over": func(r *rig) {
 		r.take("a").Close()
 		r.leave(submission("s1", 2))
-		_, err := r.kv.Commit(r.ctx, ledger.AskCancel(pool, "s1"))
+		_, err := r.kv.Commit(r.ctx, ledger.CancelViaInbox(pool, "s1"))
 		r.Expect(err).NotTo(HaveOccurred())
 		b := r.take("b")
 		time.Sleep(500 * time.Millisecond) // the inbox is read so much later
-		b.Inbox(r.ctx, ledger.InboxRecord{Kind: ledger.InboxCancel, ID: "s1"})
-		r.eventually(b, "s1", tw.Cancelled, 5*time.Second)
+		b.HandleInbox(r.ctx, ledger.InboxRecord{Kind: ledger.InboxCancel, ID: "s1"})
+		r.eventually(b, "s1", tw.SubmissionCancelled, 5*time.Second)
 		r.Expect(r.fleet.Starts()).To(BeZero())
 	},
 	"goes on trying to read what another daemon has kept": func(r *rig) {
@@ -86,7 +86,7 @@
 		b := r.take("b")
 		time.Sleep(20 * time.Millisecond) // it has looked at all workers
 		r.keepUnowned(b, s)
-		r.eventually(b, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(b, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
 	"takes up an end that it saw before it was told of the submission": func(r *rig) {
 		s := submission("s1", 1, 1)
@@ -98,7 +98,7 @@
 		b := r.take("b")
 		time.Sleep(2 * time.Second) // it has seen the end and said so
 		r.keepUnowned(b, s)
-		r.eventually(b, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(b, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(2))
 	},
 }
--- a/run/lasting.go
+++ b/run/lasting.go
@@ -4,23 +4,23 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// settledPercent: a lasting subtask is at work when its worker says so.
-const settledPercent = 100
+// readyPercent: a lasting subtask is at work when its worker says so.
+const readyPercent = 100
 
 // moveLasting takes lasting subtasks off workers that are leaving, so many of
 // a step at a time as it may miss. What runs for a limited time is left to
 // end by itself, unless its worker ends before.
 func (o *Owner) moveLasting() {
 	// What the former owner told to stop is listed as running until it has.
-	if o.now.Sub(o.takenAt) < o.bounds.StopTime+2*closeLook {
+	if o.now.Sub(o.takeoverAt) < o.bounds.StopTime+2*shortPollWait {
 		return
 	}
 	for _, w := range o.workers {
-		if !w.leaving && !w.entry.Draining || w.unanswered > 0 {
+		if !w.vacating && !w.entry.Draining || w.unanswered > 0 {
 			continue
 		}
 		for _, r := range w.runs {
-			if r.phase != running || !r.task.step.spec.Lasting {
+			if r.phase != running || !r.task.step.spec.LongRunning {
 				continue
 			}
 			// The platform takes a draining worker away in any case.
@@ -41,30 +41,30 @@
 	st := r.task.step
 	away := 0
 	for _, t := range st.tasks {
-		if t != r.task && !o.atWork(t) {
+		if t != r.task && !o.lastingReady(t) {
 			away++
 		}
 	}
-	return away < max(1, st.spec.MaxAway)
+	return away < max(1, st.spec.MaxDisrupted)
 }
 
-// atWork tells whether a lasting subtask was at work when last looked at.
-func (o *Owner) atWork(t *task) bool {
+// lastingReady tells whether a lasting subtask was at work when last looked at.
+func (o *Owner) lastingReady(t *task) bool {
 	if len(t.runs) != 1 {
 		return false
 	}
 	r := t.runs[0]
-	return r.phase == running && r.percent >= settledPercent && r.w.unanswered == 0 && !r.w.entry.Draining
+	return r.phase == running && r.percent >= readyPercent && r.w.unanswered == 0 && !r.w.entry.Draining
 }
 
 // roomElsewhere tells whether another worker would take a subtask of a step, at
 // once or after some of its present work has ended: placement keeps that room.
 func (o *Owner) roomElsewhere(not *worker, spec *tw.Step) bool {
 	for _, w := range o.workers {
-		if w == not || w.leaving || !w.usable(o.now) {
+		if w == not || w.vacating || !w.usable(o.now) {
 			continue
 		}
-		if w.attainable().Fits(spec.Claim()) && w.entry.HasLabel(spec.Label) {
+		if w.attainable().Fits(spec.Reservation()) && w.entry.HasLabel(spec.Label) {
 			return true
 		}
 	}
--- a/run/lives_test.go
+++ b/run/lives_test.go
@@ -152,7 +152,7 @@
 		r.feed(o)
 		time.Sleep(2 * time.Second)
 		r.relist(o, present)
-		r.eventually(o, "s1", tw.Succeeded, 10*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 10*time.Second)
 		time.Sleep(2 * time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(4))
 	},
@@ -280,8 +280,8 @@
 			delete(r.list, present)
 			r.relist(o, entry)
 			present = next
-			r.Expect(r.state(o, "s1")).NotTo(Equal(tw.Failed))
+			r.Expect(r.state(o, "s1")).NotTo(Equal(tw.SubmissionFailed))
 		}
-		r.eventually(o, "s1", tw.Succeeded, 20*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 20*time.Second)
 	})
 }
--- a/run/look.go
+++ b/run/look.go
@@ -10,17 +10,17 @@
 	"github.com/tamarindworks/tamarindworks/internal/logsink"
 )
 
-// lookAround sends the looks that are due and returns when the next one is.
-func (o *Owner) lookAround() time.Time {
+// pollWorkers sends the looks that are due and returns when the next one is.
+func (o *Owner) pollWorkers() time.Time {
 	var next time.Time
 	if !o.permit.valid(o.now) {
 		return next
 	}
 	for _, w := range o.workers {
-		if w.looking || w.entry.Address == "" {
+		if w.polling || w.entry.Address == "" {
 			continue
 		}
-		at, mayWait, wanted := o.lookDue(w)
+		at, mayWait, wanted := o.pollDue(w)
 		if !wanted {
 			continue
 		}
@@ -30,32 +30,32 @@
 		}
 		wait := time.Duration(0)
 		if mayWait {
-			wait = o.lookWait(w)
+			wait = o.pollWait(w)
 		}
-		o.look(w, wait)
+		o.poll(w, wait)
 	}
 	return next
 }
 
-// lookDue tells whether and when a worker is to be looked at next, and whether
+// pollDue tells whether and when a worker is to be looked at next, and whether
 // the look may wait for an end to report.
-func (o *Owner) lookDue(w *worker) (at time.Time, mayWait, wanted bool) {
-	if w.unanswered > 0 || !w.known || w.questioned() {
-		return w.nextLook, false, true
+func (o *Owner) pollDue(w *worker) (at time.Time, mayWait, wanted bool) {
+	if w.unanswered > 0 || !w.stateKnown || w.needsProbe() {
+		return w.nextPoll, false, true
 	}
 	if len(w.runs) == 0 {
-		return w.lookedAt.Add(confirmEndsAfter), false, w.told < w.recorded
+		return w.polledAt.Add(confirmEndsDelay), false, w.confirmedEnd < w.recordedEnd
 	}
-	if o.now.Sub(w.lookedAt) < startsFirst && w.starting() {
+	if o.now.Sub(w.polledAt) < startAnswerWait && w.starting() {
 		// A look that waits would tell nothing of them if one goes wrong.
-		return w.lookedAt.Add(startsFirst), false, true
+		return w.polledAt.Add(startAnswerWait), false, true
 	}
-	if w.recorded < w.seen {
+	if w.recordedEnd < w.seenEnd {
 		// Until the ends are recorded, the worker reports them again at once. But
 		// others may have ended since, whose room is wanted.
-		return w.lookedAt.Add(unrecordedLook), false, true
+		return w.polledAt.Add(unrecordedPollDelay), false, true
 	}
-	return w.nextLook, true, true
+	return w.nextPoll, true, true
 }
 
 // starting tells whether orders to start runs are under way.
@@ -68,14 +68,14 @@
 	return false
 }
 
-// lookWait is shorter where tails are to be watched or a run is overdue.
-func (o *Owner) lookWait(w *worker) time.Duration {
+// pollWait is shorter where tails are to be watched or a run is overdue.
+func (o *Owner) pollWait(w *worker) time.Duration {
 	if w.tally.trials > 0 {
-		return min(max(0, w.trialDue().Sub(o.now)), closeLook)
+		return min(max(0, w.trialDue().Sub(o.now)), shortPollWait)
 	}
 	serving, fillers := false, false
 	for _, r := range w.runs {
-		if r.phase == unclear || r.phase == blocked {
+		if r.phase == unconfirmed || r.phase == stopConfirmed {
 			return 0
 		}
 		if r.task == nil {
@@ -84,134 +84,134 @@
 		spec := r.task.step.spec
 		serving = serving || spec.TailTarget > 0
 		fillers = fillers || spec.Filler
-		if spec.Lasting && r.percent < settledPercent {
-			return closeLook
+		if spec.LongRunning && r.percent < readyPercent {
+			return shortPollWait
 		}
-		if !spec.Lasting && o.overdue(r) {
-			return closeLook
+		if !spec.LongRunning && o.overdue(r) {
+			return shortPollWait
 		}
 	}
 	if serving && fillers {
-		return closeLook
+		return shortPollWait
 	}
-	return longLook
+	return longPollWait
 }
 
-func (o *Owner) look(w *worker, wait time.Duration) {
-	o.lookSeq++
-	hold := tw.HoldOrder{Fence: o.self.Fence, Seen: w.confirmable(), Wait: wait}
-	if w.known && w.unanswered == 0 {
-		hold.Deadline = w.clockNow(o.now).Add(o.bounds.MaxHold)
-		w.doubtUntil = o.now.Add(o.holdBound())
-	}
-	w.looking = true
-	o.metrics.looks.Inc()
+func (o *Owner) poll(w *worker, wait time.Duration) {
+	o.pollSeq++
+	hold := tw.HoldOrder{Fence: o.self.Fence, AckedSequence: w.confirmableEnd(), Wait: wait}
+	if w.stateKnown && w.unanswered == 0 {
+		hold.Deadline = w.estimateClock(o.now).Add(o.bounds.MaxHold)
+		w.grantsExpireAt = o.now.Add(o.maxHoldTime())
+	}
+	w.polling = true
+	o.metrics.polls.Inc()
 	session := w.session
 	limit := time.Duration(0)
-	if w.known && w.questioned() {
-		limit = o.patience.limit(o.now)
+	if w.stateKnown && w.needsProbe() {
+		limit = o.orderTimeout.current(o.now)
 	}
-	session.looks <- lookOrder{hold: hold, seq: o.lookSeq, limit: limit, done: func(result lookResult) {
+	session.polls <- pollRequest{hold: hold, seq: o.pollSeq, timeout: limit, done: func(result pollResult) {
 		if w.session == session {
-			o.looked(w, hold, result)
+			o.pollAnswered(w, hold, result)
 		}
 	}}
 }
 
-// looked takes up the outcome of a look.
-func (o *Owner) looked(w *worker, hold tw.HoldOrder, result lookResult) {
-	w.looking = false
-	if o.workers[w.entry.ID] != w || o.retiring {
+// pollAnswered takes up the outcome of a look.
+func (o *Owner) pollAnswered(w *worker, hold tw.HoldOrder, result pollResult) {
+	w.polling = false
+	if o.workers[w.entry.ID] != w || o.draining {
 		return
 	}
 	now := o.now
 	if result.err != nil {
-		o.lookFailed(w, result.err)
+		o.pollFailed(w, result.err)
 		return
 	}
-	if !o.sameLife(w, result.report.Born) {
+	if !o.sameIncarnation(w, result.report.StartTime) {
 		return
 	}
 	if w.unanswered > 0 {
 		o.log.Info("worker: answers again", zap.String("worker", string(w.entry.ID)),
-			zap.Duration("silent", now.Sub(w.silentFrom)))
-	}
-	w.heard(now, result.report.Clock)
-	w.lookedAt = now
-	w.told = max(w.told, hold.Seen)
-	first := !w.known
-	w.known = true
-	if !full(result.report) {
-		w.inheritedDoubt = false
-	}
-	o.takeEnds(w, result.report.Ended)
-	o.takeRunning(w, result)
-	o.exonerateOn(w)
+			zap.Duration("silent", now.Sub(w.silentSince)))
+	}
+	w.noteAnswer(now, result.report.Clock)
+	w.polledAt = now
+	w.confirmedEnd = max(w.confirmedEnd, hold.AckedSequence)
+	first := !w.stateKnown
+	w.stateKnown = true
+	if !mayBeTruncated(result.report) {
+		w.mayHaveInheritedRuns = false
+	}
+	o.handleEnds(w, result.report.Ended)
+	o.reconcileRuns(w, result)
+	o.clearSurvived(w)
 	if first {
 		o.log.Info("worker: answers", zap.String("worker", string(w.entry.ID)),
 			zap.Int("running", len(result.report.Running)), zap.Int("ended", len(result.report.Ended)))
 	}
-	o.watchTails(w)
-	w.nextLook = now.Add(w.gather())
+	o.paceFillers(w)
+	w.nextPoll = now.Add(w.endBatchDelay())
 	if first {
-		w.nextLook = now
+		w.nextPoll = now
 	}
-	o.placeSoon = true
+	o.placeRequested = true
 }
 
-// gather is how long ends may gather at a worker before the next look: short
+// endBatchDelay is how long ends may endBatchDelay at a worker before the next look: short
 // where the end of few subtasks completes a step, on which others wait.
-func (w *worker) gather() time.Duration {
+func (w *worker) endBatchDelay() time.Duration {
 	for _, r := range w.runs {
 		st := r.task.step
-		if !st.spec.Lasting && st.spec.Count-st.done <= lastOfStep {
-			return gatherLast
+		if !st.spec.LongRunning && st.spec.Count-st.done <= fewSubtasksLeft {
+			return lastEndBatchDelay
 		}
 	}
-	return gatherEnds
+	return endBatchDelay
 }
 
-func (o *Owner) lookFailed(w *worker, err error) {
+func (o *Owner) pollFailed(w *worker, err error) {
 	switch {
-	case tw.RefusedFor(err, tw.RefusedLife):
-		o.bury(w, replaced)
+	case tw.RefusedFor(err, tw.RefusedOtherIncarnation):
+		o.removeTerminated(w, replacedAtAddress)
 		return
-	case tw.RefusedFor(err, tw.RefusedFence):
-		o.depose("a worker has a newer owner")
+	case tw.RefusedFor(err, tw.RefusedStaleFence):
+		o.loseOwnership("a worker has a newer owner")
 		return
 	}
-	var refused *tw.OrderRefused
+	var refused *tw.OrderRefusedError
 	if !errors.As(err, &refused) && !errors.Is(err, errNotSent) {
 		if w.unanswered == 0 {
 			o.log.Info("worker: does not answer", zap.String("worker", string(w.entry.ID)),
 				zap.Int("runs", len(w.runs)), logsink.Err(err))
 		}
-		w.unheard(o.now)
-		o.placeSoon = true
+		w.noteUnanswered(o.now)
+		o.placeRequested = true
 	}
-	w.nextLook = o.now.Add(lookRetry)
+	w.nextPoll = o.now.Add(pollRetryDelay)
 	if errors.Is(err, errNotSent) {
-		w.nextLook = o.now
+		w.nextPoll = o.now
 	}
 }
 
-// takeEnds takes up the ends that were not seen before.
-func (o *Owner) takeEnds(w *worker, ended []tw.EndedSubtask) {
-	before := w.seen
+// handleEnds takes up the ends that were not seen before.
+func (o *Owner) handleEnds(w *worker, ended []tw.EndedSubtask) {
+	before := w.seenEnd
 	for _, e := range ended {
-		if e.Sequence <= w.seen {
+		if e.Sequence <= w.seenEnd {
 			continue
 		}
-		w.seen = e.Sequence
-		o.takeEnd(w, e)
+		w.seenEnd = e.Sequence
+		o.handleEnd(w, e)
 	}
-	if w.seen > before {
+	if w.seenEnd > before {
 		o.writer.noteEnds(w)
 	}
 }
 
-// takeRunning compares what runs with what is believed to run.
-func (o *Owner) takeRunning(w *worker, result lookResult) {
+// reconcileRuns compares what runs with what is believed to run.
+func (o *Owner) reconcileRuns(w *worker, result pollResult) {
 	listed := make(map[runKey]bool, len(result.report.Running))
 	for _, running := range result.report.Running {
 		key := runKey{task: running.Subtask, run: running.Run}
@@ -220,26 +220,26 @@
 		if r == nil {
 			r = o.adopt(w, running)
 		}
-		o.takeProgress(r, running, result.report.Clock)
+		o.updateProgress(r, running, result.report.Clock)
 	}
-	if full(result.report) {
+	if mayBeTruncated(result.report) {
 		return
 	}
 	for key, r := range w.runs {
-		if listed[key] || r.visibleFrom > result.seq {
+		if listed[key] || r.firstVisiblePoll > result.seq {
 			continue
 		}
-		o.missing(w, r)
+		o.handleMissing(w, r)
 	}
 }
 
-// full tells whether a report may lack ends. A run that it does not list proves
+// mayBeTruncated tells whether a report may lack ends. A run that it does not list proves
 // nothing then, as it may be among the ends that are still to come.
-func full(report tw.HoldReport) bool { return len(report.Ended) >= tw.MaxEndsListed }
+func mayBeTruncated(report tw.HoldReport) bool { return len(report.Ended) >= tw.MaxEndsListed }
 
 // adopt takes up a run of a former owner, or one whose start was given up.
 func (o *Owner) adopt(w *worker, listed tw.RunningSubtask) *runState {
-	r := &runState{run: listed.Run, w: w, phase: running, startedAt: o.now, movedAt: o.now, pace: fullPace}
+	r := &runState{run: listed.Run, w: w, phase: running, startedAt: o.now, progressAt: o.now, pace: fullPace}
 	var t *task
 	if sub := o.submissions[listed.Subtask.Submission]; sub != nil {
 		t = o.taskOf(sub, listed.Subtask)
@@ -247,26 +247,26 @@
 	if t == nil {
 		// Nothing is known of its needs: it is stopped, and takes the whole
 		// worker until it is gone.
-		t = strayTask(listed.Subtask, o.submissions[listed.Subtask.Submission])
+		t = orphanTask(listed.Subtask, o.submissions[listed.Subtask.Submission])
 		r.claim = w.entry.Capacity
 	} else {
-		r.claim = t.step.spec.Claim()
+		r.claim = t.step.spec.Reservation()
 	}
 	r.task = t
 	r.sent.Store(true)
 	r.trial = t.suspect()
 	// A former owner has started a suspect only once it had counted that start.
-	r.ahead = t.crashes > 0 && !t.step.spec.Copies
+	r.precounted = t.crashes > 0 && !t.step.spec.AllowCopies
 	t.runs = append(t.runs, r)
 	w.add(r)
 	sub := t.step.rep.sub
 	switch {
-	case sub.over() || t.done:
+	case sub.closed() || t.done:
 		o.stop(r, "its submission has ended")
-	case len(t.runs) > 1 && !t.step.spec.Copies:
+	case len(t.runs) > 1 && !t.step.spec.AllowCopies:
 		o.stop(r, "it runs elsewhere")
 	default:
-		o.begin(sub)
+		o.markBegun(sub)
 	}
 	return r
 }
@@ -275,16 +275,16 @@
 // due here yet although a former owner, whose clock was ahead, has started it: not
 // opened, its end would be confirmed but not recorded, and it would run again.
 func (o *Owner) taskOf(sub *submission, id tw.SubtaskID) *task {
-	if sub.durable && !sub.over() && id.Repetition >= sub.nextRep {
+	if sub.durable && !sub.closed() && id.Repetition >= sub.nextRep {
 		o.openBelow(sub, id.Repetition+1)
 	}
 	return sub.task(id)
 }
 
-// strayTask stands for a subtask of which nothing is known, but for the submission if that
+// orphanTask stands for a subtask of which nothing is known, but for the submission if that
 // has ended.
-func strayTask(id tw.SubtaskID, ended *submission) *task {
-	sub := &submission{Submission: tw.Submission{ID: id.Submission}, final: tw.Cancelled}
+func orphanTask(id tw.SubtaskID, ended *submission) *task {
+	sub := &submission{Submission: tw.Submission{ID: id.Submission}, final: tw.SubmissionCancelled}
 	if ended != nil {
 		sub.Organisation = ended.Organisation
 	}
@@ -292,27 +292,27 @@
 	return &task{id: id, step: st}
 }
 
-func (o *Owner) takeProgress(r *runState, running tw.RunningSubtask, clock tw.WorkerClock) {
-	r.seen(clock)
-	if r.phase == starting || r.phase == unclear {
+func (o *Owner) updateProgress(r *runState, running tw.RunningSubtask, clock tw.WorkerTime) {
+	r.noteSeen(clock)
+	if r.phase == starting || r.phase == unconfirmed {
 		o.confirmStart(r)
 	}
 	if running.Percent != r.percent {
-		r.percent, r.movedAt = running.Percent, o.now
+		r.percent, r.progressAt = running.Percent, o.now
 	}
-	if running.Saved != "" {
-		r.task.saved = running.Saved
+	if running.Checkpoint != "" {
+		r.task.saved = running.Checkpoint
 	}
-	r.tail = running.Tail
+	r.tailLatency = running.TailLatency
 }
 
-// missing handles a run that a look does not list though it should, if it
+// handleMissing handles a run that a look does not list though it should, if it
 // existed.
-func (o *Owner) missing(w *worker, r *runState) {
+func (o *Owner) handleMissing(w *worker, r *runState) {
 	switch r.phase {
 	case starting:
 		return // its answer is still to come
-	case unclear:
+	case unconfirmed:
 		// The order may still be carried out, unless a stop forbids it.
 		o.stop(r, "its start was not answered")
 	case stopping:
--- a/run/look_test.go
+++ b/run/look_test.go
@@ -35,7 +35,7 @@
 		r.kv.SetFaults(standin.KVFaults{Down: true})
 		time.Sleep(4 * time.Second) // all have ended
 		r.kv.SetFaults(standin.KVFaults{})
-		r.eventually(o, "s1", tw.Succeeded, 20*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 20*time.Second)
 		time.Sleep(2 * time.Second) // the ends are confirmed by then
 		r.kept()
 		r.Expect(r.fleet.Starts()).To(Equal(count))
@@ -71,7 +71,7 @@
 		b := r.open("b", r.kv, orders)
 		time.Sleep(100 * time.Millisecond)
 		r.submit(b, submission("s2", 1)) // something goes on meanwhile
-		r.eventually(b, "s1", tw.Succeeded, 20*time.Second)
+		r.eventually(b, "s1", tw.SubmissionSucceeded, 20*time.Second)
 		time.Sleep(2 * time.Second) // the ends are confirmed by then
 		r.kept()
 		r.Expect(r.fleet.Starts()).To(Equal(count + 1))
--- a/run/loop.go
+++ b/run/loop.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// workersGap and looksGap are the least times between two rounds of
+	// minWorkerWatchInterval and looksGap are the least times between two rounds of
 	// watchWorkers and of lookAround. A round costs some microseconds a worker;
 	// a look or a doubt that waits so much longer is not noticed beside a
 	// worker's 2 ms.
-	workersGap = 20 * time.Millisecond
-	looksGap   = 5 * time.Millisecond
+	minWorkerWatchInterval = 20 * time.Millisecond
+	minPollInterval        = 5 * time.Millisecond
 )
 
 func (o *Owner) loop() {
@@ -31,14 +31,14 @@
 		case <-timer:
 			timer = nil
 			o.now = o.clock.Now()
-			o.loopLate = max(o.loopLate, o.now.Sub(armed))
+			o.maxLoopDelay = max(o.maxLoopDelay, o.now.Sub(armed))
 		}
 	}
 }
 
 // drainEvents handles what has come meanwhile before the next step.
 func (o *Owner) drainEvents() {
-	for range eventQueue {
+	for range eventQueueSize {
 		select {
 		case event := <-o.events:
 			// An answer that came after the first event must not be noted with its time:
@@ -53,25 +53,25 @@
 
 // step does what is due and returns when something is due again.
 func (o *Owner) step() time.Time {
-	next := o.now.Add(confirmEvery)
-	if o.deposing {
+	next := o.now.Add(confirmInterval)
+	if o.ownershipLost {
 		return next
 	}
-	if o.retiring {
+	if o.draining {
 		return earlier(next, o.writer.flush())
 	}
 	next = earlier(next, o.openRepetitions())
-	next = earlier(next, o.paced(&o.workersFrom, workersGap, o.watchWorkers))
+	next = earlier(next, o.throttle(&o.nextWorkerWatchAt, minWorkerWatchInterval, o.watchWorkers))
 	next = earlier(next, o.placeIfDue())
-	next = earlier(next, o.paced(&o.runsFrom, watchEvery, o.watchRuns))
+	next = earlier(next, o.throttle(&o.nextRunWatchAt, watchInterval, o.watchRuns))
 	next = earlier(next, o.caps.adjust(o))
-	next = earlier(next, o.paced(&o.looksFrom, looksGap, o.lookAround))
+	next = earlier(next, o.throttle(&o.nextPollsAt, minPollInterval, o.pollWorkers))
 	return earlier(next, o.writer.flush())
 }
 
-// paced does a duty unless it was done less than a gap ago. It returns when
+// throttle does a duty unless it was done less than a gap ago. It returns when
 // the duty is due again.
-func (o *Owner) paced(from *time.Time, gap time.Duration, duty func() time.Time) time.Time {
+func (o *Owner) throttle(from *time.Time, gap time.Duration, duty func() time.Time) time.Time {
 	if o.now.Before(*from) {
 		return *from
 	}
--- a/run/loop_test.go
+++ b/run/loop_test.go
@@ -26,13 +26,13 @@
 	g := NewWithT(t)
 	began := time.Now()
 	clock := &handClock{at: began}
-	o := &Owner{clock: clock, now: began, events: make(chan func(), eventQueue)}
+	o := &Owner{clock: clock, now: began, events: make(chan func(), eventQueueSize)}
 	w := &worker{}
-	const answered tw.WorkerClock = 5000
+	const answered tw.WorkerTime = 5000
 	o.events <- func() { clock.at = began.Add(3 * time.Second) } // it took so long
-	o.events <- func() { w.heard(o.now, answered) }
+	o.events <- func() { w.noteAnswer(o.now, answered) }
 	o.drainEvents()
-	g.Expect(w.clockNow(clock.at)).To(Equal(answered))
+	g.Expect(w.estimateClock(clock.at)).To(Equal(answered))
 }
 
 // Zero is never, for both of the times. Where the first was zero the result was, so that
--- a/run/metrics.go
+++ b/run/metrics.go
@@ -16,17 +16,17 @@
 	refused  *metrics.Counter
 	// busy counts the submissions refused as the owner was overloaded.
 	busy  *metrics.Counter
-	looks *metrics.Counter
-	// doubled counts the runs that ended as done though they had been given up.
-	doubled *metrics.Counter
-	// withheld counts the passes in which an organisation's cap held work back.
-	withheld *metrics.Counter
-	// suspected counts the runs that may have ended their workers.
-	suspected *metrics.Counter
-	// toStart is from acceptance to the first order, in seconds.
-	toStart   *metrics.Histogram
-	toEnd     *metrics.Histogram
-	writeTime *metrics.Histogram
+	polls *metrics.Counter
+	// duplicateRuns counts the runs that ended as done though they had been given up.
+	duplicateRuns *metrics.Counter
+	// capWithheld counts the passes in which an organisation's cap held work back.
+	capWithheld *metrics.Counter
+	// suspectedRuns counts the runs that may have ended their workers.
+	suspectedRuns *metrics.Counter
+	// startDelay is from acceptance to the first order, in seconds.
+	startDelay *metrics.Histogram
+	endDelay   *metrics.Histogram
+	writeTime  *metrics.Histogram
 	// startQueued is from the decision to start to the sending of the order, startAnswer
 	// from there to its answer, in seconds.
 	startQueued *metrics.Histogram
@@ -39,12 +39,12 @@
 	m.accepted = set.GetOrCreateCounter(m.name("submissions_accepted_total"))
 	m.refused = set.GetOrCreateCounter(m.name("submissions_refused_total"))
 	m.busy = set.GetOrCreateCounter(m.name("submissions_busy_total"))
-	m.looks = set.GetOrCreateCounter(m.name("worker_looks_total"))
-	m.suspected = set.GetOrCreateCounter(m.name("runs_suspected_total"))
-	m.withheld = set.GetOrCreateCounter(m.name("cap_withheld_total"))
-	m.doubled = set.GetOrCreateCounter(m.name("runs_doubled_total"))
-	m.toStart = set.GetOrCreateHistogram(m.name("submission_start_seconds"))
-	m.toEnd = set.GetOrCreateHistogram(m.name("submission_end_seconds"))
+	m.polls = set.GetOrCreateCounter(m.name("worker_looks_total"))
+	m.suspectedRuns = set.GetOrCreateCounter(m.name("runs_suspected_total"))
+	m.capWithheld = set.GetOrCreateCounter(m.name("cap_withheld_total"))
+	m.duplicateRuns = set.GetOrCreateCounter(m.name("runs_doubled_total"))
+	m.startDelay = set.GetOrCreateHistogram(m.name("submission_start_seconds"))
+	m.endDelay = set.GetOrCreateHistogram(m.name("submission_end_seconds"))
 	m.writeTime = set.GetOrCreateHistogram(m.name("ledger_write_seconds"))
 	m.startQueued = set.GetOrCreateHistogram(m.name("start_queued_seconds"))
 	m.startAnswer = set.GetOrCreateHistogram(m.name("start_answer_seconds"))
--- a/run/orders_test.go
+++ b/run/orders_test.go
@@ -17,7 +17,7 @@
 	takes time.Duration
 }
 
-func (s slowStarts) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (s slowStarts) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	time.Sleep(s.takes)
 	return s.WorkerOrders.Start(ctx, to, order)
 }
--- a/run/owner.go
+++ b/run/owner.go
@@ -13,21 +13,21 @@
 
 // Owner owns a pool. Make one with Config.New, end it with Close.
 type Owner struct {
-	pool    tw.PoolID
-	self    ledger.Owner
-	kv      tw.KV
-	orders  tw.WorkerOrders
-	advisor *adviser
-	census  *Census
-	clock   tw.Clock
-	log     *zap.Logger
-	metrics *ownerMetrics
-	bounds  Bounds
-	deposed func()
+	pool            tw.PoolID
+	self            ledger.Owner
+	kv              tw.KV
+	orders          tw.WorkerOrders
+	advisor         *adviser
+	machineCache    *MachineCache
+	clock           tw.Clock
+	log             *zap.Logger
+	metrics         *ownerMetrics
+	bounds          Bounds
+	onOwnershipLost func()
 	// link is what the daemon's link carries; zero if that is not known.
 	link tw.BytesPerSecond
-	// readWorkers has the list of workers read anew; never nil.
-	readWorkers func()
+	// refreshWorkers has the list of workers read anew; never nil.
+	refreshWorkers func()
 	// evacuations are the evacuated halls as the daemon knows them; never nil.
 	evacuations func() *tw.Evacuations
 
@@ -36,75 +36,75 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 	permit permit
-	// patience bounds the time of each order.
-	patience patience
+	// orderTimeout bounds the time of each order.
+	orderTimeout orderTimeout
 
 	// What follows belongs to the loop.
 
 	now         time.Time
-	takenAt     time.Time
+	takeoverAt  time.Time
 	submissions map[tw.SubmissionID]*submission
 	// live are the submissions that have not ended.
 	live map[tw.SubmissionID]*submission
-	// timed are the live submissions with repetitions that are still to come or to
+	// scheduled are the live submissions with repetitions that are still to come or to
 	// begin.
-	timed   map[tw.SubmissionID]*submission
-	waiting map[tw.RouteName]int
-	workers map[tw.WorkerID]*worker
-	// lives are the workers of each machine.
-	lives map[tw.InstanceID][]*worker
-	// byPlace are the workers by hall, rack and rank, the order in which they are
+	scheduled map[tw.SubmissionID]*submission
+	waiting   map[tw.RouteName]int
+	workers   map[tw.WorkerID]*worker
+	// workersByInstance are the workers of each machine.
+	workersByInstance map[tw.InstanceID][]*worker
+	// sortedWorkers are the workers by hall, rack and rank, the order in which they are
 	// filled; nil when it is to be worked out anew.
-	byPlace []*worker
+	sortedWorkers []*worker
 	// ranks are the ranks in use.
 	ranks      map[int]bool
-	lookSeq    int64
+	pollSeq    int64
 	runCounter tw.RunNumber
-	// placeSoon asks for a placement pass.
-	placeSoon bool
-	// placeFrom is before when no pass is made, so that passes over much
+	// placeRequested asks for a placement pass.
+	placeRequested bool
+	// nextPlaceAt is before when no pass is made, so that passes over much
 	// waiting work leave the loop time for everything else.
-	placeFrom time.Time
-	// looksFrom, runsFrom and workersFrom are before when lookAround, watchRuns
+	nextPlaceAt time.Time
+	// nextPollsAt, runsFrom and workersFrom are before when lookAround, watchRuns
 	// and watchWorkers are not called again: each visits all workers, and events
 	// come by the thousand a second.
-	looksFrom   time.Time
-	runsFrom    time.Time
-	workersFrom time.Time
+	nextPollsAt       time.Time
+	nextRunWatchAt    time.Time
+	nextWorkerWatchAt time.Time
 	// preemptAt is when the next waiting work may preempt other work, so that a
 	// placement pass is due then; zero if none waits for that.
-	preemptAt  time.Time
-	waitLogged time.Time
-	// shortLogged is when it was last told that the owner is short, loopLate the longest that
+	preemptAt    time.Time
+	waitLoggedAt time.Time
+	// shortLoggedAt is when it was last told that the owner is short, loopLate the longest that
 	// the loop was late since.
-	shortLogged time.Time
-	loopLate    time.Duration
-	window      *sendWindow
-	backlog     backlog
-	writer      *writer
-	caps        *caps
-	learned     map[learnKey]correction
-	usual       usualWork
-	// ended are workers whose life has ended: their entries may linger or come back.
-	ended map[tw.WorkerID]endedLife
+	shortLoggedAt time.Time
+	maxLoopDelay  time.Duration
+	window        *sendWindow
+	backlog       backlog
+	writer        *writer
+	caps          *caps
+	learned       map[estimateKey]correction
+	typical       typicalWork
+	// terminated are workers whose life has terminated: their entries may linger or come back.
+	terminated map[tw.WorkerID]terminatedWorker
 	// unclaimed are ends of subtasks whose submission is not known here, by
 	// submission. A former owner that was told of it later may have run them.
 	unclaimed map[tw.SubmissionID][]unclaimedEnd
 	vacate    map[tw.InstanceID]bool
 	vacateAt  time.Time
 	// evacuated are the evacuated halls that the owner goes by.
-	evacuated *tw.Evacuations
-	feedAt    time.Time
-	offered   Work
+	evacuated       *tw.Evacuations
+	listStableSince time.Time
+	offered         Work
 	// offeredCount counts the submissions whose work is in offered.
 	offeredCount int64
-	// counted: the list of machines was read since the takeover.
-	counted bool
-	// deposing: the ownership is being given up.
-	deposing bool
-	// retiring: what is known is recorded before a planned end of the
+	// machineListRead: the list of machines was read since the takeover.
+	machineListRead bool
+	// ownershipLost: the ownership is being given up.
+	ownershipLost bool
+	// draining: what is known is recorded before a planned end of the
 	// ownership, and nothing else is taken up.
-	retiring bool
+	draining bool
 }
 
 // Errors that callers of an Owner get. Further ones are those of tw.KV:
@@ -114,9 +114,9 @@
 	ErrUnknown  = errors.New("no such submission")
 )
 
-// runBase spaces the run numbers of successive owners, so that a new owner's
+// runNumbersPerOwner spaces the run numbers of successive owners, so that a new owner's
 // are higher without a record of the last one. An owner starts fewer.
-const runBase = 10_000_000
+const runNumbersPerOwner = 10_000_000
 
 // New starts the owner's duties.
 func (c Config) New() *Owner {
@@ -124,40 +124,40 @@
 	now := c.Clock.Now()
 	o := &Owner{
 		pool: c.Self.Pool, self: c.Self, kv: c.KV, orders: c.Orders,
-		census: c.Census, clock: c.Clock, bounds: c.Bounds, link: c.Link, deposed: c.Deposed, readWorkers: c.ReadWorkers,
+		machineCache: c.MachineCache, clock: c.Clock, bounds: c.Bounds, link: c.Link, onOwnershipLost: c.OnOwnershipLost, refreshWorkers: c.RefreshWorkers,
 		evacuations: c.Evacuations,
 		log:         c.Log.With(zap.String("pool", string(c.Self.Pool)), zap.Int64("fence", int64(c.Book.Fence()))),
-		events:      make(chan func(), eventQueue), ctx: ctx, cancel: cancel, done: make(chan struct{}),
-		now: now, takenAt: now, feedAt: now,
-		submissions: map[tw.SubmissionID]*submission{},
-		live:        map[tw.SubmissionID]*submission{},
-		timed:       map[tw.SubmissionID]*submission{},
-		waiting:     map[tw.RouteName]int{},
-		workers:     map[tw.WorkerID]*worker{},
-		lives:       map[tw.InstanceID][]*worker{},
-		ranks:       map[int]bool{},
-		learned:     map[learnKey]correction{},
-		ended:       map[tw.WorkerID]endedLife{},
-		unclaimed:   map[tw.SubmissionID][]unclaimedEnd{},
-		runCounter:  tw.RunNumber(c.Book.Fence()) * runBase,
-		placeSoon:   true,
+		events:      make(chan func(), eventQueueSize), ctx: ctx, cancel: cancel, done: make(chan struct{}),
+		now: now, takeoverAt: now, listStableSince: now,
+		submissions:       map[tw.SubmissionID]*submission{},
+		live:              map[tw.SubmissionID]*submission{},
+		scheduled:         map[tw.SubmissionID]*submission{},
+		waiting:           map[tw.RouteName]int{},
+		workers:           map[tw.WorkerID]*worker{},
+		workersByInstance: map[tw.InstanceID][]*worker{},
+		ranks:             map[int]bool{},
+		learned:           map[estimateKey]correction{},
+		terminated:        map[tw.WorkerID]terminatedWorker{},
+		unclaimed:         map[tw.SubmissionID][]unclaimedEnd{},
+		runCounter:        tw.RunNumber(c.Book.Fence()) * runNumbersPerOwner,
+		placeRequested:    true,
 	}
-	if o.readWorkers == nil {
-		o.readWorkers = func() {}
+	if o.refreshWorkers == nil {
+		o.refreshWorkers = func() {}
 	}
 	if o.evacuations == nil {
 		o.evacuations = func() *tw.Evacuations { return &tw.Evacuations{} }
 	}
 	o.metrics = newOwnerMetrics(c.Metrics, c.Self.Pool)
 	o.advisor = newAdviser(o, c.Advisor)
-	o.window = newSendWindow(now, firstWindow(c.Cores, c.Link))
+	o.window = newSendWindow(now, initialWindow(c.Cores, c.Link))
 	o.writer = newWriter(o, c.Book)
 	o.caps = newCaps(o, c.Configuration)
 	// Reading the submissions may have taken long, and another daemon may have taken
 	// the pool since: it counts on this owner's grants from its last write.
-	o.permit.extend(c.Book.Confirmed().Add(permitTime))
+	o.permit.extend(c.Book.ConfirmedAt().Add(permitTTL))
 	for _, l := range c.Loaded {
-		o.takeUp(l)
+		o.loadSubmission(l)
 	}
 	o.log.Info("owner: taken", zap.Int("submissions", len(o.submissions)))
 	go func() {
@@ -167,8 +167,8 @@
 	return o
 }
 
-// takeUp takes a submission as the store has it.
-func (o *Owner) takeUp(l ledger.Loaded) {
+// loadSubmission takes a submission as the store has it.
+func (o *Owner) loadSubmission(l ledger.LoadedSubmission) {
 	if l.Record.Final != "" {
 		o.caps.inherit(l.Record)
 		o.submissions[l.ID] = &submission{
@@ -189,10 +189,10 @@
 	}
 	o.claimRuns(sub)
 	o.claimEnds(sub)
-	sub.mayBeSpent = sub.spent()
+	sub.mayBeExhausted = sub.exhausted()
 	if l.CancelInInbox {
 		// Read with the inbox's other messages, a while later, it was started before.
-		o.followMessage(ledger.InboxRecord{Kind: ledger.InboxCancel, ID: sub.ID})
+		o.applyMessage(ledger.InboxRecord{Kind: ledger.InboxCancel, ID: sub.ID})
 	}
 }
 
@@ -200,14 +200,14 @@
 	o.submissions[sub.ID] = sub
 	o.live[sub.ID] = sub
 	o.waiting[sub.Policy.Route]++
-	if sub.ending != "" {
-		o.writer.mark(sub)
+	if sub.pendingFinal != "" {
+		o.writer.markDirty(sub)
 	}
 	o.open(sub)
 }
 
-// begin notes that a subtask has been started.
-func (o *Owner) begin(sub *submission) {
+// markBegun notes that a subtask has been started.
+func (o *Owner) markBegun(sub *submission) {
 	if !sub.begun {
 		sub.begun = true
 		o.waiting[sub.Policy.Route]--
@@ -221,16 +221,16 @@
 func (o *Owner) openBelow(sub *submission, below int) {
 	begun := sub.begun
 	sub.openDue(o.clock.Now(), below)
-	if sub.waits() {
-		o.timed[sub.ID] = sub
+	if sub.hasFutureRepetitions() {
+		o.scheduled[sub.ID] = sub
 	} else {
-		delete(o.timed, sub.ID)
+		delete(o.scheduled, sub.ID)
 	}
 	if sub.begun && !begun {
 		o.waiting[sub.Policy.Route]--
 	}
-	o.settleFinished(sub)
-	o.placeSoon = true
+	o.closeFinished(sub)
+	o.placeRequested = true
 }
 
 // Record is the ownership as other daemons know it.
@@ -252,14 +252,14 @@
 func (o *Owner) Drain(ctx context.Context) {
 	flushed := make(chan struct{})
 	o.post(ctx, func() {
-		o.retiring = true
+		o.draining = true
 		o.writer.whenIdle(func() { close(flushed) })
 	})
 	select {
 	case <-flushed:
 	case <-ctx.Done():
 	case <-o.done:
-	case <-o.clock.After(drainTime):
+	case <-o.clock.After(drainTimeout):
 		o.log.Warn("owner: not all is recorded, the successor learns it from the workers")
 	}
 	o.Close()
@@ -288,43 +288,43 @@
 	o.writer.close()
 	o.caps.close()
 	o.advisor.close()
-	for _, sub := range o.writer.fresh {
-		sub.answer(ErrNotOwner) // it was not sent to the store
+	for _, sub := range o.writer.newSubmissions {
+		sub.notifyWaiters(ErrNotOwner) // it was not sent to the store
 	}
 	for _, sub := range o.submissions {
-		sub.answer(errors.Wrap(tw.ErrUnclear, "run: the ownership ended meanwhile"))
+		sub.notifyWaiters(errors.Wrap(tw.ErrAmbiguous, "run: the ownership ended meanwhile"))
 	}
 	o.log.Info("owner: ended")
 }
 
-// depose ends the ownership because another daemon has it.
-func (o *Owner) depose(why string) {
-	if o.deposing {
+// loseOwnership ends the ownership because another daemon has it.
+func (o *Owner) loseOwnership(why string) {
+	if o.ownershipLost {
 		return
 	}
-	o.deposing = true
+	o.ownershipLost = true
 	o.log.Warn("owner: deposed", zap.String("why", why))
 	o.cancel()
-	if o.deposed != nil {
-		o.deposed()
+	if o.onOwnershipLost != nil {
+		o.onOwnershipLost()
 	}
 }
 
-// kept tells those who wait for the submission to be kept that it is.
-func (s *submission) kept() {
+// notifyDurable tells those who wait for the submission to be notifyDurable that it is.
+func (s *submission) notifyDurable() {
 	for _, waiter := range s.waiters {
 		waiter <- nil
 	}
 	s.waiters = nil
 }
 
-// answer tells all who wait for the submission to be recorded.
-func (s *submission) answer(err error) {
+// notifyWaiters tells all who wait for the submission to be recorded.
+func (s *submission) notifyWaiters(err error) {
 	for _, waiter := range s.waiters {
 		waiter <- err
 	}
-	for _, waiter := range s.enders {
+	for _, waiter := range s.cancelWaiters {
 		waiter <- err
 	}
-	s.waiters, s.enders = nil, nil
+	s.waiters, s.cancelWaiters = nil, nil
 }
--- a/run/owner_bench_test.go
+++ b/run/owner_bench_test.go
@@ -57,7 +57,7 @@
 		defer client.Close()
 		orders = client
 	}
-	census := run.CensusConfig{Machines: cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
+	census := run.MachineCacheConfig{Machines: cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
 	defer census.Close()
 	list := map[tw.WorkerID]tw.WorkerEntry{}
 	for n := range workers {
@@ -78,19 +78,19 @@
 		}
 		list[entry.ID] = entry
 	}
-	self := ledger.Owner{Pool: pool, Daemon: "a", Address: "10.1.0.1:1", Life: 1}
+	self := ledger.Owner{Pool: pool, Daemon: "a", Address: "10.1.0.1:1", Incarnation: 1}
 	book, err := ledger.Config{KV: kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: self}.Open(b.Context())
 	if err != nil {
 		b.Fatal(err)
 	}
 	self.Fence = book.Fence()
 	owner := run.Config{
-		Book: book, Self: self, KV: kv, Orders: orders, Advisor: noAdvisor{}, Census: census,
+		Book: book, Self: self, KV: kv, Orders: orders, Advisor: noAdvisor{}, MachineCache: census,
 		Clock: tw.SystemClock{}, Log: benchLog(), Metrics: metrics.NewSet(),
 		Bounds: run.Bounds{MaxHold: 10 * time.Second, StopTime: stopTime, KeepEnded: 2 * time.Minute},
 	}.New()
 	defer owner.Close()
-	owner.SetWorkers(b.Context(), run.WorkerList{Workers: list, Settled: time.Now().Add(-time.Minute)})
+	owner.SetWorkers(b.Context(), run.WorkerList{Workers: list, StableSince: time.Now().Add(-time.Minute)})
 	time.Sleep(time.Second)
 	spec := strings.Repeat("x", benchSpec)
 	began := processorTime(b)
@@ -130,7 +130,7 @@
 func waitEnded(b *testing.B, owner *run.Owner, id tw.SubmissionID) {
 	deadline := time.Now().Add(20 * time.Second)
 	for time.Now().Before(deadline) {
-		if state, err := owner.State(b.Context(), "", id); err == nil && state == tw.Succeeded {
+		if state, err := owner.State(b.Context(), "", id); err == nil && state == tw.SubmissionSucceeded {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/run/owner_test.go
+++ b/run/owner_test.go
@@ -19,25 +19,25 @@
 	"runs the steps of a submission one after the other": func(r *rig) {
 		o := r.take("a")
 		r.submit(o, submission("s1", 3, 5))
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
 	"keeps one submission for an id that comes twice": func(r *rig) {
 		o := r.take("a")
 		s := submission("s1", 2)
 		r.submit(o, s)
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(2))
 	},
 	"does not take up an id again that has ended": func(r *rig) {
 		o := r.take("a")
 		s := submission("s1", 1)
 		r.submit(o, s)
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		o.Close()
 		o = r.take("b")
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
-		r.Expect(r.state(o, "s1")).To(Equal(tw.Succeeded))
+		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionSucceeded))
 		time.Sleep(3 * time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
@@ -46,7 +46,7 @@
 		s := submission("s1", 2)
 		r.fleet.Expect(&s, func(id tw.SubtaskID, p *standin.Profile) { p.Fails = id.Index == 1 })
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
-		r.eventually(o, "s1", tw.Failed, 10*time.Second)
+		r.eventually(o, "s1", tw.SubmissionFailed, 10*time.Second)
 		r.Expect(r.fleet.Running(subtask("s1", 0, 0))).To(BeZero())
 	},
 	"stops what runs when a submission is cancelled": func(r *rig) {
@@ -54,7 +54,7 @@
 		r.submit(o, lasting("s1", 3))
 		time.Sleep(2 * time.Second)
 		r.Expect(o.Cancel(r.ctx, "", "s1")).To(Succeed())
-		r.Expect(r.state(o, "s1")).To(Equal(tw.Cancelled))
+		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionCancelled))
 		r.Eventually(func() int { return r.fleet.Running(subtask("s1", 0, 0)) }, 2*time.Second).Should(BeZero())
 	},
 	"takes up a run whose start was not answered but done": func(r *rig) {
@@ -66,7 +66,7 @@
 		r.submit(o, submission("s1", 1))
 		time.Sleep(10 * time.Millisecond)
 		r.fleet.DoLate()
-		r.eventually(o, "s1", tw.Succeeded, 6*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
 	"forbids a start that was not answered before it starts elsewhere": func(r *rig) {
@@ -77,7 +77,7 @@
 		r.submit(o, submission("s1", 1))
 		time.Sleep(5 * time.Millisecond)
 		r.drain(o, 0) // so that it goes elsewhere
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		r.fleet.DoLate()
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
@@ -90,14 +90,14 @@
 		r.submit(o, submission("s1", 1))
 		time.Sleep(100 * time.Millisecond)
 		r.Expect(o.Waiting(r.ctx, "quick")).To(Equal(1))
-		r.Expect(r.state(o, "s1")).To(Equal(tw.Waiting))
+		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionWaiting))
 	},
 	"goes on after another daemon has taken over": func(r *rig) {
 		a := r.take("a")
 		r.submit(a, submission("s1", 4, 4))
 		time.Sleep(500 * time.Millisecond)
 		b := r.take("b")
-		r.eventually(b, "s1", tw.Succeeded, 6*time.Second)
+		r.eventually(b, "s1", tw.SubmissionSucceeded, 6*time.Second)
 		r.Eventually(a.Done(), 3*time.Second).Should(BeClosed())
 		r.Expect(r.fleet.Starts()).To(Equal(8))
 	},
@@ -107,17 +107,17 @@
 		time.Sleep(time.Second)
 		s := lasting("s1", 2)
 		r.fleet.Expect(&s, nil)
-		_, err := r.kv.Commit(r.ctx, ledger.AcceptUnowned(&s))
+		_, err := r.kv.Commit(r.ctx, ledger.AcceptViaInbox(&s))
 		r.Expect(err).NotTo(HaveOccurred())
 		submitted := make(chan error, 1)
 		go func() { submitted <- o.Submit(r.ctx, s) }()
 		time.Sleep(50 * time.Millisecond)
 		r.Expect(o.Cancel(r.ctx, "", "s1")).To(Succeed())
 		r.Expect(<-submitted).To(Succeed())
-		r.Expect(r.state(o, "s1")).To(Equal(tw.Cancelled))
+		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionCancelled))
 		time.Sleep(3 * time.Second)
 		r.Expect(r.fleet.Starts()).To(BeZero())
-		r.Expect(r.state(o, "s1")).To(Equal(tw.Cancelled))
+		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionCancelled))
 	},
 	"records no end of a submission that the store refused": func(r *rig) {
 		r.kv = standin.KVConfig{Latency: 100 * time.Millisecond}.New()
@@ -133,7 +133,7 @@
 		<-refused
 		r.kv.SetFaults(standin.KVFaults{})
 		time.Sleep(2 * time.Second)
-		_, err := ledger.Find(r.ctx, r.kv, "s1")
+		_, err := ledger.FindSubmission(r.ctx, r.kv, "s1")
 		r.Expect(err).To(MatchError(tw.ErrNotFound))
 	},
 	"stops work of a lower priority for urgent work that finds no room": func(r *rig) {
@@ -149,8 +149,8 @@
 		r.submit(o, same)
 		urgent := submission("urgent", 2)
 		r.submit(o, urgent)
-		r.eventually(o, "urgent", tw.Succeeded, 4*time.Second)
-		r.eventually(o, "low", tw.Succeeded, 60*time.Second)
+		r.eventually(o, "urgent", tw.SubmissionSucceeded, 4*time.Second)
+		r.eventually(o, "low", tw.SubmissionSucceeded, 60*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(16 + 1 + 2 + 2)) // two were stopped
 	},
 	"has the list of workers read anew for one that it should know": func(r *rig) {
@@ -176,7 +176,7 @@
 		r.Expect(time.Since(began)).To(BeNumerically("<", 700*time.Millisecond))
 		b := r.take("b")
 		for n := range 60 {
-			r.eventually(b, tw.SubmissionID(fmt.Sprintf("s%d", n)), tw.Succeeded, 60*time.Second)
+			r.eventually(b, tw.SubmissionID(fmt.Sprintf("s%d", n)), tw.SubmissionSucceeded, 60*time.Second)
 		}
 	},
 	"starts nothing again on the word of an owner that is cut off": func(r *rig) {
@@ -198,17 +198,17 @@
 		c := r.takeCut("c", only)
 		time.Sleep(2 * maxHold)
 		r.Expect(r.fleet.Starts()).To(Equal(1))
-		r.Expect(r.state(c, "s1")).To(Equal(tw.Started))
+		r.Expect(r.state(c, "s1")).To(Equal(tw.SubmissionStarted))
 	},
 	"refuses submissions at once while the store refuses writes": func(r *rig) {
 		o := r.take("a")
 		r.kv.SetFaults(standin.KVFaults{Down: true})
 		began := time.Now()
 		err := o.Submit(r.ctx, submission("s1", 1))
-		r.Expect(tw.SurelyNotDone(err)).To(BeTrue())
+		r.Expect(tw.NotApplied(err)).To(BeTrue())
 		r.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond)) // of the bubble's time
 		r.kv.SetFaults(standin.KVFaults{})
-		_, err = ledger.Find(r.ctx, r.kv, "s1")
+		_, err = ledger.FindSubmission(r.ctx, r.kv, "s1")
 		r.Expect(err).To(MatchError(tw.ErrNotFound))
 	},
 	"keeps work running while the store is down, and records it afterwards": func(r *rig) {
@@ -216,22 +216,22 @@
 		r.submit(o, submission("s1", 4, 4))
 		r.kv.SetFaults(standin.KVFaults{Down: true})
 		time.Sleep(4 * time.Second)
-		r.Expect(r.state(o, "s1")).To(Equal(tw.Started))
+		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionStarted))
 		r.Expect(r.fleet.Starts()).To(Equal(8))
 		r.kv.SetFaults(standin.KVFaults{})
-		r.eventually(o, "s1", tw.Succeeded, 3*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 3*time.Second)
 	},
 	"takes a submission for kept whose write was done but not answered": func(r *rig) {
 		o := r.take("a")
 		r.kv.SetFaults(standin.KVFaults{LoseAnswers: 1})
 		r.submit(o, submission("s1", 1))
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
 	"starts elsewhere soon what a worker leaves without an answer": func(r *rig) {
 		orders := &muteOrders{WorkerOrders: r.fleet}
 		o := r.open("a", r.kv, orders)
 		r.submit(o, submission("s1", 2))
-		r.eventually(o, "s1", tw.Succeeded, 5*time.Second) // answers take 2 ms here
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second) // answers take 2 ms here
 		orders.mute.Store(1)
 		r.submit(o, submission("s2", 1))
 		r.Eventually(func() bool { return r.fleet.Begun("s2") }, 500*time.Millisecond, 10*time.Millisecond).Should(BeTrue())
@@ -252,7 +252,7 @@
 		r.submit(o, s)
 		time.Sleep(900 * time.Millisecond)
 		r.Expect(r.fleet.Starts()).To(BeZero())
-		r.eventually(o, "s1", tw.Succeeded, 6*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(3))
 	},
 	"starts the members of a gang together": func(r *rig) {
@@ -260,7 +260,7 @@
 		s := submission("s1", 6)
 		s.Steps[0].Gang = true
 		r.submit(o, s)
-		r.eventually(o, "s1", tw.Succeeded, 6*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 	},
 }
 
@@ -330,7 +330,7 @@
 		time.Sleep(time.Second)
 		s := submission("s1", 2, 2)
 		for i := range s.Steps {
-			s.Steps[i].Copies = true
+			s.Steps[i].AllowCopies = true
 		}
 		r.fleet.Expect(&s, func(id tw.SubtaskID, p *standin.Profile) {
 			if id.Step == 0 && id.Index == 1 {
@@ -339,7 +339,7 @@
 		})
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
 		r.Eventually(r.fleet.Starts, 4*time.Second).Should(BeNumerically(">", 2))
-		r.eventually(o, "s1", tw.Succeeded, 12*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 12*time.Second)
 		for step := range 2 {
 			for index := range 2 {
 				r.Expect(r.fleet.Done(subtask("s1", step, index))).To(BeTrue())
@@ -357,7 +357,7 @@
 		o := r.take("a")
 		time.Sleep(time.Second)
 		s := submission("s1", 1, 1)
-		s.Steps[0].Copies = true
+		s.Steps[0].AllowCopies = true
 		s.Steps[0].Estimate = 3 * time.Second
 		s.Steps[1].Estimate = 3 * time.Second
 		r.submit(o, s)
@@ -370,11 +370,11 @@
 		r.fleet.Set(first[0], func(w *standin.SimWorker) { w.Silent = false })
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
-			if r.state(o, "s1") == tw.Succeeded {
+			if r.state(o, "s1") == tw.SubmissionSucceeded {
 				r.Expect(r.fleet.Done(subtask("s1", 1, 0))).To(BeTrue())
 			}
 		}
-		r.eventually(o, "s1", tw.Succeeded, 12*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 12*time.Second)
 		r.Expect(r.fleet.Done(subtask("s1", 1, 0))).To(BeTrue())
 		r.kept()
 	})
--- a/run/pace.go
+++ b/run/pace.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// tailLimit is the share of a target above which fillers beside it are
+	// tailHighWater is the share of a target above which fillers beside it are
 	// slowed, tailCalm that below which they may speed up.
-	tailLimit = 0.9
-	tailCalm  = 0.6
-	// paceCut is what one step of slowing leaves, paceRise what one step of
+	tailHighWater = 0.9
+	tailLowWater  = 0.6
+	// paceDecreaseFactor is what one step of slowing leaves, paceRise what one step of
 	// speeding up adds, in percent.
-	paceCut  = 0.5
-	paceRise = 15
-	// paceFloor: below this a filler is held still.
-	paceFloor = 15
-	// paceRest is the least time between two changes of a filler's pace; the
+	paceDecreaseFactor = 0.5
+	paceIncrease       = 15
+	// minPace: below this a filler is held still.
+	minPace = 15
+	// paceInterval is the least time between two changes of a filler's pace; the
 	// tails are measured over half a second.
-	paceRest = 700 * time.Millisecond
+	paceInterval = 700 * time.Millisecond
 )
 
-// watchTails slows the fillers beside subtasks whose tail nears its target,
+// paceFillers slows the fillers beside subtasks whose tail nears its target,
 // and lets them speed up again when it is calm.
-func (o *Owner) watchTails(w *worker) {
+func (o *Owner) paceFillers(w *worker) {
 	worst := 0.0
 	for _, r := range w.runs {
 		target := r.task.step.spec.TailTarget
 		if target == 0 || r.phase != running {
 			continue
 		}
-		worst = max(worst, float64(r.tail)/float64(target))
+		worst = max(worst, float64(r.tailLatency)/float64(target))
 	}
 	for _, r := range w.runs {
-		if r.task.step.spec.Filler && r.phase == running && o.now.Sub(r.orderedAt) >= paceRest {
+		if r.task.step.spec.Filler && r.phase == running && o.now.Sub(r.orderedAt) >= paceInterval {
 			o.adjustPace(w, r, worst)
 		}
 	}
@@ -48,13 +48,13 @@
 	switch {
 	case worst >= 1:
 		pace = 0
-	case worst > tailLimit:
-		pace = int(paceCut * float64(pace))
-		if pace < paceFloor {
+	case worst > tailHighWater:
+		pace = int(paceDecreaseFactor * float64(pace))
+		if pace < minPace {
 			pace = 0
 		}
-	case worst < tailCalm:
-		pace = min(fullPace, pace+paceRise)
+	case worst < tailLowWater:
+		pace = min(fullPace, pace+paceIncrease)
 	}
 	if pace == filler.pace {
 		return
@@ -70,14 +70,14 @@
 // by the next adjustment.
 func (o *Owner) sendPace(w *worker, r *runState, percent int) {
 	order := tw.PaceOrder{Subtask: r.task.id, Run: r.run, Percent: percent, Fence: o.self.Fence}
-	w.session.give(workOrder{
-		send: func(ctx context.Context) (tw.WorkerClock, error) { return o.orders.Pace(ctx, w.session.ref, order) },
-		done: func(clock tw.WorkerClock, err error) {
+	w.session.enqueue(workOrder{
+		send: func(ctx context.Context) (tw.WorkerTime, error) { return o.orders.Pace(ctx, w.session.ref, order) },
+		done: func(clock tw.WorkerTime, err error) {
 			switch {
 			case err == nil:
-				w.heard(o.now, clock)
-			case tw.RefusedFor(err, tw.RefusedFence):
-				o.depose("a worker has a newer owner")
+				w.noteAnswer(o.now, clock)
+			case tw.RefusedFor(err, tw.RefusedStaleFence):
+				o.loseOwnership("a worker has a newer owner")
 			default:
 				r.pace = paceUnknown
 			}
--- a/run/place.go
+++ b/run/place.go
@@ -15,18 +15,18 @@
 // openRepetitions opens what has become due and returns when the next is.
 func (o *Owner) openRepetitions() time.Time {
 	var next time.Time
-	for _, sub := range o.timed {
-		if sub.over() {
+	for _, sub := range o.scheduled {
+		if sub.closed() {
 			continue
 		}
 		begun, due := sub.beginDue(o.now)
-		o.placeSoon = o.placeSoon || begun
+		o.placeRequested = o.placeRequested || begun
 		next = earlier(next, due)
 		if due := sub.Due(sub.nextRep); sub.nextRep < sub.Repetitions() && o.now.Before(due) {
 			next = earlier(next, due)
 			continue
 		}
-		if !sub.waits() || sub.nextRep < sub.Repetitions() {
+		if !sub.hasFutureRepetitions() || sub.nextRep < sub.Repetitions() {
 			o.open(sub)
 		}
 	}
@@ -36,33 +36,33 @@
 // placeIfDue makes a placement pass if one was asked for and the last one is
 // long enough ago; else it returns when that is.
 func (o *Owner) placeIfDue() time.Time {
-	if !o.placeSoon && (o.preemptAt.IsZero() || o.now.Before(o.preemptAt)) {
+	if !o.placeRequested && (o.preemptAt.IsZero() || o.now.Before(o.preemptAt)) {
 		return o.preemptAt
 	}
-	if o.now.Before(o.placeFrom) {
-		return o.placeFrom
+	if o.now.Before(o.nextPlaceAt) {
+		return o.nextPlaceAt
 	}
-	o.placeSoon = false
+	o.placeRequested = false
 	began := o.clock.Now()
 	o.place()
-	o.placeFrom = o.now.Add(max(placeGap, placeRest*o.clock.Now().Sub(began)))
+	o.nextPlaceAt = o.now.Add(max(placeInterval, placePauseFactor*o.clock.Now().Sub(began)))
 	return time.Time{}
 }
 
 const (
-	// placeRest times as long as a placement pass took, none is made.
-	placeRest = 4
-	// placeGap is the least time between two passes, so that what comes at
+	// placePauseFactor times as long as a placement pass took, none is made.
+	placePauseFactor = 4
+	// placeInterval is the least time between two passes, so that what comes at
 	// nearly the same time is placed together.
-	placeGap = 10 * time.Millisecond
+	placeInterval = 10 * time.Millisecond
 )
 
 // place puts waiting subtasks on workers.
 func (o *Owner) place() {
-	if !o.permit.valid(o.now) || o.now.Sub(o.writer.confirmed) > roomAge {
+	if !o.permit.valid(o.now) || o.now.Sub(o.writer.confirmed) > maxConfirmAge {
 		return
 	}
-	if !o.followEvacuations() {
+	if !o.updateEvacuations() {
 		return
 	}
 	began := o.clock.Now()
@@ -73,12 +73,12 @@
 	offers, bounded := o.offers()
 	budgets := o.caps.budgets(o)
 	offers = o.placeTrials(trials, offers, budgets)
-	placements, held := schedule.PlaceSome(groups, offers, budgets, o.window.left(o.now))
-	o.caps.passed(o, budgets)
+	placements, held := schedule.PlaceUpTo(groups, offers, budgets, o.window.available(o.now))
+	o.caps.notePass(o, budgets)
 	o.logWaiting(groups, offers, placements)
 	o.startPlaced(placements)
-	if held || heldBack(groups, placements, offers, bounded) {
-		o.window.held(o.now)
+	if held || limitedByOrders(groups, placements, offers, bounded) {
+		o.window.noteLimited(o.now)
 		o.preemptAt = o.now.Add(preemptAfter) // there may be room for what waits
 		if o.window.short(o.now) {
 			o.logShort()
@@ -97,11 +97,11 @@
 // soon answered; bounded are those for which that is none at present.
 func (o *Owner) offers() (offers, bounded []*schedule.Worker) {
 	offers = make([]*schedule.Worker, 0, len(o.workers))
-	for _, w := range o.sorted() {
-		if !w.usable(o.now) || w.leaving || w.tally.trials > 0 {
+	for _, w := range o.placementOrder() {
+		if !w.usable(o.now) || w.vacating || w.tally.trials > 0 {
 			continue
 		}
-		if most := o.window.perWorker(w.startTook) - w.starts; most > 0 {
+		if most := o.window.workerLimit(w.startLatency) - w.startsInFlight; most > 0 {
 			offers = append(offers, w.offer(most))
 		} else {
 			bounded = append(bounded, w.offer(0))
@@ -110,12 +110,12 @@
 	return offers, bounded
 }
 
-// heldBack tells whether work that was not placed has room on workers that only have too many
+// limitedByOrders tells whether work that was not placed has room on workers that only have too many
 // orders to answer, and most workers have: then the owner, not they, is slow.
-func heldBack(groups []*schedule.Group, placements []schedule.Placement, offers, bounded []*schedule.Worker) bool {
+func limitedByOrders(groups []*schedule.Group, placements []schedule.Placement, offers, bounded []*schedule.Worker) bool {
 	workers := len(offers) + len(bounded)
 	for _, offer := range offers {
-		if offer.Taken() {
+		if offer.AtLimit() {
 			bounded = append(bounded, offer)
 		}
 	}
@@ -130,15 +130,15 @@
 		if placed[g.Subtasks[len(g.Subtasks)-1]] {
 			return false
 		}
-		fits, _ := g.Count(bounded)
+		fits, _ := g.CountWorkers(bounded)
 		return fits > 0
 	})
 }
 
-// roomAge is how old the last word of the store may be for new work to be placed. The room
+// maxConfirmAge is how old the last word of the store may be for new work to be placed. The room
 // of a worker that has shrunk counts for contact and a status report, 4.5 s, more; orders
 // wait up to startAge to be sent.
-const roomAge = 4 * time.Second
+const maxConfirmAge = 4 * time.Second
 
 // trialRetry is the pause between placement passes while suspects wait.
 const trialRetry = 50 * time.Millisecond
@@ -146,14 +146,14 @@
 // startPlaced orders what was placed to be started.
 func (o *Owner) startPlaced(placements []schedule.Placement) {
 	for _, p := range placements {
-		if t := o.submissions[p.Subtask.Submission].task(p.Subtask); t.countsAhead() {
-			o.countAhead(t)
+		if t := o.submissions[p.Subtask.Submission].task(p.Subtask); t.needsPrecount() {
+			o.precountCrash(t)
 		}
 	}
 	gangRuns := map[*step]tw.RunNumber{}
 	for _, p := range placements {
 		t := o.submissions[p.Subtask.Submission].task(p.Subtask)
-		if !t.recorded() {
+		if !t.allCrashesRecorded() {
 			continue // it is placed again once that is done
 		}
 		w := o.workers[p.Worker.ID]
@@ -168,11 +168,11 @@
 	}
 }
 
-// sorted are the workers in about the order in which placement wants them, so that
+// placementOrder are the workers in about the order in which placement wants them, so that
 // it has little to sort.
-func (o *Owner) sorted() []*worker {
-	if o.byPlace == nil {
-		o.byPlace = slices.SortedFunc(maps.Values(o.workers), func(a, b *worker) int {
+func (o *Owner) placementOrder() []*worker {
+	if o.sortedWorkers == nil {
+		o.sortedWorkers = slices.SortedFunc(maps.Values(o.workers), func(a, b *worker) int {
 			return cmp.Or(
 				cmp.Compare(a.entry.Hall, b.entry.Hall),
 				cmp.Compare(a.entry.Rack(), b.entry.Rack()),
@@ -180,12 +180,12 @@
 			)
 		})
 	}
-	return o.byPlace
+	return o.sortedWorkers
 }
 
 // logWaiting tells why a step's subtasks have waited long for a worker.
 func (o *Owner) logWaiting(groups []*schedule.Group, offers []*schedule.Worker, placements []schedule.Placement) {
-	if o.now.Sub(o.waitLogged) < waitLogEvery {
+	if o.now.Sub(o.waitLoggedAt) < waitLogEvery {
 		return
 	}
 	placed := map[tw.SubtaskID]bool{}
@@ -195,16 +195,16 @@
 	for _, g := range groups {
 		first := g.Subtasks[0]
 		t := o.submissions[first.Submission].task(first)
-		since := t.waitsFrom()
+		since := t.waitingSince()
 		if placed[first] || o.now.Sub(since) < waitLogAfter {
 			continue
 		}
-		o.waitLogged = o.now
-		fits, full := g.Count(offers)
+		o.waitLoggedAt = o.now
+		fits, full := g.CountWorkers(offers)
 		o.log.Info("run: waits for a worker", zap.Stringer("subtask", first), zap.Duration("since", o.now.Sub(since)),
 			zap.Int("subtasks", len(g.Subtasks)), zap.Int64("cpu", int64(g.Step.Need.CPU)), zap.Int64("memory_mb", g.Step.Need.MemoryMB),
 			zap.String("label", g.Step.Label), zap.Int("most_on_worker", g.Step.MaxPerWorker), zap.Bool("gang", g.Step.Gang),
-			zap.Bool("filler", g.Step.Filler), zap.Bool("lasting", g.Step.Lasting), zap.Int("grade", int(g.Urgency.Grade)),
+			zap.Bool("filler", g.Step.Filler), zap.Bool("lasting", g.Step.LongRunning), zap.Int("grade", int(g.Urgency.Grade)),
 			zap.Int("workers", len(o.workers)), zap.Int("evacuated_halls", len(o.evacuated.Halls)), zap.Int("usable", len(offers)), zap.Int("with_room", fits), zap.Int("full_of_step", full),
 			zap.String("organisation", string(g.Organisation)), zap.Int("withheld_by_cap", g.Withheld))
 	}
@@ -220,12 +220,12 @@
 // groups gathers the subtasks that wait for a worker, by step, and apart from them the
 // suspects that are to be tried alone.
 func (o *Owner) groups() (groups, trials []*schedule.Group) {
-	blocked := o.inheritedDoubts()
+	blocked := o.mayHaveInheritedRuns()
 	for _, sub := range o.live {
-		if sub.over() || sub.held || sub.inherited && blocked {
+		if sub.closed() || sub.inboxPending || sub.inherited && blocked {
 			continue
 		}
-		if sub.mayBeSpent && o.gaveUpSpent(sub) {
+		if sub.mayBeExhausted && o.giveUpIfExhausted(sub) {
 			continue
 		}
 		for _, rep := range sub.reps {
@@ -251,7 +251,7 @@
 			continue
 		}
 		if rest == nil {
-			rest = o.chain(rep)
+			rest = o.criticalPaths(rep)
 		}
 		g.Urgency = o.urgency(st, rest[st.index])
 		if len(suspects) > 0 {
@@ -260,7 +260,7 @@
 			trials = append(trials, &trial)
 		}
 		if len(g.Subtasks) > 0 {
-			groups = append(groups, o.firstOfStarving(g, st)...)
+			groups = append(groups, o.splitStarving(g, st)...)
 		}
 	}
 	return groups, trials
@@ -271,7 +271,7 @@
 func (o *Owner) group(st *step) (g *schedule.Group, suspects []tw.SubtaskID) {
 	g = &schedule.Group{Step: st.spec, Organisation: st.rep.sub.Organisation}
 	if st.spec.MaxPerWorker > 0 {
-		g.OnWorker = st.onWorkers()
+		g.OnWorker = st.runsPerWorker()
 	}
 	for _, t := range st.tasks {
 		switch {
@@ -281,10 +281,10 @@
 			suspects = append(suspects, t.id)
 		case !t.active():
 			g.Subtasks = append(g.Subtasks, t.id)
-			o.avoidLast(g, t)
+			o.avoidLastWorker(g, t)
 		case o.wantsCopy(t):
 			g.Subtasks = append(g.Subtasks, t.id)
-			g.Avoid = avoiding(g.Avoid, t.id.Index, t.runs[0].w.entry.ID)
+			g.Avoid = addAvoided(g.Avoid, t.id.Index, t.runs[0].w.entry.ID)
 		}
 	}
 	if len(g.Subtasks)+len(suspects) == 0 {
@@ -293,7 +293,7 @@
 	if st.spec.Gang && len(g.Subtasks) < st.spec.Count {
 		return nil, nil // members of the last run are still to end
 	}
-	if st.rep.sub.Policy.Advice.Asks() {
+	if st.rep.sub.Policy.Advice.Required() {
 		allowed, known := o.advisor.allowed(st)
 		if !known {
 			return nil, nil
@@ -303,8 +303,8 @@
 	return g, suspects
 }
 
-// onWorkers counts the step's runs by worker.
-func (st *step) onWorkers() map[tw.WorkerID]int {
+// runsPerWorker counts the step's runs by worker.
+func (st *step) runsPerWorker() map[tw.WorkerID]int {
 	out := map[tw.WorkerID]int{}
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
@@ -314,16 +314,16 @@
 	return out
 }
 
-// avoidLast keeps a subtask away from the worker on which it failed, if there
+// avoidLastWorker keeps a subtask away from the worker on which it failed, if there
 // are others.
-func (o *Owner) avoidLast(g *schedule.Group, t *task) {
-	if t.lastWorker == "" || len(o.workers) < 2 || o.now.Sub(t.endedAt) > avoidFor {
+func (o *Owner) avoidLastWorker(g *schedule.Group, t *task) {
+	if t.lastFailedOn == "" || len(o.workers) < 2 || o.now.Sub(t.endedAt) > avoidTime {
 		return
 	}
-	g.Avoid = avoiding(g.Avoid, t.id.Index, t.lastWorker)
+	g.Avoid = addAvoided(g.Avoid, t.id.Index, t.lastFailedOn)
 }
 
-func avoiding(avoid map[int]map[tw.WorkerID]bool, index int, id tw.WorkerID) map[int]map[tw.WorkerID]bool {
+func addAvoided(avoid map[int]map[tw.WorkerID]bool, index int, id tw.WorkerID) map[int]map[tw.WorkerID]bool {
 	if avoid == nil {
 		avoid = map[int]map[tw.WorkerID]bool{}
 	}
@@ -333,14 +333,14 @@
 
 // wantsCopy tells whether a second run of a subtask is worth its cost.
 func (o *Owner) wantsCopy(t *task) bool {
-	if !t.step.spec.Copies || t.step.spec.Gang || t.step.spec.Lasting || len(t.runs) != 1 {
+	if !t.step.spec.AllowCopies || t.step.spec.Gang || t.step.spec.LongRunning || len(t.runs) != 1 {
 		return false
 	}
 	if t.suspect() {
 		return false // it would be started twice before it is known what the first start did
 	}
 	r := t.runs[0]
-	if !r.w.outlasted(r) && o.now.Sub(r.startedAt) < copyAfter {
+	if !r.w.survived(r) && o.now.Sub(r.startedAt) < copyAfter {
 		return false // it may be what silences its worker
 	}
 	return r.phase != starting && (o.overdue(r) || r.w.unanswered > 0)
@@ -351,17 +351,17 @@
 	switch {
 	case st.spec.Filler:
 		return schedule.Urgency{Grade: schedule.GradeFiller, Priority: policy.Priority, Deadline: st.rep.due}
-	case st.spec.Lasting:
+	case st.spec.LongRunning:
 		return schedule.Urgency{Grade: schedule.GradeLasting, Priority: policy.Priority, Deadline: st.rep.due}
 	}
 	urgency := schedule.UrgencyOf(o.now, st.rep.due, o.objective(st.rep), rest, policy.Priority)
-	return urgency.ForSize(o.usual.share(o.workLeft(st.rep).CPU), o.usual.objective)
+	return urgency.WithSizePenalty(o.typical.relativeSize(o.remainingWork(st.rep).CPU), o.typical.objective)
 }
 
 // copyAfter is how long after its start a run whose worker has fallen silent gets a copy: a
 // worker that it has brought down is known to have ended by then.
 const copyAfter = time.Second
 
-// avoidFor is how long a subtask waits for another worker than the one on
+// avoidTime is how long a subtask waits for another worker than the one on
 // which it failed.
-const avoidFor = time.Second
+const avoidTime = time.Second
--- a/run/preempt.go
+++ b/run/preempt.go
@@ -12,9 +12,9 @@
 	// preemptAfter is how long work waits before it stops work of a lower
 	// priority: by then shorter subtasks have made room by themselves.
 	preemptAfter = 500 * time.Millisecond
-	// checkpointEvery is about how much work passes between two checkpoints; the
+	// checkpointInterval is about how much work passes between two checkpoints; the
 	// platform's figures are 0.5 and 1 s, and a stop makes another one.
-	checkpointEvery = 500 * time.Millisecond
+	checkpointInterval = 500 * time.Millisecond
 )
 
 // preempt stops runs of a lower priority where more urgent work has waited long
@@ -25,7 +25,7 @@
 	if len(wants) == 0 {
 		return
 	}
-	o.noteFreeing(offers)
+	o.addFreeing(offers)
 	for _, victim := range schedule.Preempt(wants, offers, o.preemptible(offers)) {
 		w := o.workers[victim.Worker.ID]
 		r := w.runs[runKey{task: victim.Subtask, run: victim.Number}]
@@ -38,25 +38,25 @@
 // wants are the groups that may preempt others now, with how many of their
 // subtasks still wait. It sets preemptAt to when the next group may, so that a
 // placement pass is made then.
-func (o *Owner) wants(groups []*schedule.Group, placements []schedule.Placement) []schedule.Want {
+func (o *Owner) wants(groups []*schedule.Group, placements []schedule.Placement) []schedule.Unplaced {
 	lowest := o.lowestPriority()
 	o.preemptAt = time.Time{}
 	placed := map[*step]int{}
 	for _, p := range placements {
 		placed[o.submissions[p.Subtask.Submission].task(p.Subtask).step]++
 	}
-	var out []schedule.Want
+	var out []schedule.Unplaced
 	for _, g := range groups {
 		t := o.submissions[g.Subtasks[0].Submission].task(g.Subtasks[0])
 		missing := len(g.Subtasks) - placed[t.step] - g.Withheld
 		if missing <= 0 || g.Urgency.Grade > schedule.GradeOnTime || g.Urgency.Priority >= lowest {
 			continue
 		}
-		due := t.waitsFrom().Add(preemptAfter)
+		due := t.waitingSince().Add(preemptAfter)
 		if o.now.Before(due) {
 			o.preemptAt = earlier(due, o.preemptAt)
 		} else {
-			out = append(out, schedule.Want{Group: g, Missing: missing})
+			out = append(out, schedule.Unplaced{Group: g, Missing: missing})
 		}
 	}
 	return out
@@ -72,20 +72,20 @@
 	return lowest
 }
 
-// waitsFrom is since when a subtask without a run waits for a worker.
-func (t *task) waitsFrom() time.Time {
+// waitingSince is since when a subtask without a run waits for a worker.
+func (t *task) waitingSince() time.Time {
 	if t.endedAt.After(t.step.readyAt) {
 		return t.endedAt
 	}
 	return t.step.readyAt
 }
 
-// noteFreeing adds to each offer what is being stopped on its worker, so that
+// addFreeing adds to each offer what is being stopped on its worker, so that
 // nothing more is stopped for work that will have that room.
-func (o *Owner) noteFreeing(offers []*schedule.Worker) {
+func (o *Owner) addFreeing(offers []*schedule.Worker) {
 	for _, offer := range offers {
 		for _, r := range o.workers[offer.ID].runs {
-			if r.phase == stopping || r.phase == blocked {
+			if r.phase == stopping || r.phase == stopConfirmed {
 				offer.Freeing = offer.Freeing.Plus(r.claim)
 			}
 		}
@@ -99,24 +99,24 @@
 	for _, offer := range offers {
 		for _, r := range o.workers[offer.ID].runs {
 			spec := r.task.step.spec
-			if r.phase != running || spec.Lasting || spec.Gang || r.task.step.rep.sub.over() {
+			if r.phase != running || spec.LongRunning || spec.Gang || r.task.step.rep.sub.closed() {
 				continue
 			}
 			out = append(out, schedule.Run{
 				Subtask: r.task.id, Number: r.run, Worker: offer, Claim: r.claim,
-				Priority: r.task.step.rep.sub.Policy.Priority, Lost: o.lost(r),
+				Priority: r.task.step.rep.sub.Policy.Priority, Lost: o.lostWork(r),
 			})
 		}
 	}
 	return out
 }
 
-// lost is the work that is done again if a run is stopped; little if it is
+// lostWork is the work that is done again if a run is stopped; little if it is
 // checkpointed.
-func (o *Owner) lost(r *runState) time.Duration {
+func (o *Owner) lostWork(r *runState) time.Duration {
 	ran := o.now.Sub(r.startedAt)
 	if r.task.step.spec.Checkpoints {
-		return min(ran, checkpointEvery)
+		return min(ran, checkpointInterval)
 	}
 	return ran
 }
--- a/run/proof_test.go
+++ b/run/proof_test.go
@@ -57,7 +57,7 @@
 		o := r.take("a")
 		time.Sleep(settled)
 		former := r.list[workerID(0)]
-		r.census.Want(time.Now())
+		r.census.RequestRefresh(time.Now())
 		time.Sleep(50 * time.Millisecond)
 		r.cloud.SetDown(true) // that list names the former life, and no other comes
 		present := former
@@ -121,9 +121,9 @@
 		time.Sleep(settled)
 		r.relist(b, former)
 		time.Sleep(3 * time.Second)
-		was := r.census.Latest().Asked
+		was := r.census.Latest().RequestedAt
 		time.Sleep(5 * time.Second)
-		r.Expect(r.census.Latest().Asked).To(Equal(was))
+		r.Expect(r.census.Latest().RequestedAt).To(Equal(was))
 	},
 	"takes up ends that a worker given up by mistake tells later": func(r *rig) {
 		o := r.take("a")
@@ -140,7 +140,7 @@
 		time.Sleep(20 * time.Second) // all that was granted has lapsed
 		r.fleet.Set(w.ID, func(w *standin.SimWorker) { w.Silent = false })
 		r.relist(o, w)
-		r.eventually(o, "s1", tw.Succeeded, 10*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 10*time.Second)
 	},
 	"uses a new worker that the list of machines names late": func(r *rig) {
 		o := r.take("a")
@@ -203,9 +203,9 @@
 		r.runs(stray)
 		r.cloud.SetDown(false)
 		time.Sleep(3 * time.Second)
-		was := r.census.Latest().Asked
+		was := r.census.Latest().RequestedAt
 		time.Sleep(5 * time.Second)
-		r.Expect(r.census.Latest().Asked).To(Equal(was))
+		r.Expect(r.census.Latest().RequestedAt).To(Equal(was))
 	},
 	"goes on with inherited work soon though the list of machines was read just before": func(r *rig) {
 		a := r.take("a")
@@ -215,7 +215,7 @@
 		time.Sleep(700 * time.Millisecond)
 		a.Close()
 		time.Sleep(500 * time.Millisecond) // the first step has ended
-		r.census.Want(time.Now())
+		r.census.RequestRefresh(time.Now())
 		time.Sleep(20 * time.Millisecond)
 		r.take("b")
 		r.Eventually(r.fleet.Starts, 350*time.Millisecond, 10*time.Millisecond).Should(Equal(8))
@@ -277,5 +277,5 @@
 	for _, entry := range r.list {
 		r.runs(entry)
 	}
-	r.census = run.CensusConfig{Machines: r.cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
+	r.census = run.MachineCacheConfig{Machines: r.cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
 }
--- a/run/relays_test.go
+++ b/run/relays_test.go
@@ -45,7 +45,7 @@
 		}.New()
 	}
 	over := relay.Config{
-		Direct: orders, Relays: relays, Clock: tw.SystemClock{}, Log: testLog(), Metrics: r.figures, Link: r.link,
+		Direct: orders, Relays: relays, Clock: tw.SystemClock{}, Log: testLog(), Metrics: r.figures, LinkBandwidth: r.link,
 	}.New()
 	r.relayed = append(r.relayed, over)
 	return over
--- a/run/report.go
+++ b/run/report.go
@@ -31,16 +31,16 @@
 		Waiting tw.Resources `json:"waiting"`
 		Lasting tw.Resources `json:"lasting"`
 		Late    tw.Resources `json:"late"`
-		// Spread is on how many workers the widest step must run that bounds
+		// MinWorkers is on how many workers the widest step must run that bounds
 		// its subtasks on one worker.
-		Spread int `json:"spread"`
+		MinWorkers int `json:"spread"`
 		// Offered is the work of all submissions accepted so far by this
 		// owner, but for lasting steps: needs times expected run time.
 		Offered Work `json:"offered"`
 		// OfferedCount is how many submissions that is.
 		OfferedCount int64 `json:"offeredCount"`
 		// Fence tells reports of successive owners apart.
-		Fence tw.Fence `json:"fence"`
+		Fence tw.FencingToken `json:"fence"`
 	}
 
 	// Work is resources times seconds.
@@ -63,8 +63,8 @@
 		// Known: the worker has answered this owner lately, so that what runs
 		// there is known.
 		Known bool `json:"known"`
-		// Sound: it takes work.
-		Sound bool `json:"sound"`
+		// Schedulable: it takes work.
+		Schedulable bool `json:"sound"`
 	}
 )
 
@@ -73,8 +73,8 @@
 
 // Report follows the directions and then tells how busy the pool is.
 func (o *Owner) Report(ctx context.Context, d Directions) (Report, error) {
-	return askFor(ctx, o, func() (Report, error) {
-		o.follow(d)
+	return query(ctx, o, func() (Report, error) {
+		o.applyDirections(d)
 		return o.report(), nil
 	})
 }
@@ -85,12 +85,12 @@
 		free := w.free()
 		out.Workers = append(out.Workers, WorkerLoad{
 			Instance: w.entry.Instance, Worker: w.entry.ID, Capacity: w.entry.Capacity, Free: free,
-			Runs: len(w.runs), Lasting: w.tally.lastingRuns, Sound: w.usable(o.now) && !o.evacuated.Has(w.entry.Hall),
-			Known: w.known && w.unanswered == 0, Unrecorded: w.recorded < w.seen,
+			Runs: len(w.runs), Lasting: w.tally.lastingRuns, Schedulable: w.usable(o.now) && !o.evacuated.Has(w.entry.Hall),
+			Known: w.stateKnown && w.unanswered == 0, Unrecorded: w.recordedEnd < w.seenEnd,
 		})
 		for _, r := range w.runs {
 			out.Running = out.Running.Plus(r.claim)
-			if r.task.step.spec.Lasting {
+			if r.task.step.spec.LongRunning {
 				out.Lasting = out.Lasting.Plus(r.claim)
 			}
 		}
@@ -114,18 +114,18 @@
 			continue
 		}
 		if most := st.spec.MaxPerWorker; most > 0 {
-			out.Spread = max(out.Spread, (st.spec.Count-st.done+most-1)/most)
+			out.MinWorkers = max(out.MinWorkers, (st.spec.Count-st.done+most-1)/most)
 		}
-		if overdue && !st.spec.Lasting {
+		if overdue && !st.spec.LongRunning {
 			continue
 		}
 		for _, t := range st.tasks {
 			if t.done || t.active() {
 				continue
 			}
-			claim := st.spec.Claim()
+			claim := st.spec.Reservation()
 			switch {
-			case st.spec.Lasting:
+			case st.spec.LongRunning:
 				out.Waiting = out.Waiting.Plus(claim)
 				out.Lasting = out.Lasting.Plus(claim)
 			case late:
@@ -140,21 +140,21 @@
 // late tells whether a repetition can't end within its objective any more.
 func (o *Owner) late(rep *repetition, objective time.Duration) bool {
 	rest := time.Duration(0)
-	for _, r := range o.chain(rep) {
+	for _, r := range o.criticalPaths(rep) {
 		rest = max(rest, r)
 	}
 	return o.now.Add(rest).After(rep.due.Add(objective))
 }
 
-// offer adds the work of a new submission to what was offered.
-func (o *Owner) offer(sub *submission) {
+// addOffered adds the work of a new submission to what was offered.
+func (o *Owner) addOffered(sub *submission) {
 	before := o.offered
 	for _, rep := range sub.reps {
-		work := o.workLeft(rep)
+		work := o.remainingWork(rep)
 		o.offered.CPU += work.CPU
 		o.offered.MemoryMB += work.MemoryMB
 		if work.CPU > 0 {
-			o.usual.note(work.CPU, o.objective(rep))
+			o.typical.add(work.CPU, o.objective(rep))
 		}
 	}
 	if o.offered != before {
--- a/run/rig_test.go
+++ b/run/rig_test.go
@@ -39,7 +39,7 @@
 	kv     *standin.KV
 	fleet  *standin.Fleet
 	cloud  *standin.Cloud
-	census *run.Census
+	census *run.MachineCache
 	list   map[tw.WorkerID]tw.WorkerEntry
 	opened []*run.Owner
 	// relayed are the orders of owners that go over other daemons.
@@ -79,7 +79,7 @@
 		list:  map[tw.WorkerID]tw.WorkerEntry{},
 	}
 	r.evacuations.Store(&tw.Evacuations{Revision: 1})
-	r.census = run.CensusConfig{Machines: r.cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
+	r.census = run.MachineCacheConfig{Machines: r.cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
 	for n := range workers {
 		r.addWorker(n)
 	}
@@ -117,7 +117,7 @@
 // openBook makes a daemon the owner of the pool in the store; begin starts its duties.
 func (r *rig) openBook(daemon tw.DaemonID, kv tw.KV) run.Config {
 	r.books++
-	self := ledger.Owner{Pool: pool, Daemon: daemon, Address: "10.1.0.1:1", Life: tw.Incarnation(r.books)}
+	self := ledger.Owner{Pool: pool, Daemon: daemon, Address: "10.1.0.1:1", Incarnation: tw.Incarnation(r.books)}
 	book, err := ledger.Config{KV: kv, Clock: tw.SystemClock{}, Log: testLog(), Owner: self}.Open(r.ctx)
 	r.Expect(err).NotTo(HaveOccurred())
 	loaded, err := book.Load(r.ctx)
@@ -128,7 +128,7 @@
 
 func (r *rig) begin(c run.Config, orders tw.WorkerOrders) *run.Owner {
 	r.figures = metrics.NewSet()
-	c.Orders, c.Advisor, c.Census, c.ReadWorkers = r.overRelays(orders), noAdvisor{}, r.census, func() { r.read++ }
+	c.Orders, c.Advisor, c.MachineCache, c.RefreshWorkers = r.overRelays(orders), noAdvisor{}, r.census, func() { r.read++ }
 	c.Clock, c.Log, c.Metrics = tw.SystemClock{}, testLog(), r.figures
 	c.Link, c.Cores = r.link, r.cores
 	c.Evacuations = r.evacuations.Load
@@ -144,7 +144,7 @@
 	for id, entry := range r.list {
 		list[id] = entry
 	}
-	o.SetWorkers(r.ctx, run.WorkerList{Workers: list, Settled: time.Now().Add(-time.Minute)})
+	o.SetWorkers(r.ctx, run.WorkerList{Workers: list, StableSince: time.Now().Add(-time.Minute)})
 }
 
 // drain says that a worker is leaving.
@@ -186,9 +186,9 @@
 
 func lasting(id string, count int) tw.Submission {
 	s := submission(id, count)
-	s.Steps[0].Lasting = true
+	s.Steps[0].LongRunning = true
 	s.Steps[0].MaxPerWorker = 1
-	s.Steps[0].MaxAway = 1
+	s.Steps[0].MaxDisrupted = 1
 	return s
 }
 
@@ -201,7 +201,7 @@
 // keepUnowned keeps a submission as another daemon does without the owner.
 func (r *rig) keepUnowned(o *run.Owner, s tw.Submission) {
 	r.leave(s)
-	o.Inbox(r.ctx, ledger.InboxRecord{Kind: ledger.InboxSubmitted, ID: s.ID})
+	o.HandleInbox(r.ctx, ledger.InboxRecord{Kind: ledger.InboxSubmitted, ID: s.ID})
 	r.Eventually(func() error {
 		_, err := o.State(r.ctx, "", s.ID)
 		return err
@@ -209,7 +209,7 @@
 }
 
 // startAs starts a subtask on a worker as an owner that has gone meanwhile.
-func (r *rig) startAs(fence tw.Fence, n int, id tw.SubtaskID) {
+func (r *rig) startAs(fence tw.FencingToken, n int, id tw.SubtaskID) {
 	entry := r.list[workerID(n)]
 	report, err := r.fleet.Hold(r.ctx, entry.Ref(), tw.HoldOrder{Fence: fence})
 	r.Expect(err).NotTo(HaveOccurred())
--- a/run/room_test.go
+++ b/run/room_test.go
@@ -32,7 +32,7 @@
 		for n := range 4 {
 			r.resize(o, n, wholeRoom)
 		}
-		r.eventually(o, "s1", tw.Succeeded, 20*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 20*time.Second)
 	},
 	"starts nothing where it may have shrunk unseen": func(r *rig) {
 		o := r.take("a")
@@ -47,7 +47,7 @@
 		for n := range 4 {
 			r.resize(o, n, wholeRoom)
 		}
-		r.eventually(o, "s1", tw.Succeeded, 40*time.Second)
+		r.eventually(o, "s1", tw.SubmissionSucceeded, 40*time.Second)
 	},
 	"leaves what runs where the room shrinks below it": func(r *rig) {
 		o := r.take("a")
--- a/run/send_window_test.go
+++ b/run/send_window_test.go
@@ -16,18 +16,18 @@
 	link        tw.BytesPerSecond
 	least, most int
 }{
-	"nothing known":         {least: windowFirst, most: windowFirst},
-	"a narrow link":         {cores: 0.8, link: 250_000, least: 20, most: 50_000 / usualOrder},
+	"nothing known":         {least: defaultWindow, most: defaultWindow},
+	"a narrow link":         {cores: 0.8, link: 250_000, least: 20, most: 50_000 / typicalOrderBytes},
 	"little processor time": {cores: 0.12, link: 125e6, least: 20, most: 60},
 	"a large daemon":        {cores: 0.8, link: 25e6, least: 200, most: 400},
-	"only the link known":   {link: 1.25e6, least: 150, most: 250_000 / usualOrder},
-	"hardly anything":       {cores: 0.001, least: windowLeast, most: windowLeast},
+	"only the link known":   {link: 1.25e6, least: 150, most: 250_000 / typicalOrderBytes},
+	"hardly anything":       {cores: 0.001, least: minWindow, most: minWindow},
 }
 
 func TestFirstWindow(t *testing.T) {
 	for name, c := range firstWindows {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(firstWindow(c.cores, c.link)).To(And(BeNumerically(">=", c.least), BeNumerically("<=", c.most)))
+			NewWithT(t).Expect(initialWindow(c.cores, c.link)).To(And(BeNumerically(">=", c.least), BeNumerically("<=", c.most)))
 		})
 	}
 }
@@ -41,14 +41,14 @@
 	"prompt answers widen it":            {late: 0, want: func(before, after int) bool { return after > before }},
 	"one slow worker leaves it":          {late: 2, want: func(before, after int) bool { return after == before }},
 	"late answers narrow it":             {late: 9, want: func(before, after int) bool { return after < before }},
-	"late answers leave some of it open": {late: 10, want: func(_, after int) bool { return after >= windowLeast }},
+	"late answers leave some of it open": {late: 10, want: func(_, after int) bool { return after >= minWindow }},
 }
 
 // fillWindow decides as many starts as the window allows.
 func fillWindow(w *sendWindow, now time.Time) []*pendingStart {
 	var sent []*pendingStart
-	for w.left(now) > 0 {
-		sent = append(sent, w.decided(now))
+	for w.available(now) > 0 {
+		sent = append(sent, w.addStart(now))
 	}
 	return sent
 }
@@ -58,21 +58,21 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			now := time.Now()
-			w := newSendWindow(now, windowFirst)
+			w := newSendWindow(now, defaultWindow)
 			for range 20 {
 				sent := fillWindow(w, now)
-				w.held(now)
+				w.noteLimited(now)
 				for i, p := range sent {
-					took := sendSoon / 10
+					took := targetStartLatency / 10
 					if i%10 < c.late {
-						took = 2 * sendSoon
+						took = 2 * targetStartLatency
 					}
-					w.answered(p.decided.Add(took), p, took)
+					w.noteAnswer(p.decidedAt.Add(took), p, took)
 				}
-				now = now.Add(sendSoon)
+				now = now.Add(targetStartLatency)
 			}
-			g.Expect(c.want(windowFirst, w.limit)).To(BeTrue(), "it is %d", w.limit)
-			g.Expect(w.open).To(BeZero())
+			g.Expect(c.want(defaultWindow, w.limit)).To(BeTrue(), "it is %d", w.limit)
+			g.Expect(w.outstanding).To(BeZero())
 		})
 	}
 }
@@ -85,15 +85,15 @@
 	w := newSendWindow(now, 10)
 	var stuck []*pendingStart
 	for range 10 {
-		stuck = append(stuck, w.decided(now))
+		stuck = append(stuck, w.addStart(now))
 	}
-	g.Expect(w.left(now)).To(BeZero())
-	now = now.Add(sendStuck + time.Millisecond)
-	g.Expect(w.left(now)).To(Equal(10))
+	g.Expect(w.available(now)).To(BeZero())
+	now = now.Add(stuckStartAge + time.Millisecond)
+	g.Expect(w.available(now)).To(Equal(10))
 	for _, p := range stuck {
 		w.release(p)
 	}
-	g.Expect(w.left(now)).To(Equal(10))
+	g.Expect(w.available(now)).To(Equal(10))
 }
 
 // Starts that get no answer tell that too many are sent, unless they are one worker's; and for
@@ -101,15 +101,15 @@
 func TestUnansweredStartsNarrowTheWindow(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	w := newSendWindow(now, windowFirst)
+	w := newSendWindow(now, defaultWindow)
 	for range 10 {
 		sent := fillWindow(w, now)
-		now = now.Add(beginAnew + time.Millisecond)
+		now = now.Add(windowResetAfter + time.Millisecond)
 		for _, p := range sent {
-			w.unanswered(now, p)
+			w.noteTimeout(now, p)
 		}
 	}
-	g.Expect(w.limit).To(Equal(windowLeast))
-	now = now.Add(beginAnew + time.Millisecond)
-	g.Expect(w.left(now)).To(Equal(windowFirst))
+	g.Expect(w.limit).To(Equal(minWindow))
+	now = now.Add(windowResetAfter + time.Millisecond)
+	g.Expect(w.available(now)).To(Equal(defaultWindow))
 }
--- a/run/session.go
+++ b/run/session.go
@@ -20,33 +20,33 @@
 		orders tw.WorkerOrders
 		clock  tw.Clock
 		permit *permit
-		// patience is shared by the sessions of an owner.
-		patience *patience
-		looks    chan lookOrder
-		work     chan workOrder
-		events   chan<- func()
-		cancel   context.CancelFunc
-		done     chan struct{}
-		// silent: the last order was not answered. Starts that wait are then
+		// orderTimeout is shared by the sessions of an owner.
+		orderTimeout *orderTimeout
+		polls        chan pollRequest
+		work         chan workOrder
+		events       chan<- func()
+		cancel       context.CancelFunc
+		done         chan struct{}
+		// unresponsive: the last order was not answered. Starts that wait are then
 		// not sent, as each would keep the others waiting.
-		silent atomic.Bool
-		// stopLook ends the look that is under way.
-		stopLook atomic.Pointer[context.CancelFunc]
+		unresponsive atomic.Bool
+		// cancelPoll ends the look that is under way.
+		cancelPoll atomic.Pointer[context.CancelFunc]
 	}
 
 	// permit tells sessions until when the owner may give orders. A daemon
 	// that was paused meanwhile finds it expired.
 	permit struct{ until atomic.Pointer[time.Time] }
 
-	lookOrder struct {
+	pollRequest struct {
 		hold tw.HoldOrder
 		seq  int64
-		// limit bounds the look; zero for as long as its wait and an order take.
-		limit time.Duration
-		done  func(look lookResult)
+		// timeout bounds the look; zero for as long as its wait and an order take.
+		timeout time.Duration
+		done    func(look pollResult)
 	}
 
-	lookResult struct {
+	pollResult struct {
 		seq    int64
 		report tw.HoldReport
 		err    error
@@ -54,18 +54,18 @@
 
 	// workOrder is a start, a stop or a pace; send gives it.
 	workOrder struct {
-		send func(ctx context.Context) (tw.WorkerClock, error)
-		done func(clock tw.WorkerClock, err error)
+		send func(ctx context.Context) (tw.WorkerTime, error)
+		done func(clock tw.WorkerTime, err error)
 		// stale tells whether the order must not be sent any more; nil if it
 		// always may.
 		stale func(now time.Time) bool
-		// start: it is a start.
-		start bool
+		// isStart: it is a isStart.
+		isStart bool
 	}
 )
 
-// mostAtOnce bounds the starts that are given to a worker at once.
-const mostAtOnce = 4
+// maxParallelStarts bounds the starts that are given to a worker at once.
+const maxParallelStarts = 4
 
 // errNotSent is the outcome of an order that was not sent because it was
 // outdated, or of a look that the owner itself has interrupted.
@@ -82,17 +82,17 @@
 func newSession(o *Owner, ref tw.WorkerRef) *session {
 	ctx, cancel := context.WithCancel(o.ctx)
 	s := &session{
-		ref: ref, orders: o.orders, clock: o.clock, permit: &o.permit, patience: &o.patience, events: o.events, cancel: cancel,
-		looks: make(chan lookOrder, 1), work: make(chan workOrder, sessionQueue), done: make(chan struct{}),
+		ref: ref, orders: o.orders, clock: o.clock, permit: &o.permit, orderTimeout: &o.orderTimeout, events: o.events, cancel: cancel,
+		polls: make(chan pollRequest, 1), work: make(chan workOrder, sessionQueueSize), done: make(chan struct{}),
 	}
 	lookerDone := make(chan struct{})
 	go func() {
 		defer close(lookerDone)
-		s.look(ctx)
+		s.pollLoop(ctx)
 	}()
 	go func() {
 		defer close(s.done)
-		s.order(ctx)
+		s.orderLoop(ctx)
 		<-lookerDone
 	}()
 	return s
@@ -100,29 +100,29 @@
 
 func (s *session) close() { s.cancel() }
 
-func (s *session) look(ctx context.Context) {
+func (s *session) pollLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case l := <-s.looks:
-			result := lookResult{seq: l.seq, err: errNotSent}
+		case l := <-s.polls:
+			result := pollResult{seq: l.seq, err: errNotSent}
 			if s.permit.valid(s.clock.Now()) {
-				result.report, result.err = s.lookOnce(ctx, l)
+				result.report, result.err = s.pollOnce(ctx, l)
 			}
 			s.report(ctx, func() { l.done(result) })
 		}
 	}
 }
 
-// lookOnce gives one hold, unless it is interrupted.
-func (s *session) lookOnce(ctx context.Context, l lookOrder) (tw.HoldReport, error) {
+// pollOnce gives one hold, unless it is interrupted.
+func (s *session) pollOnce(ctx context.Context, l pollRequest) (tw.HoldReport, error) {
 	lookCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.stopLook.Store(&cancel)
+	s.cancelPoll.Store(&cancel)
 	callCtx := lookCtx
-	if l.limit > 0 {
-		limited, cancelCall := context.WithTimeout(lookCtx, l.limit)
+	if l.timeout > 0 {
+		limited, cancelCall := context.WithTimeout(lookCtx, l.timeout)
 		defer cancelCall()
 		callCtx = limited
 	}
@@ -130,77 +130,77 @@
 	if err != nil && lookCtx.Err() != nil && ctx.Err() == nil {
 		return report, errNotSent
 	}
-	s.heard(err)
+	s.noteAnswer(err)
 	return report, err
 }
 
 // interrupt ends the look that is under way, so that another can begin.
 func (s *session) interrupt() {
-	if cancel := s.stopLook.Load(); cancel != nil {
+	if cancel := s.cancelPoll.Load(); cancel != nil {
 		(*cancel)()
 	}
 }
 
-func (s *session) order(ctx context.Context) {
+func (s *session) orderLoop(ctx context.Context) {
 	var starts sync.WaitGroup
 	defer starts.Wait()
-	slots := make(chan struct{}, mostAtOnce)
+	slots := make(chan struct{}, maxParallelStarts)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case w := <-s.work:
-			if !w.start || s.startsAtOnce() < 2 {
+			if !w.isStart || s.parallelStarts() < 2 {
 				starts.Wait() // a stop must not overtake the start that it is for
-				s.orderOnce(ctx, w)
+				s.executeOrder(ctx, w)
 				continue
 			}
 			slots <- struct{}{}
 			starts.Go(func() {
-				s.orderOnce(ctx, w)
+				s.executeOrder(ctx, w)
 				<-slots
 			})
 		}
 	}
 }
 
-func (s *session) orderOnce(ctx context.Context, w workOrder) {
+func (s *session) executeOrder(ctx context.Context, w workOrder) {
 	clock, err := s.send(ctx, w)
 	s.report(ctx, func() { w.done(clock, err) })
 }
 
-// startsAtOnce is how many starts may be given at once.
-func (s *session) startsAtOnce() int {
-	if parallel, is := s.orders.(tw.ParallelStarts); is {
-		return min(parallel.StartsAtOnce(), mostAtOnce)
+// parallelStarts is how many starts may be given at once.
+func (s *session) parallelStarts() int {
+	if parallel, is := s.orders.(tw.ParallelStarter); is {
+		return min(parallel.MaxParallelStarts(), maxParallelStarts)
 	}
 	return 1
 }
 
 // send gives an order unless it is outdated by now.
-func (s *session) send(ctx context.Context, w workOrder) (tw.WorkerClock, error) {
+func (s *session) send(ctx context.Context, w workOrder) (tw.WorkerTime, error) {
 	now := s.clock.Now()
-	outdated := w.stale != nil && (s.silent.Load() || w.stale(now))
+	outdated := w.stale != nil && (s.unresponsive.Load() || w.stale(now))
 	if outdated || !s.permit.valid(now) {
 		return 0, errNotSent
 	}
-	limit := s.patience.limit(now)
+	limit := s.orderTimeout.current(now)
 	callCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	clock, err := w.send(callCtx)
 	done := s.clock.Now()
 	switch {
 	case tw.Answered(err):
-		s.patience.answered(done, done.Sub(now))
+		s.orderTimeout.noteAnswer(done, done.Sub(now))
 	case callCtx.Err() != nil && ctx.Err() == nil:
-		s.patience.unanswered(done, limit)
+		s.orderTimeout.noteTimeout(done, limit)
 	}
-	s.heard(err)
+	s.noteAnswer(err)
 	return clock, err
 }
 
-// heard notes whether the worker answers.
-func (s *session) heard(err error) { s.silent.Store(!tw.Answered(err)) }
+// noteAnswer notes whether the worker answers.
+func (s *session) noteAnswer(err error) { s.unresponsive.Store(!tw.Answered(err)) }
 
 // report hands a result to the loop.
 func (s *session) report(ctx context.Context, event func()) {
@@ -210,8 +210,8 @@
 	}
 }
 
-// give queues an order. It returns false if too many wait already.
-func (s *session) give(w workOrder) bool {
+// enqueue queues an order. It returns false if too many wait already.
+func (s *session) enqueue(w workOrder) bool {
 	select {
 	case s.work <- w:
 		return true
--- a/run/session_test.go
+++ b/run/session_test.go
@@ -33,12 +33,12 @@
 			if !c.late {
 				p.extend(time.Now().Add(time.Hour))
 			}
-			s := &session{clock: tw.SystemClock{}, permit: p, patience: &patience{}}
-			s.silent.Store(c.silent)
+			s := &session{clock: tw.SystemClock{}, permit: p, orderTimeout: &orderTimeout{}}
+			s.unresponsive.Store(c.silent)
 			sent := false
 			_, err := s.send(t.Context(), workOrder{
 				stale: func(time.Time) bool { return c.stale },
-				send: func(context.Context) (tw.WorkerClock, error) {
+				send: func(context.Context) (tw.WorkerTime, error) {
 					sent = true
 					return 1, nil
 				},
@@ -54,7 +54,7 @@
 // parallelOrders takes several starts at once.
 type parallelOrders struct{ tw.WorkerOrders }
 
-func (parallelOrders) StartsAtOnce() int { return 3 }
+func (parallelOrders) MaxParallelStarts() int { return 3 }
 
 // Starts overlap where the orders take several at once; a stop waits for those before it.
 func TestSessionStartsAtOnce(t *testing.T) {
@@ -63,28 +63,28 @@
 		const count, takes = 6, 100 * time.Millisecond
 		p := &permit{}
 		p.extend(time.Now().Add(time.Hour))
-		events := make(chan func(), eventQueue)
+		events := make(chan func(), eventQueueSize)
 		s := &session{
-			orders: parallelOrders{}, clock: tw.SystemClock{}, permit: p, patience: &patience{},
-			work: make(chan workOrder, sessionQueue), events: events,
+			orders: parallelOrders{}, clock: tw.SystemClock{}, permit: p, orderTimeout: &orderTimeout{},
+			work: make(chan workOrder, sessionQueueSize), events: events,
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			s.order(ctx)
+			s.orderLoop(ctx)
 		}()
 		began := time.Now()
 		var started atomic.Int64
 		stopped := make(chan int64, 1)
 		for range count {
-			s.give(workOrder{start: true, done: func(tw.WorkerClock, error) {}, send: func(context.Context) (tw.WorkerClock, error) {
+			s.enqueue(workOrder{isStart: true, done: func(tw.WorkerTime, error) {}, send: func(context.Context) (tw.WorkerTime, error) {
 				time.Sleep(takes)
 				started.Add(1)
 				return 1, nil
 			}})
 		}
-		s.give(workOrder{done: func(tw.WorkerClock, error) {}, send: func(context.Context) (tw.WorkerClock, error) {
+		s.enqueue(workOrder{done: func(tw.WorkerTime, error) {}, send: func(context.Context) (tw.WorkerTime, error) {
 			stopped <- started.Load()
 			return 1, nil
 		}})
--- a/run/short.go
+++ b/run/short.go
@@ -6,23 +6,23 @@
 	"go.uber.org/zap"
 )
 
-// shortLogEvery bounds how often an owner tells that it is short.
-const shortLogEvery = time.Second
+// shortLogInterval bounds how often an owner tells that it is short.
+const shortLogInterval = time.Second
 
 // logShort tells what orders wait for. The loop is late, and all orders take long, where the
 // processor is short; orders and writes take long, and the loop is in time, where the link
 // is; the slowest worker takes far longer than is usual where it is that worker.
 func (o *Owner) logShort() {
-	if o.now.Sub(o.shortLogged) < shortLogEvery {
+	if o.now.Sub(o.shortLoggedAt) < shortLogInterval {
 		return
 	}
-	o.shortLogged = o.now
+	o.shortLoggedAt = o.now
 	var slowest *worker
 	ordered, unrecorded := 0, 0
 	for _, w := range o.workers {
-		ordered += w.starts
+		ordered += w.startsInFlight
 		unrecorded += len(w.unrecorded)
-		if slowest == nil || w.startTook > slowest.startTook {
+		if slowest == nil || w.startLatency > slowest.startLatency {
 			slowest = w
 		}
 	}
@@ -36,10 +36,10 @@
 	}
 	o.log.Info("owner: short", zap.Duration("short_for", o.window.shortage(o.now)), zap.Int("waiting", waiting),
 		zap.Int("submissions", len(o.live)), zap.Int("window", o.window.limit), zap.Int("ordered", ordered),
-		zap.Float64("starts_per_second", o.window.capacity(o.now)), zap.Duration("order_age", o.window.age),
-		zap.Duration("order_took", o.window.usual), zap.String("slowest_worker", string(slowest.entry.ID)),
-		zap.Duration("slowest_took", slowest.startTook), zap.Duration("loop_late", o.loopLate),
-		zap.Duration("write_took", o.writer.lastTook), zap.Int("to_record", len(o.writer.dirty)),
+		zap.Float64("starts_per_second", o.window.capacity(o.now)), zap.Duration("order_age", o.window.latency),
+		zap.Duration("order_took", o.window.roundTrip), zap.String("slowest_worker", string(slowest.entry.ID)),
+		zap.Duration("slowest_took", slowest.startLatency), zap.Duration("loop_late", o.maxLoopDelay),
+		zap.Duration("write_took", o.writer.lastWriteTime), zap.Int("to_record", len(o.writer.dirty)),
 		zap.Int("ends_unrecorded", unrecorded))
-	o.loopLate = 0
+	o.maxLoopDelay = 0
 }
--- a/run/shortage_test.go
+++ b/run/shortage_test.go
@@ -63,7 +63,7 @@
 	time.Sleep(wait)
 }
 
-func (s shortOrders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (s shortOrders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	s.out.take(s.costs.start)
 	clock, err := s.WorkerOrders.Start(ctx, to, order)
 	s.in.take(s.costs.startAnswer)
@@ -228,7 +228,7 @@
 	takes time.Duration
 }
 
-func (s slowOne) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (s slowOne) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	if to.ID == s.id {
 		time.Sleep(s.takes)
 	}
--- a/run/silent_test.go
+++ b/run/silent_test.go
@@ -107,7 +107,7 @@
 	}
 	if silent && s.fate != orderDone {
 		<-ctx.Done()
-		return tw.ErrUnclear
+		return tw.ErrAmbiguous
 	}
 	result := make(chan error, 1)
 	go func() { result <- send(ctx) }()
@@ -119,7 +119,7 @@
 		}
 	}
 	<-ctx.Done()
-	return tw.ErrUnclear
+	return tw.ErrAmbiguous
 }
 
 func (s *silentOrders) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
@@ -141,10 +141,10 @@
 	return report, nil
 }
 
-func (s *silentOrders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerClock, error) {
+func (s *silentOrders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	s.granted(to.ID, order.Deadline)
 	s.noteStart(to, order)
-	clocks := make(chan tw.WorkerClock, 1)
+	clocks := make(chan tw.WorkerTime, 1)
 	err := s.call(ctx, to, 0, func(ctx context.Context) error {
 		clock, err := s.WorkerOrders.Start(ctx, to, order)
 		clocks <- clock
@@ -157,8 +157,8 @@
 	return <-clocks, nil
 }
 
-func (s *silentOrders) Stop(ctx context.Context, to tw.WorkerRef, order tw.StopOrder) (tw.WorkerClock, error) {
-	clocks := make(chan tw.WorkerClock, 1)
+func (s *silentOrders) Stop(ctx context.Context, to tw.WorkerRef, order tw.StopOrder) (tw.WorkerTime, error) {
+	clocks := make(chan tw.WorkerTime, 1)
 	err := s.call(ctx, to, 0, func(ctx context.Context) error {
 		clock, err := s.WorkerOrders.Stop(ctx, to, order)
 		clocks <- clock
@@ -171,7 +171,7 @@
 }
 
 // granted notes until when an order that was sent lets a worker run what it has.
-func (s *silentOrders) granted(id tw.WorkerID, deadline tw.WorkerClock) {
+func (s *silentOrders) granted(id tw.WorkerID, deadline tw.WorkerTime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	until := s.zero[id].Add(time.Duration(deadline) * time.Millisecond)
@@ -325,9 +325,9 @@
 					r.Expect(len(unanswered) > 0).To(Equal(c.more > 0))
 					c.do(r, o, orders)
 					last := r.opened[len(r.opened)-1]
-					r.eventually(last, "s1", tw.Succeeded, 4*silentTook)
+					r.eventually(last, "s1", tw.SubmissionSucceeded, 4*silentTook)
 					if c.more > 0 {
-						r.eventually(last, "s2", tw.Succeeded, 4*silentTook)
+						r.eventually(last, "s2", tw.SubmissionSucceeded, 4*silentTook)
 					}
 					r.kept()
 				})
--- a/run/slow_store_test.go
+++ b/run/slow_store_test.go
@@ -57,7 +57,7 @@
 		r.kv.SetFaults(standin.KVFaults{Slow: slow})
 		time.Sleep(lasts + told)
 		for n := range shorts {
-			r.Expect(r.state(o, tw.SubmissionID(fmt.Sprintf("e%015x", n)))).To(Equal(tw.Succeeded))
+			r.Expect(r.state(o, tw.SubmissionID(fmt.Sprintf("e%015x", n)))).To(Equal(tw.SubmissionSucceeded))
 		}
 	}},
 }
@@ -93,7 +93,7 @@
 		r.Expect(answers[len(answers)-1]).To(BeNumerically("<", 700*time.Millisecond))
 		time.Sleep(2 * time.Second)
 		for n := range answers {
-			r.Expect(r.state(o, tw.SubmissionID(fmt.Sprintf("%016x", n)))).To(Equal(tw.Succeeded))
+			r.Expect(r.state(o, tw.SubmissionID(fmt.Sprintf("%016x", n)))).To(Equal(tw.SubmissionSucceeded))
 		}
 		r.kept()
 	})
--- a/run/soak_test.go
+++ b/run/soak_test.go
@@ -259,12 +259,12 @@
 // The present owner is told at times; the next one finds it in any case.
 func (s *soak) submitUnowned() {
 	sub := s.anySubmission()
-	if _, err := s.kv.Commit(s.ctx, ledger.AcceptUnowned(&sub)); err != nil {
+	if _, err := s.kv.Commit(s.ctx, ledger.AcceptViaInbox(&sub)); err != nil {
 		return
 	}
 	s.taken = append(s.taken, sub.ID)
 	if s.rand.IntN(2) == 0 {
-		s.owner.Inbox(s.ctx, ledger.InboxRecord{Kind: ledger.InboxSubmitted, ID: sub.ID})
+		s.owner.HandleInbox(s.ctx, ledger.InboxRecord{Kind: ledger.InboxSubmitted, ID: sub.ID})
 	}
 }
 
@@ -276,7 +276,7 @@
 		sub = lasting(id, 2)
 	}
 	sub.Steps[0].Estimate = time.Duration(200+s.rand.IntN(2000)) * time.Millisecond
-	sub.Steps[0].Copies = s.rand.IntN(3) == 0
+	sub.Steps[0].AllowCopies = s.rand.IntN(3) == 0
 	sub.Policy.Attempts = 2
 	crashes := s.poisonous && s.rand.IntN(6) == 0
 	s.poisoned[sub.ID] = crashes
@@ -366,7 +366,7 @@
 		if !state.Final() && !s.runsOn(id) {
 			s.t.Errorf("%s is %s", id, state)
 		}
-		if state == tw.Failed && !s.poisoned[id] && !s.chance {
+		if state == tw.SubmissionFailed && !s.poisoned[id] && !s.chance {
 			s.t.Errorf("%s was given up, though nothing of it fails or crashes its worker", id)
 		}
 	}
