--- a/run/start.go
+++ b/run/start.go
@@ -23,29 +23,29 @@
 // start gives the order to start a subtask on a worker.
 func (o *Owner) start(t *task, w *worker, run tw.RunNumber, ticket string) {
 	r := &runState{
-		task: t, run: run, w: w, phase: starting, claim: t.step.spec.Claim(),
-		startedAt: o.now, movedAt: o.now, pace: fullPace, trial: t.suspect(), ahead: t.ahead,
-		afterAnswer: o.now.Sub(w.clockAt),
+		task: t, run: run, w: w, phase: starting, claim: t.step.spec.Reservation(),
+		startedAt: o.now, progressAt: o.now, pace: fullPace, trial: t.suspect(), precounted: t.startPrecounted,
+		sinceLastAnswer: o.now.Sub(w.clockAt),
 	}
 	sub := t.step.rep.sub
 	order := tw.StartOrder{
 		Subtask: t.id, Run: run, Spec: sub.Spec, Checkpoint: t.checkpoint(), Ticket: ticket,
-		Deadline: w.clockNow(o.now).Add(o.bounds.MaxHold), Fence: o.self.Fence,
+		Deadline: w.estimateClock(o.now).Add(o.bounds.MaxHold), Fence: o.self.Fence,
 	}
 	decided := o.now
 	var sentAt, answeredAt time.Time // of the session, which hands them over with its report
-	sent := w.session.give(workOrder{
-		start: true,
-		stale: func(now time.Time) bool { return r.withdrawn.Load() || now.Sub(decided) > startAge },
-		send: func(ctx context.Context) (tw.WorkerClock, error) {
+	sent := w.session.enqueue(workOrder{
+		isStart: true,
+		stale:   func(now time.Time) bool { return r.withdrawn.Load() || now.Sub(decided) > maxStartAge },
+		send: func(ctx context.Context) (tw.WorkerTime, error) {
 			r.sent.Store(true)
 			sentAt = o.clock.Now()
 			clock, err := o.orders.Start(ctx, w.session.ref, order)
 			answeredAt = o.clock.Now()
 			return clock, err
 		},
-		done: func(clock tw.WorkerClock, err error) {
-			o.startSettled(r, sentAt, answeredAt, err)
+		done: func(clock tw.WorkerTime, err error) {
+			o.startFinished(r, sentAt, answeredAt, err)
 			o.startAnswered(r, sentAt, clock, err)
 		},
 	})
@@ -53,10 +53,10 @@
 		o.metrics.started("queue full")
 		return
 	}
-	r.pending = o.window.decided(o.now)
-	w.starts++
-	w.doubtUntil = o.now.Add(o.holdBound())
-	t.trialFrom, t.ahead = time.Time{}, false
+	r.pending = o.window.addStart(o.now)
+	w.startsInFlight++
+	w.grantsExpireAt = o.now.Add(o.maxHoldTime())
+	t.trialWaitSince, t.startPrecounted = time.Time{}, false
 	t.runs = append(t.runs, r)
 	w.add(r)
 	if r.trial {
@@ -81,60 +81,60 @@
 	return ""
 }
 
-// startSettled notes what an order to start that has come to an end tells of how soon orders
+// startFinished notes what an order to start that has come to an end tells of how soon orders
 // are sent and answered. sentAt is zero if it was not sent.
-func (o *Owner) startSettled(r *runState, sentAt, answeredAt time.Time, err error) {
+func (o *Owner) startFinished(r *runState, sentAt, answeredAt time.Time, err error) {
 	w := r.w
-	if w.starts >= o.window.perWorker(w.startTook) || o.window.holds(o.now) {
-		o.placeSoon = true // there may be work that has waited for this
+	if w.startsInFlight >= o.window.workerLimit(w.startLatency) || o.window.limited(o.now) {
+		o.placeRequested = true // there may be work that has waited for this
 	}
-	w.starts = max(0, w.starts-1)
+	w.startsInFlight = max(0, w.startsInFlight-1)
 	switch {
-	case sentAt.IsZero() && !r.withdrawn.Load() && o.now.Sub(r.pending.decided) > startAge:
-		o.window.outdated(o.now, r.pending)
+	case sentAt.IsZero() && !r.withdrawn.Load() && o.now.Sub(r.pending.decidedAt) > maxStartAge:
+		o.window.noteOutdated(o.now, r.pending)
 	case sentAt.IsZero():
 		o.window.release(r.pending)
 	case !tw.Answered(err):
-		o.window.unanswered(o.now, r.pending)
+		o.window.noteTimeout(o.now, r.pending)
 	default:
 		took := answeredAt.Sub(sentAt)
-		w.startTook = smooth(w.startTook, took)
-		o.window.answered(o.now, r.pending, took)
-		o.metrics.startQueued.Update(sentAt.Sub(r.pending.decided).Seconds())
+		w.startLatency = smooth(w.startLatency, took)
+		o.window.noteAnswer(o.now, r.pending, took)
+		o.metrics.startQueued.Update(sentAt.Sub(r.pending.decidedAt).Seconds())
 		o.metrics.startAnswer.Update(took.Seconds())
 	}
 }
 
 // startAnswered takes up the answer to the order to start.
-func (o *Owner) startAnswered(r *runState, sentAt time.Time, clock tw.WorkerClock, err error) {
+func (o *Owner) startAnswered(r *runState, sentAt time.Time, clock tw.WorkerTime, err error) {
 	w := r.w
 	if o.workers[w.entry.ID] != w || w.runs[w.key(r)] != r {
 		return // the run was given up meanwhile
 	}
-	var refused *tw.OrderRefused
+	var refused *tw.OrderRefusedError
 	switch {
-	case err == nil && w.startedOver(clock, sentAt):
+	case err == nil && w.clockRestarted(clock, sentAt):
 		o.log.Info("worker: its clock has started anew", zap.String("worker", string(w.entry.ID)), zap.Stringer("subtask", r.task.id))
 		o.startUnclear(r)
 	case err == nil:
 		o.metrics.started("started")
-		w.heard(o.now, clock)
-		r.seen(clock)
+		w.noteAnswer(o.now, clock)
+		r.noteSeen(clock)
 		o.confirmStart(r)
 	case errors.As(err, &refused):
 		o.startRefused(r, refused)
 	case errors.Is(err, errNotSent):
 		o.metrics.started("outdated")
 		o.runGone(r, "outdated")
-	case tw.SurelyNotDone(err):
+	case tw.NotApplied(err):
 		o.metrics.started("not sent")
-		w.unheard(o.now)
-		o.logStart(r, err)
+		w.noteUnanswered(o.now)
+		o.logStartFailure(r, err)
 		o.runGone(r, "not sent")
 	default:
 		o.metrics.started("unanswered")
-		r.cutOff = !tw.TimedOut(err)
-		o.logStart(r, err)
+		r.connectionLost = !tw.TimedOut(err)
+		o.logStartFailure(r, err)
 		o.startUnclear(r)
 	}
 }
@@ -143,54 +143,54 @@
 // at once tells more.
 func (o *Owner) startUnclear(r *runState) {
 	w := r.w
-	w.unheard(o.now)
-	w.nextLook = o.now
+	w.noteUnanswered(o.now)
+	w.nextPoll = o.now
 	w.session.interrupt()
 	if r.phase == starting {
-		r.phase = unclear
-		r.visibleFrom = o.lookSeq + 1
+		r.phase = unconfirmed
+		r.firstVisiblePoll = o.pollSeq + 1
 	}
 }
 
-func (o *Owner) logStart(r *runState, err error) {
+func (o *Owner) logStartFailure(r *runState, err error) {
 	o.log.Info("run: start not confirmed", zap.Stringer("subtask", r.task.id), zap.Int64("run", int64(r.run)),
 		zap.String("worker", string(r.w.entry.ID)), logsink.Err(err))
 }
 
 // confirmStart notes that a run exists on its worker.
 func (o *Owner) confirmStart(r *runState) {
-	if r.phase != starting && r.phase != unclear {
+	if r.phase != starting && r.phase != unconfirmed {
 		return
 	}
 	r.phase = running
-	r.visibleFrom = o.lookSeq + 1
+	r.firstVisiblePoll = o.pollSeq + 1
 	sub := r.task.step.rep.sub
 	if !sub.begun {
-		o.metrics.toStart.Update(o.now.Sub(sub.Accepted).Seconds())
+		o.metrics.startDelay.Update(o.now.Sub(sub.Accepted).Seconds())
 	}
-	o.begin(sub)
-	if r.w.nextLook.Before(r.w.lookedAt) {
-		r.w.nextLook = o.now
+	o.markBegun(sub)
+	if r.w.nextPoll.Before(r.w.polledAt) {
+		r.w.nextPoll = o.now
 	}
 }
 
 // startRefused handles an order that the worker surely did not carry out.
-func (o *Owner) startRefused(r *runState, refused *tw.OrderRefused) {
+func (o *Owner) startRefused(r *runState, refused *tw.OrderRefusedError) {
 	w := r.w
 	r.sent.Store(false) // so it is not what ended the worker
 	o.metrics.started(string(refused.Reason))
-	o.logStart(r, refused)
-	w.heard(o.now, refused.Clock)
+	o.logStartFailure(r, refused)
+	w.noteAnswer(o.now, refused.Clock)
 	switch refused.Reason {
-	case tw.RefusedFence:
-		o.depose("a worker has a newer owner")
+	case tw.RefusedStaleFence:
+		o.loseOwnership("a worker has a newer owner")
 		return
-	case tw.RefusedLife:
-		o.bury(w, replaced)
+	case tw.RefusedOtherIncarnation:
+		o.removeTerminated(w, replacedAtAddress)
 		return
-	case tw.RefusedRoom, tw.RefusedUnhealthy:
-		w.roomFrom = o.now.Add(roomPause)
-		w.nextLook = o.now
+	case tw.RefusedNoCapacity, tw.RefusedUnhealthy:
+		w.fullUntil = o.now.Add(fullBackoff)
+		w.nextPoll = o.now
 	case tw.RefusedTicket:
 		o.advisor.invalidate(r.task.step)
 	}
@@ -199,12 +199,12 @@
 
 // stop tells a worker to stop a run, or never to start it.
 func (o *Owner) stop(r *runState, why string) {
-	if r.phase == stopping || r.phase == blocked {
+	if r.phase == stopping || r.phase == stopConfirmed {
 		return
 	}
 	r.withdrawn.Store(true)
 	r.phase = stopping
-	r.why = why
+	r.stopReason = why
 	o.metrics.stopped(why)
 	o.log.Info("run: stopped", zap.Stringer("subtask", r.task.id), zap.Int64("run", int64(r.run)),
 		zap.String("worker", string(r.w.entry.ID)), zap.String("why", why), zap.Int("percent", r.percent))
@@ -215,31 +215,31 @@
 	w := r.w
 	order := tw.StopOrder{Subtask: r.task.id, Run: r.run, Fence: o.self.Fence}
 	r.orderedAt = o.now
-	w.session.give(workOrder{
-		send: func(ctx context.Context) (tw.WorkerClock, error) { return o.orders.Stop(ctx, w.session.ref, order) },
-		done: func(clock tw.WorkerClock, err error) { o.stopAnswered(r, clock, err) },
+	w.session.enqueue(workOrder{
+		send: func(ctx context.Context) (tw.WorkerTime, error) { return o.orders.Stop(ctx, w.session.ref, order) },
+		done: func(clock tw.WorkerTime, err error) { o.stopAnswered(r, clock, err) },
 	})
 }
 
-func (o *Owner) stopAnswered(r *runState, clock tw.WorkerClock, err error) {
+func (o *Owner) stopAnswered(r *runState, clock tw.WorkerTime, err error) {
 	w := r.w
 	if o.workers[w.entry.ID] != w || w.runs[w.key(r)] != r {
 		return
 	}
 	switch {
-	case err == nil, tw.RefusedFor(err, tw.RefusedOldRun):
-		w.heard(o.now, clock)
-		r.phase = blocked
-		r.visibleFrom = o.lookSeq + 1
-		w.nextLook = earlier(w.nextLook, o.now.Add(o.bounds.StopTime/2))
-	case tw.RefusedFor(err, tw.RefusedFence):
-		o.depose("a worker has a newer owner")
-	case tw.RefusedFor(err, tw.RefusedLife):
-		o.bury(w, replaced)
+	case err == nil, tw.RefusedFor(err, tw.RefusedStaleRun):
+		w.noteAnswer(o.now, clock)
+		r.phase = stopConfirmed
+		r.firstVisiblePoll = o.pollSeq + 1
+		w.nextPoll = earlier(w.nextPoll, o.now.Add(o.bounds.StopTime/2))
+	case tw.RefusedFor(err, tw.RefusedStaleFence):
+		o.loseOwnership("a worker has a newer owner")
+	case tw.RefusedFor(err, tw.RefusedOtherIncarnation):
+		o.removeTerminated(w, replacedAtAddress)
 	default:
-		var refused *tw.OrderRefused
+		var refused *tw.OrderRefusedError
 		if !errors.As(err, &refused) {
-			w.unheard(o.now)
+			w.noteUnanswered(o.now)
 		}
 	}
 }
@@ -251,23 +251,23 @@
 func (o *Owner) runGone(r *runState, why string) {
 	r.w.remove(r)
 	t := r.task
-	o.uncount(r)
-	t.drop(r)
+	o.uncountCrash(r)
+	t.removeRun(r)
 	t.endedAt, t.lostAt = o.now, o.now
 	o.log.Info("run: gone", zap.Stringer("subtask", t.id), zap.Int64("run", int64(r.run)),
 		zap.String("worker", string(r.w.entry.ID)), zap.String("why", why), zap.Stringer("phase", r.phase),
-		zap.Duration("since_start", o.now.Sub(r.startedAt)), r.w.answerAge(o.now))
+		zap.Duration("since_start", o.now.Sub(r.startedAt)), r.w.answerAgeField(o.now))
 	o.writer.confirmAfter(o.now)
-	o.placeSoon = true
+	o.placeRequested = true
 	if t.step.spec.Gang {
-		o.breakGang(t, r.run, why)
+		o.stopGang(t, r.run, why)
 	}
 }
 
-// breakGang stops the other members of a gang's run.
-func (o *Owner) breakGang(t *task, run tw.RunNumber, why string) {
+// stopGang stops the other members of a gang's run.
+func (o *Owner) stopGang(t *task, run tw.RunNumber, why string) {
 	for _, member := range t.step.tasks {
-		if r := member.find(run); r != nil && r.phase != starting {
+		if r := member.findRun(run); r != nil && r.phase != starting {
 			o.stop(r, "a member of its gang is gone: "+why)
 		}
 	}
--- a/run/starve.go
+++ b/run/starve.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// runWithin is how long accepted work may have nothing running though there is room: the
+	// mustRunWithin is how long accepted work may have nothing running though there is room: the
 	// platform counts it as lost after 3 s. starveAfter is half of that, after which it goes
 	// first in any case.
-	runWithin   = 2400 * time.Millisecond
-	starveAfter = 1500 * time.Millisecond
-	// mostUrgent is the most urgent priority.
-	mostUrgent = 0
+	mustRunWithin = 2400 * time.Millisecond
+	starveAfter   = 1500 * time.Millisecond
+	// highestPriority is the most urgent priority.
+	highestPriority = 0
 )
 
-// firstOfStarving splits the first subtask off the group of a step that starves, which then
+// splitStarving splits the first subtask off the group of a step that starves, which then
 // goes before all other work; a gang stays whole.
-func (o *Owner) firstOfStarving(g *schedule.Group, st *step) []*schedule.Group {
-	since, starves := o.starves(st)
+func (o *Owner) splitStarving(g *schedule.Group, st *step) []*schedule.Group {
+	since, starves := o.starving(st)
 	if !starves {
 		return []*schedule.Group{g}
 	}
-	urgent := schedule.Urgency{Grade: schedule.GradeOnTime, Priority: mostUrgent, Deadline: since}
+	urgent := schedule.Urgency{Grade: schedule.GradeOnTime, Priority: highestPriority, Deadline: since}
 	if st.spec.Gang || len(g.Subtasks) == 1 {
 		g.Urgency = urgent
 		return []*schedule.Group{g}
@@ -34,12 +34,12 @@
 	return []*schedule.Group{&first, g}
 }
 
-// starves tells whether nothing of a repetition has been running for long, while orders are
+// starving tells whether nothing of a repetition has been running for long, while orders are
 // what work waits for. Work that can be in time goes first, so that what is late would wait
 // for as long as new work comes: with three times the work that could be sent, a submission
 // had to wait for over 6 s (TestShortOwner).
-func (o *Owner) starves(st *step) (since time.Time, starves bool) {
-	if !o.window.short(o.now) || st.spec.Lasting || st.spec.Filler {
+func (o *Owner) starving(st *step) (since time.Time, starves bool) {
+	if !o.window.short(o.now) || st.spec.LongRunning || st.spec.Filler {
 		return time.Time{}, false
 	}
 	since = st.readyAt
@@ -51,16 +51,16 @@
 			since = later(since, t.endedAt)
 		}
 	}
-	return since, o.now.Sub(since) > o.mayStarve()
+	return since, o.now.Sub(since) > o.starveLimit()
 }
 
-// mayStarve is how long nothing of a submission may run before it goes first: so much less
+// starveLimit is how long nothing of a submission may run before it goes first: so much less
 // than runWithin as it takes to order one subtask of each that waits.
-func (o *Owner) mayStarve() time.Duration {
+func (o *Owner) starveLimit() time.Duration {
 	rate := o.window.capacity(o.now)
 	if rate == 0 {
 		return starveAfter
 	}
-	o.freshBacklog()
-	return min(max(0, runWithin-inTime(o.backlog.submissions, rate)), starveAfter)
+	o.refreshBacklog()
+	return min(max(0, mustRunWithin-timeToStart(o.backlog.submissions, rate)), starveAfter)
 }
--- a/run/submission.go
+++ b/run/submission.go
@@ -15,14 +15,14 @@
 		// inherited submissions were accepted before this ownership: the
 		// former owner may have started their subtasks anywhere.
 		inherited bool
-		// mayBeSpent: former owners have started a subtask of it as often as it may be, and
+		// mayBeExhausted: former owners have started a subtask of it as often as it may be, and
 		// have not recorded what came of that.
-		mayBeSpent bool
-		// held: nothing of it is started before its message has been taken out
+		mayBeExhausted bool
+		// inboxPending: nothing of it is started before its message has been taken out
 		// of the inbox. A successor who finds the message so knows that nothing
 		// was started, and need not wait for workers that are silent: submissions
 		// kept while a pool had no owner waited 5.8 s behind a cut (mean of a play).
-		held bool
+		inboxPending bool
 		// durable: it stands in the store.
 		durable  bool
 		progress ledger.Progress
@@ -31,25 +31,25 @@
 		nextRep int
 		// recordedAt is when the last write of its progress that was done was sent.
 		recordedAt time.Time
-		// early: some of reps may be; each step of the loop asks for it.
-		early bool
-		begun bool
-		// ending is the final state that is to be recorded, final the one
+		// hasEarly: some of reps may be; each step of the loop asks for it.
+		hasEarly bool
+		begun    bool
+		// pendingFinal is the final state that is to be recorded, final the one
 		// that is recorded.
-		ending  tw.SubmissionState
-		final   tw.SubmissionState
-		endedAt time.Time
-		waiters []chan<- error
-		enders  []chan<- error
+		pendingFinal  tw.SubmissionState
+		final         tw.SubmissionState
+		endedAt       time.Time
+		waiters       []chan<- error
+		cancelWaiters []chan<- error
 	}
 
 	// repetition is one repetition of a submission's steps.
 	repetition struct {
-		sub   *submission
-		index int
-		due   time.Time
-		steps []*step
-		open  int // steps that are not done
+		sub       *submission
+		index     int
+		due       time.Time
+		steps     []*step
+		openSteps int // steps that are not done
 		// early: it was opened before it is due; nothing of it is started yet.
 		early bool
 	}
@@ -63,9 +63,9 @@
 		done  int
 		// readyAt is when it was first found that the step may start.
 		readyAt time.Time
-		// took gathers the run times of subtasks that are done.
-		took     time.Duration
-		tookRuns int
+		// totalRunTime gathers the run times of subtasks that are done.
+		totalRunTime   time.Duration
+		runTimeSamples int
 		// gangFailures are the runs in which the gang failed.
 		gangFailures map[tw.RunNumber]bool
 		advice       *stepAdvice
@@ -79,23 +79,23 @@
 		failures map[tw.RunNumber]bool
 		// crashes are the workers in a row that have ended soon after it was started.
 		crashes int
-		// inDoubt: one of them may have outlasted the subtask.
-		inDoubt bool
+		// crashesUncertain: one of them may have outlasted the subtask.
+		crashesUncertain bool
 		// uncounted: a former owner may have started it once more than was counted.
 		uncounted bool
 		// crashedAt is when that changed last.
 		crashedAt time.Time
-		// ahead: its next start is in crashes already.
-		ahead bool
-		// trialFrom is since when it could have been tried apart from other work.
-		trialFrom time.Time
-		saved     tw.Checkpoint
+		// startPrecounted: its next start is in crashes already.
+		startPrecounted bool
+		// trialWaitSince is since when it could have been tried apart from other work.
+		trialWaitSince time.Time
+		saved          tw.Checkpoint
 		// runs are those that may exist on a worker.
 		runs []*runState
-		// lastWorker is where it failed last.
-		lastWorker tw.WorkerID
-		// stuckOn is where it stood still last.
-		stuckOn tw.WorkerID
+		// lastFailedOn is where it failed last.
+		lastFailedOn tw.WorkerID
+		// lastStalledOn is where it stood still last.
+		lastStalledOn tw.WorkerID
 		// endedAt is when a run last ended, for whatever reason.
 		endedAt time.Time
 		// lostAt is when a run was given up without its worker's word. Until
@@ -114,30 +114,30 @@
 		w     *worker
 		phase phase
 		claim tw.Resources
-		// visibleFrom is the first look that must list the run, if it exists.
-		visibleFrom int64
-		startedAt   time.Time
-		percent     int
-		// movedAt is when percent last changed.
-		movedAt time.Time
-		tail    time.Duration
-		pace    int // in percent, as last ordered
+		// firstVisiblePoll is the first look that must list the run, if it exists.
+		firstVisiblePoll int64
+		startedAt        time.Time
+		percent          int
+		// progressAt is when percent last changed.
+		progressAt  time.Time
+		tailLatency time.Duration
+		pace        int // in percent, as last ordered
 		// orderedAt is when a stop or a pace was last sent.
 		orderedAt time.Time
-		// why the run was told to stop.
-		why string
+		// stopReason the run was told to stop.
+		stopReason string
 		// pending is the order to start it; nil for a run that this owner has not ordered.
 		pending *pendingStart
 		// withdrawn: its start must not be sent any more; sent: it was.
 		withdrawn, sent atomic.Bool
-		// afterAnswer is how long before the order the worker had last answered; cutOff: the
+		// sinceLastAnswer is how long before the order the worker had last answered; cutOff: the
 		// connection was closed before it answered the order.
-		afterAnswer time.Duration
-		cutOff      bool
-		// seenFrom is the worker's clock when it first told of the run; zero before.
-		seenFrom tw.WorkerClock
-		// ahead: it was counted as a crash before its start, until it is known not to be one.
-		ahead bool
+		sinceLastAnswer time.Duration
+		connectionLost  bool
+		// firstSeen is the worker's clock when it first told of the run; zero before.
+		firstSeen tw.WorkerTime
+		// precounted: it was counted as a crash before its start, until it is known not to be one.
+		precounted bool
 		// trial: its subtask is a suspect, and the worker has not outlasted it yet.
 		trial bool
 	}
@@ -148,12 +148,12 @@
 	starting phase = iota
 	// running: the worker has confirmed it.
 	running
-	// unclear: the order to start it was not answered.
-	unclear
+	// unconfirmed: the order to start it was not answered.
+	unconfirmed
 	// stopping: it was told to stop, or never to start.
 	stopping
-	// blocked: the worker has confirmed the stop.
-	blocked
+	// stopConfirmed: the worker has confirmed the stop.
+	stopConfirmed
 )
 
 func (p phase) String() string {
@@ -164,8 +164,8 @@
 func newSubmission(s tw.Submission, progress ledger.Progress) *submission {
 	sub := &submission{Submission: s, progress: progress, reps: map[int]*repetition{}}
 	sub.nextRep = progress.Finished
-	if progress.CancelAsked {
-		sub.ending = tw.Cancelled
+	if progress.CancelRequested {
+		sub.pendingFinal = tw.SubmissionCancelled
 	}
 	return sub
 }
@@ -176,36 +176,36 @@
 func (s *submission) openDue(now time.Time, below int) {
 	for s.nextRep < s.Repetitions() {
 		due := s.Due(s.nextRep)
-		if due.After(now) && s.Timed() && s.nextRep >= below {
+		if due.After(now) && s.Scheduled() && s.nextRep >= below {
 			return
 		}
-		if due.After(now) && !s.Timed() {
+		if due.After(now) && !s.Scheduled() {
 			due = now
 		}
 		s.openRepetition(s.nextRep, due)
 		if rep := s.reps[s.nextRep]; rep != nil {
 			rep.early = due.After(now)
-			s.early = s.early || rep.early
+			s.hasEarly = s.hasEarly || rep.early
 		}
 		s.nextRep++
 	}
 }
 
-// waits tells whether a repetition is still to come or to begin.
-func (s *submission) waits() bool { return s.early || s.nextRep < s.Repetitions() }
+// hasFutureRepetitions tells whether a repetition is still to come or to begin.
+func (s *submission) hasFutureRepetitions() bool { return s.hasEarly || s.nextRep < s.Repetitions() }
 
 // beginDue lets the repetitions begin that were opened early and are due now. It returns
 // when the next one is.
 func (s *submission) beginDue(now time.Time) (begun bool, next time.Time) {
-	if !s.early {
+	if !s.hasEarly {
 		return false, time.Time{}
 	}
-	s.early = false
+	s.hasEarly = false
 	for _, rep := range s.reps {
 		switch {
 		case !rep.early:
 		case now.Before(rep.due):
-			s.early, next = true, earlier(rep.due, next)
+			s.hasEarly, next = true, earlier(rep.due, next)
 		default:
 			rep.early, begun = false, true
 		}
@@ -213,8 +213,8 @@
 	return begun, next
 }
 
-// finishedEarly tells whether a repetition beyond the first open one is done.
-func (s *submission) finishedEarly(k int) bool {
+// recordedDone tells whether a repetition beyond the first open one is done.
+func (s *submission) recordedDone(k int) bool {
 	recorded := s.progress.Repetitions[k]
 	if recorded == nil || len(recorded.Steps) < len(s.Steps) {
 		return false
@@ -229,10 +229,10 @@
 }
 
 func (s *submission) openRepetition(k int, due time.Time) {
-	if s.finishedEarly(k) {
+	if s.recordedDone(k) {
 		return
 	}
-	r := &repetition{sub: s, index: k, due: due, open: len(s.Steps)}
+	r := &repetition{sub: s, index: k, due: due, openSteps: len(s.Steps)}
 	for i := range s.Steps {
 		r.steps = append(r.steps, r.newStep(i))
 	}
@@ -257,7 +257,7 @@
 		st.tasks = append(st.tasks, t)
 	}
 	if st.done == spec.Count {
-		r.open--
+		r.openSteps--
 	}
 	return st
 }
@@ -272,9 +272,9 @@
 		t.fail(run)
 	}
 	t.crashes = recorded.Crashes[t.id.Index]
-	t.inDoubt = t.crashes > 0
-	t.uncounted = recorded.Uncounted[t.id.Index]
-	t.saved = recorded.Saved[t.id.Index]
+	t.crashesUncertain = t.crashes > 0
+	t.uncounted = recorded.UncountedStarts[t.id.Index]
+	t.saved = recorded.Checkpoints[t.id.Index]
 }
 
 // fail counts a failed run once.
@@ -314,13 +314,13 @@
 	case s.final != "":
 		return s.final
 	case s.begun:
-		return tw.Started
+		return tw.SubmissionStarted
 	}
-	return tw.Waiting
+	return tw.SubmissionWaiting
 }
 
-// over tells whether nothing more is to be started.
-func (s *submission) over() bool { return s.final != "" || s.ending != "" }
+// closed tells whether nothing more is to be started.
+func (s *submission) closed() bool { return s.final != "" || s.pendingFinal != "" }
 
 // task finds a subtask, or nil.
 func (s *submission) task(id tw.SubtaskID) *task {
@@ -338,8 +338,8 @@
 // active tells whether a run of the subtask may exist.
 func (t *task) active() bool { return len(t.runs) > 0 }
 
-// find is the run with a number, or nil.
-func (t *task) find(run tw.RunNumber) *runState {
+// findRun is the run with a number, or nil.
+func (t *task) findRun(run tw.RunNumber) *runState {
 	for _, r := range t.runs {
 		if r.run == run {
 			return r
@@ -348,7 +348,7 @@
 	return nil
 }
 
-func (t *task) drop(r *runState) {
+func (t *task) removeRun(r *runState) {
 	for i, have := range t.runs {
 		if have == r {
 			t.runs = append(t.runs[:i], t.runs[i+1:]...)
--- a/run/takeover_test.go
+++ b/run/takeover_test.go
@@ -24,7 +24,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		r.Expect(r.fleet.Done(subtask("s1", 0, 0))).To(BeTrue())
 		b := r.take("b")
-		r.eventually(b, s.ID, tw.Succeeded, 8*time.Second)
+		r.eventually(b, s.ID, tw.SubmissionSucceeded, 8*time.Second)
 		r.kept()
 		r.Expect(r.fleet.Starts()).To(Equal(2))
 	},
@@ -46,7 +46,7 @@
 		r.startAs(1, 0, subtask("s1", 0, 0))
 		time.Sleep(100 * time.Millisecond)
 		b := r.take("b")
-		r.eventually(b, s.ID, tw.Succeeded, 8*time.Second)
+		r.eventually(b, s.ID, tw.SubmissionSucceeded, 8*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(2))
 	},
 }
@@ -144,7 +144,7 @@
 		r.begin(heldUp, nearOnly)
 		r.Eventually(r.fleet.Starts, 15*time.Second, 10*time.Millisecond).Should(Equal(2))
 		r.kept()
-		r.Expect(r.state(b, "s1")).To(Equal(tw.Started))
+		r.Expect(r.state(b, "s1")).To(Equal(tw.SubmissionStarted))
 	})
 }
 
@@ -160,7 +160,7 @@
 		r.inherit(800 * time.Millisecond)
 		r.addWorker(9)
 		b := r.open("b", r.kv, &refusingOrders{WorkerOrders: r.fleet, id: workerID(9)})
-		r.eventually(b, "s1", tw.Succeeded, 15*time.Second)
+		r.eventually(b, "s1", tw.SubmissionSucceeded, 15*time.Second)
 	},
 	"goes on though one that is listed later does": func(r *rig) {
 		r.inherit(9 * time.Second)
@@ -168,13 +168,13 @@
 		time.Sleep(7 * time.Second)
 		r.addWorker(9)
 		r.feed(b)
-		r.eventually(b, "s1", tw.Succeeded, 8*time.Second)
+		r.eventually(b, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
 	"goes on though a worker is listed without an address": func(r *rig) {
 		r.inherit(800 * time.Millisecond)
 		r.list["bare"] = tw.WorkerEntry{ID: "bare", Pool: pool}
 		b := r.take("b")
-		r.eventually(b, "s1", tw.Succeeded, 15*time.Second)
+		r.eventually(b, "s1", tw.SubmissionSucceeded, 15*time.Second)
 	},
 }
 
@@ -197,7 +197,7 @@
 
 func (f *refusingOrders) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
 	if to.ID == f.id {
-		return tw.HoldReport{}, &tw.OrderRefused{Reason: tw.RefusedUnhealthy}
+		return tw.HoldReport{}, &tw.OrderRefusedError{Reason: tw.RefusedUnhealthy}
 	}
 	return f.WorkerOrders.Hold(ctx, to, order)
 }
--- a/run/trial.go
+++ b/run/trial.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// trialPatience is how long a suspect waits for a worker that is quiet; then it is tried
+	// maxQuietWait is how long a suspect waits for a worker that is quiet; then it is tried
 	// beside what was started there of late, but not beside another suspect: innocent work that
 	// was placed with a deadly subtask each time went down with four workers in a row.
-	trialPatience = 1500 * time.Millisecond
-	// apartPatience is how long it waits to be tried so; then it takes its turn with all other
+	maxQuietWait = 1500 * time.Millisecond
+	// maxTrialWait is how long it waits to be tried so; then it takes its turn with all other
 	// work, which must not wait for long for the trials of an owner that is slow to clear suspects.
-	apartPatience = 2 * trialPatience
+	maxTrialWait = 2 * maxQuietWait
 )
 
 // awaitsTrial tells whether a subtask is to be tried apart from other suspects. The members of
 // a gang have to be started together.
 func (o *Owner) awaitsTrial(t *task) bool {
-	return t.suspect() && !t.step.spec.Gang && (t.trialFrom.IsZero() || o.now.Sub(t.trialFrom) < apartPatience)
+	return t.suspect() && !t.step.spec.Gang && (t.trialWaitSince.IsZero() || o.now.Sub(t.trialWaitSince) < maxTrialWait)
 }
 
-// impatient tells whether a step's suspects have waited too long for a quiet worker.
-func (o *Owner) impatient(g *schedule.Group) bool {
+// quietWaitOver tells whether a step's suspects have waited too long for a quiet worker.
+func (o *Owner) quietWaitOver(g *schedule.Group) bool {
 	first := g.Subtasks[0]
 	t := o.submissions[first.Submission].task(first)
-	return o.now.Sub(t.trialFrom) > trialPatience
+	return o.now.Sub(t.trialWaitSince) > maxQuietWait
 }
 
-// recorded tells whether the crashes of a subtask are in the store. Before that it must
+// allCrashesRecorded tells whether the crashes of a subtask are in the store. Before that it must
 // not be started: the next owner would count too few. A gang waits for all of its members.
-func (t *task) recorded() bool {
+func (t *task) allCrashesRecorded() bool {
 	if !t.step.spec.Gang {
 		return t.crashesRecorded()
 	}
@@ -66,10 +66,10 @@
 	}
 	offers = slices.Clone(offers)
 	slices.SortStableFunc(offers, func(a, b *schedule.Worker) int {
-		return cmp.Or(quiet[a.ID].Compare(quiet[b.ID]), o.workers[a.ID].compareHarm(o.workers[b.ID]))
+		return cmp.Or(quiet[a.ID].Compare(quiet[b.ID]), o.workers[a.ID].compareImpact(o.workers[b.ID]))
 	})
 	for _, g := range trials {
-		o.noteTrials(g)
+		o.noteTrialWaits(g)
 		for len(g.Subtasks) > 0 {
 			taken, placed := o.placeTrial(g, offers, quiet, budgets)
 			if taken < 0 {
@@ -85,11 +85,11 @@
 	return offers
 }
 
-// noteTrials notes since when subtasks could have been tried.
-func (o *Owner) noteTrials(g *schedule.Group) {
+// noteTrialWaits notes since when subtasks could have been tried.
+func (o *Owner) noteTrialWaits(g *schedule.Group) {
 	for _, id := range g.Subtasks {
-		if t := o.submissions[id.Submission].task(id); t.trialFrom.IsZero() {
-			t.trialFrom = o.now
+		if t := o.submissions[id.Submission].task(id); t.trialWaitSince.IsZero() {
+			t.trialWaitSince = o.now
 		}
 	}
 }
@@ -100,20 +100,20 @@
 func (o *Owner) placeTrial(
 	g *schedule.Group, offers []*schedule.Worker, quiet map[tw.WorkerID]time.Time, budgets schedule.Budgets,
 ) (taken, placed int) {
-	impatient := o.impatient(g)
+	impatient := o.quietWaitOver(g)
 	for i, offer := range offers {
 		one := offers[i : i+1]
 		if !impatient && quiet[offer.ID].After(o.now) {
-			if fits, full := g.Count(one); fits == 0 || full > 0 {
+			if fits, full := g.CountWorkers(one); fits == 0 || full > 0 {
 				continue
 			}
 			return i, 0
 		}
-		if !impatient && o.now.Sub(o.workers[offer.ID].clockAt) > justAnswered {
-			if fits, _ := g.Count(one); fits == 0 {
+		if !impatient && o.now.Sub(o.workers[offer.ID].clockAt) > recentAnswer {
+			if fits, _ := g.CountWorkers(one); fits == 0 {
 				continue
 			}
-			o.askFirst(o.workers[offer.ID])
+			o.pollBeforeTrial(o.workers[offer.ID])
 			return i, 0
 		}
 		placements := schedule.Place([]*schedule.Group{g}, one, budgets)
@@ -125,13 +125,13 @@
 	return -1, 0
 }
 
-// askFirst looks at a worker on which a suspect is to be tried: the end of one that was dead
+// pollBeforeTrial looks at a worker on which a suspect is to be tried: the end of one that was dead
 // before would tell nothing of the suspect.
-func (o *Owner) askFirst(w *worker) {
-	if w.checking() {
+func (o *Owner) pollBeforeTrial(w *worker) {
+	if w.probing() {
 		return
 	}
-	w.checkFor, w.nextLook = o.now, o.now
+	w.probeSince, w.nextPoll = o.now, o.now
 	w.session.interrupt()
 }
 
@@ -140,13 +140,13 @@
 func (w *worker) quietFrom(now time.Time) time.Time {
 	quiet := now
 	for _, r := range w.runs {
-		quiet = later(quiet, r.startedAt.Add(probation))
+		quiet = later(quiet, r.startedAt.Add(survivalTime))
 	}
 	return quiet
 }
 
-// compareHarm orders workers by what would end with them.
-func (w *worker) compareHarm(other *worker) int {
+// compareImpact orders workers by what would end with them.
+func (w *worker) compareImpact(other *worker) int {
 	return cmp.Or(
 		cmp.Compare(w.tally.lastingRuns, other.tally.lastingRuns),
 		cmp.Compare(len(w.runs), len(other.runs)),
--- a/run/tries_test.go
+++ b/run/tries_test.go
@@ -29,29 +29,29 @@
 	"keeps what waits at it and is kept by another daemon": func(r *rig) {
 		kv, o := r.waits("s1")
 		r.leave(submission("s1", 2))
-		o.Inbox(r.ctx, submitted("s1"))
+		o.HandleInbox(r.ctx, submitted("s1"))
 		time.Sleep(time.Second) // what waits is refused meanwhile
 		kv.mute.Store(false)
-		r.ends(o, "s1", tw.Succeeded, 5*time.Second)
+		r.ends(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
 	"keeps it also if its message is read after it was refused": func(r *rig) {
 		kv, o := r.waits("s1")
 		r.leave(submission("s1", 2))
 		time.Sleep(time.Second)
-		o.Inbox(r.ctx, submitted("s1"))
+		o.HandleInbox(r.ctx, submitted("s1"))
 		kv.mute.Store(false)
-		r.ends(o, "s1", tw.Succeeded, 5*time.Second)
+		r.ends(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
 	"cancels it for those who asked while it waited": func(r *rig) {
 		kv, o := r.waits("s1")
 		r.leave(submission("s1", 2))
 		cancelled := make(chan error, 1)
 		go func() { cancelled <- o.Cancel(r.ctx, "", "s1") }()
-		o.Inbox(r.ctx, submitted("s1"))
+		o.HandleInbox(r.ctx, submitted("s1"))
 		time.Sleep(time.Second)
 		kv.mute.Store(false)
 		r.Expect(<-cancelled).To(Succeed())
-		r.ends(o, "s1", tw.Cancelled, 5*time.Second)
+		r.ends(o, "s1", tw.SubmissionCancelled, 5*time.Second)
 		r.Expect(r.fleet.Begun("s1")).To(BeFalse())
 	},
 }
@@ -146,10 +146,10 @@
 	case 0, 1:
 		p.ask(func(ctx context.Context, o *run.Owner) error { return o.Submit(ctx, p.sub) })
 	case 2:
-		_, err := p.rig.kv.Commit(p.ctx, ledger.AcceptUnowned(&p.sub))
+		_, err := p.rig.kv.Commit(p.ctx, ledger.AcceptViaInbox(&p.sub))
 		p.other = append(p.other, err)
 	case 3:
-		p.late = append(p.late, ledger.AcceptUnowned(&p.sub))
+		p.late = append(p.late, ledger.AcceptViaInbox(&p.sub))
 	case 4:
 		p.carryOut()
 	case 5, 6:
@@ -159,7 +159,7 @@
 		p.kv.deaf.Store(p.rand.IntN(2) == 0)
 	case 10:
 		p.cancelled = true
-		_, err := p.rig.kv.Commit(p.ctx, ledger.AskCancel(pool, "s1"))
+		_, err := p.rig.kv.Commit(p.ctx, ledger.CancelViaInbox(pool, "s1"))
 		p.Expect(err).NotTo(HaveOccurred())
 	case 8:
 		if p.rand.IntN(2) == 0 {
@@ -205,7 +205,7 @@
 	for _, item := range items {
 		m, err := ledger.DecodeInbox(item)
 		p.Expect(err).NotTo(HaveOccurred())
-		p.owner.Inbox(p.ctx, m)
+		p.owner.HandleInbox(p.ctx, m)
 	}
 }
 
@@ -230,13 +230,13 @@
 	for _, result := range p.results {
 		kept = <-result == nil || kept
 	}
-	_, err := ledger.Find(p.ctx, p.rig.kv, "s1")
+	_, err := ledger.FindSubmission(p.ctx, p.rig.kv, "s1")
 	if kept = kept || err == nil; !kept {
 		p.Expect(p.fleet.Begun("s1")).To(BeFalse(), "what nobody kept has begun")
 		return
 	}
 	p.Expect(p.state(p.owner, "s1").Final()).To(BeTrue(), "what was kept has not ended")
 	if !p.cancelled {
-		p.Expect(p.state(p.owner, "s1")).To(Equal(tw.Succeeded))
+		p.Expect(p.state(p.owner, "s1")).To(Equal(tw.SubmissionSucceeded))
 	}
 }
--- a/run/unclaimed.go
+++ b/run/unclaimed.go
@@ -17,13 +17,13 @@
 }
 
 const (
-	// unclaimedMost bounds the submissions of which ends are kept: more than
+	// maxUnclaimed bounds the submissions of which ends are kept: more than
 	// a pool of hundreds of workers runs at a time.
-	unclaimedMost = 2000
-	// unclaimedTime is how long ends are kept once there are so many: a
+	maxUnclaimed = 2000
+	// unclaimedTTL is how long ends are kept once there are so many: a
 	// submission that was kept without the owner is in its inbox, which is
 	// read within seconds once the store answers.
-	unclaimedTime = time.Minute
+	unclaimedTTL = time.Minute
 )
 
 // claimRuns gives a submission the runs of it that were taken for strays,
@@ -41,25 +41,25 @@
 			}
 			w.remove(r)
 			r.task = t
-			r.claim = t.step.spec.Claim()
+			r.claim = t.step.spec.Reservation()
 			w.add(r)
 			t.runs = append(t.runs, r)
-			o.begin(sub)
+			o.markBegun(sub)
 			o.log.Info("run: its submission is known now", zap.Stringer("subtask", t.id), zap.Int64("run", int64(r.run)),
 				zap.String("worker", string(w.entry.ID)))
 		}
 	}
 }
 
-// keepEnd keeps an end for the case that its submission is taken up later.
-func (o *Owner) keepEnd(w *worker, e tw.EndedSubtask) {
-	if len(o.unclaimed) >= unclaimedMost {
+// keepUnclaimedEnd keeps an end for the case that its submission is taken up later.
+func (o *Owner) keepUnclaimedEnd(w *worker, e tw.EndedSubtask) {
+	if len(o.unclaimed) >= maxUnclaimed {
 		maps.DeleteFunc(o.unclaimed, func(_ tw.SubmissionID, ends []unclaimedEnd) bool {
-			return o.now.Sub(ends[len(ends)-1].since) > unclaimedTime
+			return o.now.Sub(ends[len(ends)-1].since) > unclaimedTTL
 		})
 	}
 	id := e.Subtask.Submission
-	if o.unclaimed[id] == nil && len(o.unclaimed) >= unclaimedMost {
+	if o.unclaimed[id] == nil && len(o.unclaimed) >= maxUnclaimed {
 		o.log.Warn("run: end of an unknown submission not kept, there are too many", zap.Stringer("subtask", e.Subtask))
 		return
 	}
--- a/run/usage.go
+++ b/run/usage.go
@@ -13,26 +13,26 @@
 // ordered, what is in doubt and what is being stopped counts.
 type usage map[tw.OrganisationID]tw.Resources
 
-// count adds a run n times.
-func (u usage) count(r *runState, n int) {
+// add adds a run n times.
+func (u usage) add(r *runState, n int) {
 	organisation := r.task.step.rep.sub.Organisation
 	if organisation == "" || u == nil {
 		return
 	}
-	u[organisation] = u[organisation].Plus(r.quota().Times(n))
+	u[organisation] = u[organisation].Plus(r.capUsage().Times(n))
 }
 
-// quota is what a run counts for against its organisation's cap: all that its step asks
+// capUsage is what a run counts for against its organisation's cap: all that its step asks
 // for, and for one of which nothing is known the whole worker.
-func (r *runState) quota() tw.Resources {
+func (r *runState) capUsage() tw.Resources {
 	need := r.task.step.spec.Need
 	return tw.Resources{
 		CPU: max(need.CPU, r.claim.CPU), MemoryMB: max(need.MemoryMB, r.claim.MemoryMB), GPU: max(need.GPU, r.claim.GPU),
 	}
 }
 
-// running is what the submission's runs count for against its organisation's cap.
-func (s *submission) running() tw.Resources {
+// capUsage is what the submission's runs count for against its organisation's cap.
+func (s *submission) capUsage() tw.Resources {
 	var out tw.Resources
 	if s.Organisation == "" {
 		return out // nobody's work has no cap, and its records need not tell
@@ -41,7 +41,7 @@
 		for _, st := range rep.steps {
 			for _, t := range st.tasks {
 				for _, r := range t.runs {
-					out = out.Plus(r.quota())
+					out = out.Plus(r.capUsage())
 				}
 			}
 		}
@@ -53,7 +53,7 @@
 // owner has not been heard yet: no more than its submissions ask for or have left, nor than
 // the workers hold from which no answer has come.
 func (o *Owner) unknownUsage() usage {
-	if !o.inheritedDoubts() {
+	if !o.mayHaveInheritedRuns() {
 		return nil
 	}
 	out := maps.Clone(o.caps.leftover)
@@ -62,15 +62,15 @@
 			continue
 		}
 		for _, rep := range sub.reps {
-			out[sub.Organisation] = out[sub.Organisation].Plus(rep.unseenNeed())
+			out[sub.Organisation] = out[sub.Organisation].Plus(rep.unknownNeed())
 		}
 	}
-	if !o.counted {
+	if !o.machineListRead {
 		return out
 	}
 	var unheard tw.Resources
 	for _, w := range o.workers {
-		if w.inheritedDoubt {
+		if w.mayHaveInheritedRuns {
 			unheard = unheard.Plus(w.entry.Capacity)
 		}
 	}
@@ -82,9 +82,9 @@
 	return out
 }
 
-// unseenNeed is what the subtasks would take that are not done and of which no run is
+// unknownNeed is what the subtasks would take that are not done and of which no run is
 // known.
-func (r *repetition) unseenNeed() tw.Resources {
+func (r *repetition) unknownNeed() tw.Resources {
 	var out tw.Resources
 	for _, st := range r.steps {
 		for _, t := range st.tasks {
@@ -96,16 +96,16 @@
 	return out
 }
 
-// part is so many units of a cap. A resource that the cap does not limit is unlimited.
-func part(limit tw.Resources, units ledger.ShareUnits) tw.Resources {
+// capShare is so many units of a cap. A resource that the cap does not limit is unlimited.
+func capShare(limit tw.Resources, units ledger.ShareUnits) tw.Resources {
 	return tw.Resources{
-		CPU:      tw.Millicores(partOf(int64(limit.CPU), units)),
-		MemoryMB: partOf(limit.MemoryMB, units),
-		GPU:      partOf(limit.GPU, units),
+		CPU:      tw.Millicores(limitShare(int64(limit.CPU), units)),
+		MemoryMB: limitShare(limit.MemoryMB, units),
+		GPU:      limitShare(limit.GPU, units),
 	}
 }
 
-func partOf(limit int64, units ledger.ShareUnits) int64 {
+func limitShare(limit int64, units ledger.ShareUnits) int64 {
 	if limit == 0 {
 		return schedule.Unlimited
 	}
@@ -115,12 +115,12 @@
 // unitsOf is how many units of a cap a need takes, at most all.
 func unitsOf(need, limit tw.Resources) ledger.ShareUnits {
 	share := max(
-		shareOf(int64(need.CPU), int64(limit.CPU)), shareOf(need.MemoryMB, limit.MemoryMB), shareOf(need.GPU, limit.GPU),
+		fractionOf(int64(need.CPU), int64(limit.CPU)), fractionOf(need.MemoryMB, limit.MemoryMB), fractionOf(need.GPU, limit.GPU),
 	)
 	return min(ledger.CapUnits, ledger.ShareUnits(math.Ceil(share*float64(ledger.CapUnits))))
 }
 
-func shareOf(need, limit int64) float64 {
+func fractionOf(need, limit int64) float64 {
 	if limit == 0 {
 		return 0
 	}
--- a/run/watch.go
+++ b/run/watch.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// watchEvery is the pace at which runs are watched.
-	watchEvery = 200 * time.Millisecond
-	// stuckAfter: the worker's progress report of a run of a second moves
+	// watchInterval is the pace at which runs are watched.
+	watchInterval = 200 * time.Millisecond
+	// stallTimeout: the worker's progress report of a run of a second moves
 	// every 10 ms; nothing for so long, seen by looks, is a standstill.
-	stuckAfter = 1200 * time.Millisecond
+	stallTimeout = 1200 * time.Millisecond
 )
 
 // watchRuns resolves runs that do not go on, and returns when to watch again.
 func (o *Owner) watchRuns() time.Time {
-	next := o.now.Add(watchEvery)
+	next := o.now.Add(watchInterval)
 	for _, w := range o.workers {
 		for _, r := range w.runs {
 			o.watchRun(w, r)
@@ -27,37 +27,37 @@
 }
 
 func (o *Owner) watchRun(w *worker, r *runState) {
-	if r.ahead && w.outlasted(r) {
-		o.exonerate(r.task)
+	if r.precounted && w.survived(r) {
+		o.clearSuspect(r.task)
 	}
 	switch {
 	case r.phase == stopping && o.now.Sub(r.orderedAt) > stopRetry:
 		o.sendStop(r)
-	case r.phase == running && !r.task.step.spec.Lasting && w.unanswered == 0 && o.stuck(r):
+	case r.phase == running && !r.task.step.spec.LongRunning && w.unanswered == 0 && o.stalled(r):
 		o.log.Info("run: stands still", zap.Stringer("subtask", r.task.id), zap.String("worker", string(w.entry.ID)),
-			zap.Int("percent", r.percent), zap.Duration("since", o.now.Sub(r.movedAt)))
-		o.judgeStuck(w, r.task)
+			zap.Int("percent", r.percent), zap.Duration("since", o.now.Sub(r.progressAt)))
+		o.handleStall(w, r.task)
 		if o.wantsCopy(r.task) {
-			o.placeSoon = true
+			o.placeRequested = true
 			return
 		}
-		if !r.task.step.spec.Copies {
+		if !r.task.step.spec.AllowCopies {
 			o.stop(r, "it stands still")
 		}
 	}
 }
 
-// judgeStuck shuns a worker on which a run stands still, unless one of the same subtask
+// handleStall shuns a worker on which a run stands still, unless one of the same subtask
 // has done so elsewhere.
-func (o *Owner) judgeStuck(w *worker, t *task) {
-	if t.stuckOn == "" || t.stuckOn == w.entry.ID {
-		o.shun(w, shunStuck, "a run stands still there")
+func (o *Owner) handleStall(w *worker, t *task) {
+	if t.lastStalledOn == "" || t.lastStalledOn == w.entry.ID {
+		o.quarantine(w, stallQuarantineTime, "a run stands still there")
 	}
-	t.stuckOn = w.entry.ID
+	t.lastStalledOn = w.entry.ID
 }
 
-// stuck tells whether a run made no progress for far longer than it should.
-func (o *Owner) stuck(r *runState) bool {
-	still := o.now.Sub(r.movedAt)
-	return o.overdue(r) && still > stuckAfter && r.w.lookedAt.Sub(r.movedAt) > stuckAfter
+// stalled tells whether a run made no progress for far longer than it should.
+func (o *Owner) stalled(r *runState) bool {
+	still := o.now.Sub(r.progressAt)
+	return o.overdue(r) && still > stallTimeout && r.w.polledAt.Sub(r.progressAt) > stallTimeout
 }
--- a/run/writer_lanes.go
+++ b/run/writer_lanes.go
@@ -9,54 +9,54 @@
 // they are written side by side.
 
 const (
-	// slowWrite is how long a write takes in a slow store: the usual one answers in 4 ms,
+	// slowWriteTime is how long a write takes in a slow store: the usual one answers in 4 ms,
 	// under load in some tens.
-	slowWrite = 80 * time.Millisecond
-	// mostLanes bounds the writes that are made side by side. With 15 submissions each
+	slowWriteTime = 80 * time.Millisecond
+	// maxParallelWrites bounds the writes that are made side by side. With 15 submissions each
 	// they keep 460 submissions a second in a store that takes 0.26 s.
-	mostLanes = 8
+	maxParallelWrites = 8
 )
 
 // slow tells whether the store is slow at present.
 func (w *writer) slow() bool {
-	return w.lastTook >= slowWrite || !w.busyFrom.IsZero() && w.o.now.Sub(w.busyFrom) >= slowWrite
+	return w.lastWriteTime >= slowWriteTime || !w.writingSince.IsZero() && w.o.now.Sub(w.writingSince) >= slowWriteTime
 }
 
-// flushApart writes new submissions and ends beside the chain while the store is slow. It
+// flushParallel writes new submissions and ends beside the chain while the store is slow. It
 // returns when more may be written so; zero if that is not known.
-func (w *writer) flushApart() time.Time {
+func (w *writer) flushParallel() time.Time {
 	now := w.o.now
 	switch {
-	case len(w.fresh) == 0 && len(w.dirty) == 0:
+	case len(w.newSubmissions) == 0 && len(w.dirty) == 0:
 		return time.Time{}
-	case !w.slow() && !w.busyFrom.IsZero():
-		return w.busyFrom.Add(slowWrite)
-	case !w.slow() || w.lanes >= mostLanes:
+	case !w.slow() && !w.writingSince.IsZero():
+		return w.writingSince.Add(slowWriteTime)
+	case !w.slow() || w.parallelWrites >= maxParallelWrites:
 		return time.Time{}
-	case now.Before(w.laneFrom):
-		return w.laneFrom
+	case now.Before(w.nextParallelAt):
+		return w.nextParallelAt
 	case now.Before(w.retryAt):
 		return w.retryAt
 	}
 	var job writeJob
 	add := job.adder()
-	w.addAllFresh(add)
-	w.addAll(&job, add, func(sub *submission) bool { return sub.ending != "" })
+	w.addAllNew(add)
+	w.addAll(&job, add, func(sub *submission) bool { return sub.pendingFinal != "" })
 	if len(job.changes) == 0 {
 		return time.Time{}
 	}
 	job.sent = now
-	w.laneFrom = now.Add(flushGap)
-	w.lanes++
-	w.lanesDone.Go(func() { w.writeApart(job) })
-	return w.laneFrom
+	w.nextParallelAt = now.Add(flushInterval)
+	w.parallelWrites++
+	w.parallelDone.Go(func() { w.writeParallel(job) })
+	return w.nextParallelAt
 }
 
-// writeApart sends a job beside the chain. Its effects are the loop's.
-func (w *writer) writeApart(job writeJob) {
-	results, err := w.book.WriteApart(w.o.ctx, job.changes)
+// writeParallel sends a job beside the chain. Its effects are the loop's.
+func (w *writer) writeParallel(job writeJob) {
+	results, err := w.book.WriteConcurrent(w.o.ctx, job.changes)
 	w.o.post(w.o.ctx, func() {
-		w.lanes--
-		w.settled(job, results, err)
+		w.parallelWrites--
+		w.handleWriteResult(job, results, err)
 	})
 }
--- a/run/writer_marks.go
+++ b/run/writer_marks.go
@@ -32,24 +32,24 @@
 )
 
 const (
-	// agedChange is how old a change is that is recorded before newer ones, agedShare the
+	// oldChangeAge is how old a change is that is recorded before newer ones, agedShare the
 	// part of a write that such changes may take: new submissions and ends, for which callers
 	// wait, go before the rest.
-	agedChange = 250 * time.Millisecond
-	agedShare  = ledger.MaxEntries / 2
+	oldChangeAge     = 250 * time.Millisecond
+	oldChangeEntries = ledger.MaxEntries / 2
 )
 
-// mark has the progress or the end of a submission recorded.
-func (w *writer) mark(sub *submission) {
+// markDirty has the progress or the end of a submission recorded.
+func (w *writer) markDirty(sub *submission) {
 	if _, marked := w.dirty[sub]; marked {
 		return
 	}
-	w.marks++
-	w.dirty[sub] = changeMark{number: w.marks, at: w.o.now}
+	w.lastChange++
+	w.dirty[sub] = changeMark{number: w.lastChange, at: w.o.now}
 }
 
-// restore marks submissions again whose changes were not written.
-func (w *writer) restore(of map[*submission]changeMark) {
+// restoreDirty marks submissions again whose changes were not written.
+func (w *writer) restoreDirty(of map[*submission]changeMark) {
 	for sub, mark := range of {
 		w.dirty[sub] = mark
 	}
@@ -57,37 +57,37 @@
 
 // noteEnds notes that ends up to a sequence were taken up from a worker.
 func (w *writer) noteEnds(worker *worker) {
-	worker.unrecorded = append(worker.unrecorded, endMark{sequence: worker.seen, number: w.marks})
-	w.ends[worker] = true
+	worker.unrecorded = append(worker.unrecorded, endMark{sequence: worker.seenEnd, number: w.lastChange})
+	w.unconfirmedEnds[worker] = true
 }
 
 // confirmEnds notes which ends may be confirmed to their workers by now.
 func (w *writer) confirmEnds() {
-	if len(w.ends) == 0 {
+	if len(w.unconfirmedEnds) == 0 {
 		return
 	}
-	open := w.marks + 1
+	open := w.lastChange + 1
 	for _, marks := range []map[*submission]changeMark{w.dirty, w.sent} {
 		for _, mark := range marks {
 			open = min(open, mark.number)
 		}
 	}
-	for worker := range w.ends {
+	for worker := range w.unconfirmedEnds {
 		for len(worker.unrecorded) > 0 && worker.unrecorded[0].number < open {
-			worker.recorded = max(worker.recorded, worker.unrecorded[0].sequence)
+			worker.recordedEnd = max(worker.recordedEnd, worker.unrecorded[0].sequence)
 			worker.unrecorded = worker.unrecorded[1:]
 		}
 		if len(worker.unrecorded) == 0 {
-			delete(w.ends, worker)
+			delete(w.unconfirmedEnds, worker)
 		}
 	}
 }
 
-// addAged adds the oldest changes, so that none waits for long behind newer ones.
-func (w *writer) addAged(job *writeJob, add addChange) {
-	aged := func(sub *submission) bool { return w.o.now.Sub(w.dirty[sub].at) > agedChange }
+// addOldest adds the oldest changes, so that none waits for long behind newer ones.
+func (w *writer) addOldest(job *writeJob, add addChange) {
+	aged := func(sub *submission) bool { return w.o.now.Sub(w.dirty[sub].at) > oldChangeAge }
 	w.addAll(job, func(change ledger.Change, effect func(err error)) bool {
-		return job.size+change.Size() <= agedShare && add(change, effect)
+		return job.size+change.Size() <= oldChangeEntries && add(change, effect)
 	}, aged)
 }
 
@@ -99,7 +99,7 @@
 			delete(w.dirty, sub) // it was not kept, or another daemon kept it first
 			continue
 		}
-		if _, under := w.sent[sub]; !under && of(sub) && !w.unkept(sub) {
+		if _, under := w.sent[sub]; !under && of(sub) && !w.awaitingAccept(sub) {
 			subs = append(subs, sub)
 		}
 	}
@@ -108,26 +108,26 @@
 		if !w.addDirty(sub, add) {
 			return
 		}
-		job.of[sub] = w.dirty[sub]
+		job.changed[sub] = w.dirty[sub]
 		w.sent[sub] = w.dirty[sub]
 		delete(w.dirty, sub)
 	}
 }
 
-// settled takes up what a write has come to, in the chain or beside it.
-func (w *writer) settled(job writeJob, results []error, err error) {
-	for sub := range job.of {
+// handleWriteResult takes up what a write has come to, in the chain or beside it.
+func (w *writer) handleWriteResult(job writeJob, results []error, err error) {
+	for sub := range job.changed {
 		delete(w.sent, sub)
 	}
 	if err != nil {
-		w.restore(job.of)
+		w.restoreDirty(job.changed)
 	}
 	switch {
-	case errors.Is(err, ledger.ErrDeposed):
-		w.o.depose("the ledger has a new owner")
+	case errors.Is(err, ledger.ErrOwnershipLost):
+		w.o.loseOwnership("the ledger has a new owner")
 	case err != nil:
-		w.failed(job, err)
+		w.writeFailed(job, err)
 	default:
-		w.succeeded(job, results)
+		w.writeSucceeded(job, results)
 	}
 }
--- a/schedule/budget.go
+++ b/schedule/budget.go
@@ -9,18 +9,18 @@
 type (
 	// Budget is what of an organisation may still be started.
 	Budget struct {
-		// Left is what its cap leaves. A resource without a limit is Unlimited.
-		Left tw.Resources
-		// Largest is what a claim counts for at the most. Work that is larger than a pool's
+		// Remaining is what its cap leaves. A resource without a limit is Unlimited.
+		Remaining tw.Resources
+		// MaxCharge is what a claim counts for at the most. Work that is larger than a pool's
 		// part of the cap can ever be runs alone: the platform lets a cap be exceeded by
 		// one subtask.
-		Largest tw.Resources
+		MaxCharge tw.Resources
 		// Cap is the organisation's whole cap.
 		Cap tw.Resources
 		// Withheld is what waited for the cap alone, or would have found room.
 		Withheld tw.Resources
-		// Smallest is what the least of it counts for: a subtask, or a gang.
-		Smallest tw.Resources
+		// MinWithheld is what the least of it counts for: a subtask, or a gang.
+		MinWithheld tw.Resources
 	}
 
 	// Budgets are those of the organisations that have a cap.
@@ -30,10 +30,10 @@
 // Unlimited stands for a resource without a limit; sums of many stay in range.
 const Unlimited = math.MaxInt64 / 1024
 
-// Counts is what a claim counts for against the budget.
-func (b *Budget) Counts(claim tw.Resources) tw.Resources {
+// Charge is what a claim counts for against the budget.
+func (b *Budget) Charge(claim tw.Resources) tw.Resources {
 	return tw.Resources{
-		CPU: min(claim.CPU, b.Largest.CPU), MemoryMB: min(claim.MemoryMB, b.Largest.MemoryMB), GPU: min(claim.GPU, b.Largest.GPU),
+		CPU: min(claim.CPU, b.MaxCharge.CPU), MemoryMB: min(claim.MemoryMB, b.MaxCharge.MemoryMB), GPU: min(claim.GPU, b.MaxCharge.GPU),
 	}
 }
 
@@ -41,13 +41,13 @@
 // has room for, but no pool's part of it, counts as the largest that it can.
 func (b *Budget) allowsGang(claim tw.Resources, n int) bool {
 	whole := claim.Times(n)
-	return b.Cap.Fits(whole) && b.Left.Fits(b.Counts(whole))
+	return b.Cap.Fits(whole) && b.Remaining.Fits(b.Charge(whole))
 }
 
-// allows is how many claims the budget leaves room for, at most n.
-func (b *Budget) allows(claim tw.Resources, n int) int {
-	counts := b.Counts(claim)
-	for n > 0 && !b.Left.Fits(counts.Times(n)) {
+// maxClaims is how many claims the budget leaves room for, at most n.
+func (b *Budget) maxClaims(claim tw.Resources, n int) int {
+	counts := b.Charge(claim)
+	for n > 0 && !b.Remaining.Fits(counts.Times(n)) {
 		n--
 	}
 	return n
@@ -64,12 +64,12 @@
 	n := 0
 	switch {
 	case !g.Step.Gang:
-		n = budget.allows(g.Step.Need, waiting)
+		n = budget.maxClaims(g.Step.Need, waiting)
 	case budget.allowsGang(g.Step.Need, waiting):
 		n = waiting
 	}
 	g.Withheld = waiting - n
-	budget.withhold(g)
+	budget.addWithheld(g)
 	switch n {
 	case 0:
 		return nil
@@ -81,24 +81,24 @@
 	return &admitted
 }
 
-// withhold notes the work of a group that the budget leaves no room for.
-func (b *Budget) withhold(g *Group) {
+// addWithheld notes the work of a group that the budget leaves no room for.
+func (b *Budget) addWithheld(g *Group) {
 	if g.Withheld == 0 {
 		return
 	}
-	least := b.Counts(g.Step.Need)
+	least := b.Charge(g.Step.Need)
 	b.Withheld = b.Withheld.Plus(least.Times(g.Withheld))
 	if g.Step.Gang {
-		least = b.Counts(g.Step.Need.Times(g.Withheld))
+		least = b.Charge(g.Step.Need.Times(g.Withheld))
 	}
-	if (b.Smallest == tw.Resources{}) || least.CPU < b.Smallest.CPU {
-		b.Smallest = least
+	if (b.MinWithheld == tw.Resources{}) || least.CPU < b.MinWithheld.CPU {
+		b.MinWithheld = least
 	}
 }
 
 // spend takes placed subtasks of a group out of its organisation's budget.
 func (b Budgets) spend(g *Group, placed int) {
 	if budget := b[g.Organisation]; budget != nil {
-		budget.Left = budget.Left.Minus(budget.Counts(g.Step.Need).Times(placed))
+		budget.Remaining = budget.Remaining.Minus(budget.Charge(g.Step.Need).Times(placed))
 	}
 }
--- a/schedule/budget_test.go
+++ b/schedule/budget_test.go
@@ -14,8 +14,8 @@
 // capped is a budget of so many cores out of a cap.
 func capped(left, limit tw.Millicores) *schedule.Budget {
 	whole := tw.Resources{CPU: limit, MemoryMB: schedule.Unlimited, GPU: schedule.Unlimited}
-	b := &schedule.Budget{Left: whole, Largest: whole, Cap: whole}
-	b.Left.CPU = left
+	b := &schedule.Budget{Remaining: whole, MaxCharge: whole, Cap: whole}
+	b.Remaining.CPU = left
 	return b
 }
 
--- a/schedule/group.go
+++ b/schedule/group.go
@@ -56,9 +56,9 @@
 // platform's figure.
 const LateFactor = 3
 
-// smallFirst is the weight of the size of work against its deadline. With 0.4 and with
+// sizeWeight is the weight of the size of work against its deadline. With 0.4 and with
 // size alone about as much ends in time; with size alone the largest tenth suffers.
-const smallFirst = 1.25
+const sizeWeight = 1.25
 
 // UrgencyOf grades work that was handed in at start with an objective and has
 // remaining run time ahead of it.
@@ -75,14 +75,14 @@
 	return Urgency{Grade: GradeOverdue, Priority: priority, Deadline: latest}
 }
 
-// ForSize lets small work go first among what has the same grade and priority: its
+// WithSizePenalty lets small work go first among what has the same grade and priority: its
 // deadline counts as later by the share that its work is of the usual work, times the
 // usual objective. Where there is more work than room, more of it so ends in time:
 // 0.552 instead of 0.506 at 1.5 times the load that fills the machines in turns, 0.410
 // instead of 0.357 at twice it, 0.859 instead of 0.848 at that load itself (12 seeds
 // of the simulated pools of experiment schedule, subtasks of 0.64 s).
-func (u Urgency) ForSize(share float64, objective time.Duration) Urgency {
-	u.Deadline = u.Deadline.Add(time.Duration(smallFirst * share * float64(objective)))
+func (u Urgency) WithSizePenalty(share float64, objective time.Duration) Urgency {
+	u.Deadline = u.Deadline.Add(time.Duration(sizeWeight * share * float64(objective)))
 	return u
 }
 
@@ -97,11 +97,11 @@
 	return u.Deadline.Before(other.Deadline)
 }
 
-// Count tells how many workers have room for a subtask, and how many have as
+// CountWorkers tells how many workers have room for a subtask, and how many have as
 // many of the step as they may.
-func (g *Group) Count(workers []*Worker) (fits, full int) {
+func (g *Group) CountWorkers(workers []*Worker) (fits, full int) {
 	for _, w := range workers {
-		if w.Free.Fits(g.Step.Claim()) && w.HasLabel(g.Step.Label) {
+		if w.Free.Fits(g.Step.Reservation()) && w.HasLabel(g.Step.Label) {
 			fits++
 		}
 		if g.Step.MaxPerWorker > 0 && g.OnWorker[w.ID] >= g.Step.MaxPerWorker {
--- a/schedule/place_test.go
+++ b/schedule/place_test.go
@@ -76,13 +76,13 @@
 		want:    map[tw.WorkerID]int{"w0": 3},
 	},
 	"deals lasting subtasks out": {
-		groups:  []*schedule.Group{group("a", 3, func(s *tw.Step) { s.Lasting = true })},
+		groups:  []*schedule.Group{group("a", 3, func(s *tw.Step) { s.LongRunning = true })},
 		workers: []*schedule.Worker{worker(0, 4000), worker(1, 4000), worker(2, 4000)},
 		want:    map[tw.WorkerID]int{"w0": 1, "w1": 1, "w2": 1},
 	},
 	"keeps a worker free for a lasting subtask that found no room": {
 		groups: []*schedule.Group{group("a", 4, nil), func() *schedule.Group {
-			g := group("b", 1, func(s *tw.Step) { s.Lasting = true; s.Need.CPU = 3000 })
+			g := group("b", 1, func(s *tw.Step) { s.LongRunning = true; s.Need.CPU = 3000 })
 			g.Urgency.Grade = schedule.GradeLasting
 			return g
 		}()},
@@ -91,7 +91,7 @@
 	},
 	"keeps no worker free that will not have the room": {
 		groups: []*schedule.Group{group("a", 4, nil), func() *schedule.Group {
-			g := group("b", 1, func(s *tw.Step) { s.Lasting = true; s.Need.CPU = 30000 })
+			g := group("b", 1, func(s *tw.Step) { s.LongRunning = true; s.Need.CPU = 30000 })
 			g.Urgency.Grade = schedule.GradeLasting
 			return g
 		}()},
@@ -119,7 +119,7 @@
 		want:    map[tw.WorkerID]int{"w2": 1},
 	},
 	"prefers the rack of the data": {
-		groups:  []*schedule.Group{group("a", 2, func(s *tw.Step) { s.Near = "r1" })},
+		groups:  []*schedule.Group{group("a", 2, func(s *tw.Step) { s.PreferredRack = "r1" })},
 		workers: []*schedule.Worker{worker(0, 4000), worker(2, 4000)},
 		want:    map[tw.WorkerID]int{"w2": 2},
 	},
@@ -138,7 +138,7 @@
 	"takes distrusted workers last": {
 		groups: []*schedule.Group{group("a", 2, nil)},
 		workers: []*schedule.Worker{
-			func() *schedule.Worker { w := worker(0, 4000); w.Distrust = 1; return w }(), worker(1, 4000),
+			func() *schedule.Worker { w := worker(0, 4000); w.Suspicion = 1; return w }(), worker(1, 4000),
 		},
 		want: map[tw.WorkerID]int{"w1": 2},
 	},
@@ -156,13 +156,13 @@
 		groups: []*schedule.Group{group("a", 2, nil)},
 		workers: []*schedule.Worker{
 			inHall("x", worker(0, 1000)),
-			func() *schedule.Worker { w := inHall("x", worker(1, 4000)); w.Distrust = 1; return w }(),
+			func() *schedule.Worker { w := inHall("x", worker(1, 4000)); w.Suspicion = 1; return w }(),
 			inHall("y", worker(2, 1000)),
 		},
 		want: map[tw.WorkerID]int{"w0": 1, "w2": 1},
 	},
 	"deals lasting subtasks out over halls": {
-		groups:  []*schedule.Group{group("a", 2, func(s *tw.Step) { s.Lasting = true })},
+		groups:  []*schedule.Group{group("a", 2, func(s *tw.Step) { s.LongRunning = true })},
 		workers: []*schedule.Worker{inHall("x", worker(0, 4000)), inHall("y", worker(1, 4000)), inHall("x", worker(2, 4000))},
 		want:    map[tw.WorkerID]int{"w0": 1, "w1": 1},
 	},
@@ -227,7 +227,7 @@
 		t.Run(name, func(t *testing.T) {
 			of := func(in time.Duration, share float64) schedule.Urgency {
 				u := schedule.Urgency{Grade: schedule.GradeOnTime, Deadline: base.Add(in)}
-				return u.ForSize(share, 1500*time.Millisecond)
+				return u.WithSizePenalty(share, 1500*time.Millisecond)
 			}
 			g := NewWithT(t)
 			g.Expect(of(c.firstIn, c.firstShare).Before(of(c.secondIn, c.secondShare))).To(BeTrue())
@@ -270,7 +270,7 @@
 				t.Fatalf("%s is placed twice", p.Subtask)
 			}
 			placed[p.Subtask] = true
-			before[p.Worker.ID] = before[p.Worker.ID].Minus(step.Claim())
+			before[p.Worker.ID] = before[p.Worker.ID].Minus(step.Reservation())
 			if onWorker[id] == nil {
 				onWorker[id] = map[tw.WorkerID]int{}
 			}
@@ -321,7 +321,7 @@
 			s.Gang = rapid.Bool().Draw(t, "gang")
 			s.SameRack = rapid.Bool().Draw(t, "same rack")
 			s.Filler = rapid.Bool().Draw(t, "filler")
-			s.Lasting = rapid.Bool().Draw(t, "lasting")
+			s.LongRunning = rapid.Bool().Draw(t, "lasting")
 			s.MaxPerWorker = rapid.IntRange(0, 3).Draw(t, "most")
 			s.Label = rapid.SampledFrom([]string{"", "r0", "r1"}).Draw(t, "label")
 		})
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -22,8 +22,8 @@
 		Lost time.Duration
 	}
 
-	// Want is a group of which subtasks still wait after Place.
-	Want struct {
+	// Unplaced is a group of which subtasks still wait after Place.
+	Unplaced struct {
 		Group *Group
 		// Missing is how many of its subtasks wait.
 		Missing int
@@ -34,11 +34,11 @@
 		// runs are those that may be stopped on each worker, the first to stop
 		// at the front.
 		runs map[*Worker][]Run
-		// coming is what will be free on each worker: what is free, what is
+		// expectedFree is what will be free on each worker: what is free, what is
 		// being stopped, and the victims, less what is meant for wants before.
-		coming map[*Worker]tw.Resources
-		// taken are the victims so far.
-		taken map[tw.SubtaskID]bool
+		expectedFree map[*Worker]tw.Resources
+		// chosen are the victims so far.
+		chosen map[tw.SubtaskID]bool
 	}
 )
 
@@ -53,10 +53,10 @@
 // work, and the workers on which the least is lost. Work that ends too late to
 // count and fillers preempt nothing; a gang preempts for all its members or
 // for none.
-func Preempt(wants []Want, workers []*Worker, runs []Run) []Run {
-	p := preemption{runs: map[*Worker][]Run{}, coming: map[*Worker]tw.Resources{}, taken: map[tw.SubtaskID]bool{}}
+func Preempt(wants []Unplaced, workers []*Worker, runs []Run) []Run {
+	p := preemption{runs: map[*Worker][]Run{}, expectedFree: map[*Worker]tw.Resources{}, chosen: map[tw.SubtaskID]bool{}}
 	for _, w := range workers {
-		p.coming[w] = w.Free.Plus(w.Freeing)
+		p.expectedFree[w] = w.Free.Plus(w.Freeing)
 	}
 	for _, r := range runs {
 		p.runs[r.Worker] = append(p.runs[r.Worker], r)
@@ -67,25 +67,25 @@
 		})
 	}
 	wants = slices.Clone(wants)
-	slices.SortStableFunc(wants, func(a, b Want) int { return CompareUrgency(a.Group, b.Group) })
+	slices.SortStableFunc(wants, func(a, b Unplaced) int { return CompareUrgency(a.Group, b.Group) })
 	var out []Run
 	for _, want := range wants {
 		if want.Group.Urgency.Grade > GradeOnTime || len(out) >= maxVictims {
 			continue
 		}
-		out = append(out, p.serve(want, workers)...)
+		out = append(out, p.makeRoom(want, workers)...)
 	}
 	return out
 }
 
-// serve finds room for the subtasks of a group, one by one, and returns the
+// makeRoom finds room for the subtasks of a group, one by one, and returns the
 // runs to stop for it.
-func (p *preemption) serve(want Want, workers []*Worker) []Run {
+func (p *preemption) makeRoom(want Unplaced, workers []*Worker) []Run {
 	var out []Run
-	before := preemption{runs: p.runs, coming: maps.Clone(p.coming), taken: maps.Clone(p.taken)}
+	before := preemption{runs: p.runs, expectedFree: maps.Clone(p.expectedFree), chosen: maps.Clone(p.chosen)}
 	used := map[*Worker]int{} // subtasks of the group for which room was found
 	for range want.Missing {
-		worker, victims, found := p.cheapest(want.Group, workers, used)
+		worker, victims, found := p.cheapestWorker(want.Group, workers, used)
 		if !found {
 			if want.Group.Step.Gang {
 				*p = before // nothing is stopped for it
@@ -94,24 +94,24 @@
 			break
 		}
 		for _, v := range victims {
-			p.taken[v.Subtask] = true
-			p.coming[worker] = p.coming[worker].Plus(v.Claim)
+			p.chosen[v.Subtask] = true
+			p.expectedFree[worker] = p.expectedFree[worker].Plus(v.Claim)
 		}
-		p.coming[worker] = p.coming[worker].Minus(want.Group.Step.Claim())
+		p.expectedFree[worker] = p.expectedFree[worker].Minus(want.Group.Step.Reservation())
 		used[worker]++
 		out = append(out, victims...)
 	}
 	return out
 }
 
-// cheapest is the worker on which the least work is lost for one subtask of a
+// cheapestWorker is the worker on which the least work is lost for one subtask of a
 // group, with the runs to stop there. Subtasks that are used already count
 // towards the most that a worker may have of the step.
-func (p *preemption) cheapest(g *Group, workers []*Worker, used map[*Worker]int) (best *Worker, victims []Run, found bool) {
+func (p *preemption) cheapestWorker(g *Group, workers []*Worker, used map[*Worker]int) (best *Worker, victims []Run, found bool) {
 	least := time.Duration(0)
 	for _, w := range workers {
 		most := g.Step.MaxPerWorker
-		if !g.mayUse(w) || most > 0 && g.OnWorker[w.ID]+used[w] >= most {
+		if !g.eventuallyFits(w) || most > 0 && g.OnWorker[w.ID]+used[w] >= most {
 			continue
 		}
 		candidates, lost, enough := p.victims(g, w)
@@ -125,13 +125,13 @@
 // victims are the runs to stop on a worker for one subtask of a group; false
 // if that does not make enough room.
 func (p *preemption) victims(g *Group, w *Worker) (out []Run, lost time.Duration, enough bool) {
-	claim := g.Step.Claim()
-	room := p.coming[w]
+	claim := g.Step.Reservation()
+	room := p.expectedFree[w]
 	for _, r := range p.runs[w] {
 		if room.Fits(claim) {
 			break
 		}
-		if r.Priority <= g.Urgency.Priority || p.taken[r.Subtask] {
+		if r.Priority <= g.Urgency.Priority || p.chosen[r.Subtask] {
 			continue
 		}
 		room = room.Plus(r.Claim)
--- a/schedule/preempt_test.go
+++ b/schedule/preempt_test.go
@@ -26,18 +26,18 @@
 }
 
 // want is a group that waits, of priority 0 unless change says otherwise.
-func want(count int, change func(g *schedule.Group)) schedule.Want {
+func want(count int, change func(g *schedule.Group)) schedule.Unplaced {
 	g := group("waiting", count, nil)
 	if change != nil {
 		change(g)
 	}
-	return schedule.Want{Group: g, Missing: count}
+	return schedule.Unplaced{Group: g, Missing: count}
 }
 
 // preemptCases are what waits, the priorities of the runs on two workers, and
 // which are stopped: worker and index.
 var preemptCases = map[string]struct {
-	want    schedule.Want
+	want    schedule.Unplaced
 	runs    [2][]int
 	freeing tw.Millicores
 	stopped []string
@@ -63,7 +63,7 @@
 			b, more := busy(1, c.runs[1]...)
 			a.Freeing.CPU, a.Freeing.MemoryMB = c.freeing, 1000
 			var got []string
-			for _, r := range schedule.Preempt([]schedule.Want{c.want}, []*schedule.Worker{a, b}, append(runs, more...)) {
+			for _, r := range schedule.Preempt([]schedule.Unplaced{c.want}, []*schedule.Worker{a, b}, append(runs, more...)) {
 				got = append(got, fmt.Sprintf("%s.%d", r.Subtask.Submission, r.Subtask.Index))
 			}
 			NewWithT(t).Expect(got).To(ConsistOf(c.stopped))
@@ -78,7 +78,7 @@
 		g.Step.Gang = true
 		g.Urgency.Deadline = base.Add(-time.Second)
 	})
-	got := schedule.Preempt([]schedule.Want{gang, want(1, nil)}, []*schedule.Worker{a}, runs)
+	got := schedule.Preempt([]schedule.Unplaced{gang, want(1, nil)}, []*schedule.Worker{a}, runs)
 	NewWithT(t).Expect(got).To(HaveLen(1))
 }
 
@@ -92,13 +92,13 @@
 			w, here := busy(n, rapid.SliceOfN(rapid.IntRange(0, 3), 0, 5).Draw(t, "priorities")...)
 			workers, runs = append(workers, w), append(runs, here...)
 		}
-		var wants []schedule.Want
+		var wants []schedule.Unplaced
 		highest, needed := 9, 0
 		for _, g := range drawGroups(t) {
 			g.Urgency.Priority = rapid.IntRange(0, 3).Draw(t, "priority")
 			highest = min(highest, g.Urgency.Priority)
 			needed += len(g.Subtasks)
-			wants = append(wants, schedule.Want{Group: g, Missing: len(g.Subtasks)})
+			wants = append(wants, schedule.Unplaced{Group: g, Missing: len(g.Subtasks)})
 		}
 		seen := map[tw.SubtaskID]bool{}
 		for _, r := range schedule.Preempt(wants, workers, runs) {
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -13,16 +13,16 @@
 		Rack   tw.RackLabel
 		Labels []string
 		Free   tw.Resources
-		// Most bounds the subtasks that Place puts there; 0 for no bound.
-		Most   int
-		placed int
+		// MaxPlacements bounds the subtasks that Place puts there; 0 for no bound.
+		MaxPlacements int
+		placed        int
 		// Freeing is what will be free once what is being stopped has ended.
 		Freeing tw.Resources
 		// Attainable is what is free once all that ends by itself has ended.
 		Attainable tw.Resources
-		// Distrust is how doubtful the worker is; 0 is sound. Less distrusted
+		// Suspicion is how doubtful the worker is; 0 is sound. Less distrusted
 		// workers come first.
-		Distrust int
+		Suspicion int
 		// Rank orders workers that are alike. Work is packed onto the lowest.
 		Rank int
 		// Serving counts subtasks with a tail target, Fillers those that take
@@ -38,8 +38,8 @@
 	}
 )
 
-// Taken tells whether Place has put as many subtasks there as it may.
-func (w *Worker) Taken() bool { return w.Most > 0 && w.placed >= w.Most }
+// AtLimit tells whether Place has put as many subtasks there as it may.
+func (w *Worker) AtLimit() bool { return w.MaxPlacements > 0 && w.placed >= w.MaxPlacements }
 
 // HasLabel tells whether the worker may run steps that ask for the label.
 func (w *Worker) HasLabel(label string) bool {
--- a/service.go
+++ b/service.go
@@ -10,17 +10,17 @@
 	Routes         []Route `toml:"routes"`
 }
 
-// Defaults fills what was left out.
-func (s *Service) Defaults() {
+// SetDefaults fills what was left out.
+func (s *Service) SetDefaults() {
 	if s.MaxUnavailable == 0 {
 		s.MaxUnavailable = 1
 	}
 	for i := range s.Routes {
-		s.Routes[i].Defaults()
+		s.Routes[i].SetDefaults()
 	}
 }
 
-func (s *Service) validate(at string, faults *Faults) {
+func (s *Service) validate(at string, faults *ValidationErrors) {
 	if s.ID == "" {
 		faults.Add(at+".id", "is missing")
 	}
--- a/spares.go
+++ b/spares.go
@@ -12,8 +12,8 @@
 
 const defaultMaxMoves = 4
 
-// Defaults fills what was left out.
-func (s *Spares) Defaults() {
+// SetDefaults fills what was left out.
+func (s *Spares) SetDefaults() {
 	if s.Racks == nil {
 		one := 1
 		s.Racks = &one
@@ -23,7 +23,7 @@
 	}
 }
 
-func (s *Spares) validate(at string, faults *Faults) {
+func (s *Spares) validate(at string, faults *ValidationErrors) {
 	if s.Racks != nil && *s.Racks < 0 {
 		faults.Add(at+".racks", "is %d, must be 0 or more", *s.Racks)
 	}
--- a/store.go
+++ b/store.go
@@ -58,11 +58,11 @@
 	ErrNotFound    = errors.New("not found")
 	ErrConflict    = errors.New("version conflict")
 	ErrNoChange    = errors.New("no change")
-	ErrHeld        = errors.New("lease is held")
+	ErrLeaseHeld   = errors.New("lease is held")
 	ErrUnavailable = errors.New("unavailable")
-	// ErrGone is a peer's address at which no process listens.
-	ErrGone    = errors.New("no process there")
-	ErrUnclear = errors.New("answer lost")
+	// ErrNotListening is a peer's address at which no process listens.
+	ErrNotListening = errors.New("no process there")
+	ErrAmbiguous    = errors.New("answer lost")
 )
 
 // Keys of the documents kept in the store.
--- a/submission.go
+++ b/submission.go
@@ -37,14 +37,14 @@
 		SameRack bool `json:"same_rack,omitempty"`
 		// Label is a label that the worker must have; empty for none.
 		Label string `json:"label,omitempty"`
-		// Near is the rack on which subtasks run fast; empty for any.
-		Near RackLabel `json:"near,omitempty"`
+		// PreferredRack is the rack on which subtasks run fast; empty for any.
+		PreferredRack RackLabel `json:"near,omitempty"`
 		// MaxPerWorker bounds the step's subtasks on one worker; 0 for no bound.
 		MaxPerWorker int `json:"max_per_worker,omitempty"`
-		// Copies says that a subtask may run twice at the same time.
-		Copies bool `json:"copies,omitempty"`
-		// Lasting subtasks run until the submission is cancelled.
-		Lasting bool `json:"lasting,omitempty"`
+		// AllowCopies says that a subtask may run twice at the same time.
+		AllowCopies bool `json:"copies,omitempty"`
+		// LongRunning subtasks run until the submission is cancelled.
+		LongRunning bool `json:"lasting,omitempty"`
 		// Image names the program; subtasks of one image behave alike.
 		Image string `json:"image,omitempty"`
 		// TailTarget bounds the tail latency of a subtask that serves users
@@ -52,9 +52,9 @@
 		TailTarget time.Duration `json:"tail_target,omitempty"`
 		// Filler subtasks take whatever processor time the others leave.
 		Filler bool `json:"filler,omitempty"`
-		// MaxAway bounds how many subtasks of a lasting step the system
+		// MaxDisrupted bounds how many subtasks of a lasting step the system
 		// itself may have interrupted at the same time.
-		MaxAway int `json:"max_away,omitempty"`
+		MaxDisrupted int `json:"max_away,omitempty"`
 	}
 
 	// Schedule says when the steps run. The zero value is once, at once.
@@ -107,11 +107,11 @@
 
 // States of a submission. The last three are final.
 const (
-	Waiting   SubmissionState = "waiting"
-	Started   SubmissionState = "started"
-	Succeeded SubmissionState = "succeeded"
-	Failed    SubmissionState = "failed"
-	Cancelled SubmissionState = "cancelled"
+	SubmissionWaiting   SubmissionState = "waiting"
+	SubmissionStarted   SubmissionState = "started"
+	SubmissionSucceeded SubmissionState = "succeeded"
+	SubmissionFailed    SubmissionState = "failed"
+	SubmissionCancelled SubmissionState = "cancelled"
 )
 
 // Bounds of a submission. The platform's pages bound only the spec; the
@@ -126,11 +126,11 @@
 
 // Final tells whether the state never changes again.
 func (s SubmissionState) Final() bool {
-	return s == Succeeded || s == Failed || s == Cancelled
+	return s == SubmissionSucceeded || s == SubmissionFailed || s == SubmissionCancelled
 }
 
-// Asks tells whether starts need a ticket of the advice service.
-func (a AdvicePolicy) Asks() bool { return a.Valid > 0 }
+// Required tells whether starts need a ticket of the advice service.
+func (a AdvicePolicy) Required() bool { return a.Valid > 0 }
 
 // Fits tells whether need can be taken out of r.
 func (r Resources) Fits(need Resources) bool {
@@ -159,9 +159,9 @@
 	return Resources{CPU: r.CPU * Millicores(n), MemoryMB: r.MemoryMB * int64(n), GPU: r.GPU * int64(n)}
 }
 
-// Claim is what one subtask of the step takes out of a worker's capacity. A
+// Reservation is what one subtask of the step takes out of a worker's capacity. A
 // filler takes memory only.
-func (s *Step) Claim() Resources {
+func (s *Step) Reservation() Resources {
 	if s.Filler {
 		return Resources{MemoryMB: s.Need.MemoryMB, GPU: s.Need.GPU}
 	}
@@ -171,12 +171,12 @@
 // Repetitions is how often the steps run.
 func (s *Submission) Repetitions() int { return max(1, s.Schedule.Times) }
 
-// Timed tells whether the steps run at given times.
-func (s *Submission) Timed() bool { return s.Schedule.Times > 0 }
+// Scheduled tells whether the steps run at given times.
+func (s *Submission) Scheduled() bool { return s.Schedule.Times > 0 }
 
 // Due is when repetition k may start.
 func (s *Submission) Due(k int) time.Time {
-	if !s.Timed() {
+	if !s.Scheduled() {
 		return s.Accepted
 	}
 	return s.Schedule.First.Add(time.Duration(k) * s.Schedule.Interval)
@@ -184,7 +184,7 @@
 
 // Validate gathers all faults; the error is of type Faults.
 func (s *Submission) Validate() error {
-	var faults Faults
+	var faults ValidationErrors
 	if len(s.Spec) > MaxSpecBytes {
 		faults.Add("spec", "has %d bytes, must have at most %d", len(s.Spec), MaxSpecBytes)
 	}
--- a/subtask.go
+++ b/subtask.go
@@ -17,9 +17,9 @@
 	// RunNumber counts the starts of a subtask; a higher one is newer.
 	RunNumber int64
 
-	// Fence is the number by which workers and the platform tell a newer
+	// FencingToken is the number by which workers and the platform tell a newer
 	// owner from an older one.
-	Fence int64
+	FencingToken int64
 
 	// Checkpoint is saved progress of a subtask; empty for none.
 	Checkpoint string
@@ -29,14 +29,14 @@
 
 	// RunningSubtask is a run that a worker lists as running.
 	RunningSubtask struct {
-		Subtask SubtaskID
-		Run     RunNumber
-		Saved   Checkpoint
+		Subtask    SubtaskID
+		Run        RunNumber
+		Checkpoint Checkpoint
 		// Percent is the progress of the work or, for a lasting subtask, the
 		// pace at which it works.
 		Percent int
-		// Tail is the measured tail latency of a subtask that serves users.
-		Tail time.Duration
+		// TailLatency is the measured tail latency of a subtask that serves users.
+		TailLatency time.Duration
 		// Usage is the measured processor use of any other subtask.
 		Usage Millicores
 	}
@@ -44,11 +44,11 @@
 	// EndedSubtask is the end of a run that a worker lists.
 	EndedSubtask struct {
 		// Sequence rises by one with each end in a worker's life.
-		Sequence int64
-		Subtask  SubtaskID
-		Run      RunNumber
-		Kind     EndKind
-		Saved    Checkpoint
+		Sequence   int64
+		Subtask    SubtaskID
+		Run        RunNumber
+		Kind       EndKind
+		Checkpoint Checkpoint
 	}
 )
 
@@ -60,12 +60,12 @@
 	EndFailed EndKind = "failed"
 	// EndStopped follows a stop order.
 	EndStopped EndKind = "stopped"
-	// EndLapsed is the end of a run whose deadline passed.
-	EndLapsed EndKind = "lapsed"
-	// EndBroken is the end of a gang's member because another one ended.
-	EndBroken EndKind = "broken"
-	// EndAlone is the end of a gang's member that waited for the others in vain.
-	EndAlone EndKind = "alone"
+	// EndExpired is the end of a run whose deadline passed.
+	EndExpired EndKind = "lapsed"
+	// EndGangBroken is the end of a gang's member because another one ended.
+	EndGangBroken EndKind = "broken"
+	// EndGangTimeout is the end of a gang's member that waited for the others in vain.
+	EndGangTimeout EndKind = "alone"
 )
 
 // String is for logs.
--- a/team.go
+++ b/team.go
@@ -10,14 +10,14 @@
 	MaxInFlight int `toml:"max_in_flight"`
 }
 
-// Defaults fills what was left out.
-func (t *Team) Defaults() {
+// SetDefaults fills what was left out.
+func (t *Team) SetDefaults() {
 	if t.Weight == 0 {
 		t.Weight = 1
 	}
 }
 
-func (t *Team) validate(at string, faults *Faults) {
+func (t *Team) validate(at string, faults *ValidationErrors) {
 	if t.ID == "" {
 		faults.Add(at+".id", "is missing")
 	}
--- a/view.go
+++ b/view.go
@@ -37,8 +37,8 @@
 	ClaimResult struct {
 		// Granted says that the request may be sent.
 		Granted bool
-		// Standing is the claim that was there before, if not granted. Its
+		// Existing is the claim that was there before, if not granted. Its
 		// holder is empty if too few daemons could be asked.
-		Standing Claim
+		Existing Claim
 	}
 )
--- a/wave.go
+++ b/wave.go
@@ -10,14 +10,14 @@
 	AtOnce int `toml:"at_once"`
 }
 
-// Defaults fills what was left out.
-func (w *Wave) Defaults() {
+// SetDefaults fills what was left out.
+func (w *Wave) SetDefaults() {
 	if w.AtOnce == 0 {
 		w.AtOnce = 1
 	}
 }
 
-func (w *Wave) validate(at string, faults *Faults) {
+func (w *Wave) validate(at string, faults *ValidationErrors) {
 	if w.ID == "" {
 		faults.Add(at+".id", "is missing")
 	}
--- a/worker.go
+++ b/worker.go
@@ -13,20 +13,20 @@
 	// machine has another one.
 	WorkerID string
 
-	// WorkerBirth is when a life of a worker began, in Unix milliseconds; zero if it
+	// WorkerStartTime is when a life of a worker began, in Unix milliseconds; zero if it
 	// does not say. A worker may start again under the id that it had, and then has
 	// another one: nothing runs there, and its counts and its clock start anew.
-	WorkerBirth int64
+	WorkerStartTime int64
 
 	// WorkerEntry is a worker's own account of itself.
 	WorkerEntry struct {
-		ID       WorkerID
-		Born     WorkerBirth
-		Pool     PoolID
-		Address  string
-		Hall     HallID
-		Instance InstanceID
-		Draining bool
+		ID        WorkerID
+		StartTime WorkerStartTime
+		Pool      PoolID
+		Address   string
+		Hall      HallID
+		Instance  InstanceID
+		Draining  bool
 		// Remaining is the least time until a draining worker ends; zero if
 		// it did not say.
 		Remaining time.Duration
@@ -34,8 +34,8 @@
 		Labels    []string
 	}
 
-	// WorkerClock is a time on a worker's own steady clock.
-	WorkerClock int64
+	// WorkerTime is a time on a worker's own steady clock.
+	WorkerTime int64
 
 	// WorkerRef addresses one life of a worker.
 	WorkerRef struct {
@@ -53,24 +53,24 @@
 		Ticket     string
 		// Deadline covers everything that runs on the worker; it never
 		// shortens.
-		Deadline WorkerClock
-		Fence    Fence
+		Deadline WorkerTime
+		Fence    FencingToken
 	}
 
 	// StopOrder tells a worker to stop a run, or never to start it.
 	StopOrder struct {
 		Subtask SubtaskID
 		Run     RunNumber
-		Fence   Fence
+		Fence   FencingToken
 	}
 
 	// HoldOrder prolongs what runs on a worker and asks what runs and ended.
 	HoldOrder struct {
-		Fence Fence
-		// Seen confirms ends up to a sequence; the worker forgets them.
-		Seen int64
+		Fence FencingToken
+		// AckedSequence confirms ends up to a sequence; the worker forgets them.
+		AckedSequence int64
 		// Deadline prolongs everything on the worker; zero leaves it.
-		Deadline WorkerClock
+		Deadline WorkerTime
 		// Wait is how long the worker may wait for an end to report.
 		Wait time.Duration
 	}
@@ -80,41 +80,41 @@
 		Subtask SubtaskID
 		Run     RunNumber
 		Percent int
-		Fence   Fence
+		Fence   FencingToken
 	}
 
 	// HoldReport is a worker's answer to a HoldOrder.
 	HoldReport struct {
-		Born    WorkerBirth
-		Clock   WorkerClock
-		Running []RunningSubtask
-		Ended   []EndedSubtask
+		StartTime WorkerStartTime
+		Clock     WorkerTime
+		Running   []RunningSubtask
+		Ended     []EndedSubtask
 	}
 
 	// RefusalReason says why a worker refused an order.
 	RefusalReason string
 
-	// OrderRefused is the error of an order that a worker surely did not do.
-	OrderRefused struct {
+	// OrderRefusedError is the error of an order that a worker surely did not do.
+	OrderRefusedError struct {
 		Reason RefusalReason
 		// Clock is the worker's clock, zero if it did not say.
-		Clock WorkerClock
+		Clock WorkerTime
 	}
 
 	// WorkerOrders gives orders to workers. Calls fail with *OrderRefused,
 	// ErrUnclear (the order may have been done, or may be done later), or
 	// ErrUnavailable (surely not done).
 	WorkerOrders interface {
-		Start(ctx context.Context, to WorkerRef, order StartOrder) (WorkerClock, error)
-		Stop(ctx context.Context, to WorkerRef, order StopOrder) (WorkerClock, error)
+		Start(ctx context.Context, to WorkerRef, order StartOrder) (WorkerTime, error)
+		Stop(ctx context.Context, to WorkerRef, order StopOrder) (WorkerTime, error)
 		Hold(ctx context.Context, to WorkerRef, order HoldOrder) (HoldReport, error)
-		Pace(ctx context.Context, to WorkerRef, order PaceOrder) (WorkerClock, error)
+		Pace(ctx context.Context, to WorkerRef, order PaceOrder) (WorkerTime, error)
 	}
 
-	// ParallelStarts is a WorkerOrders that may take several starts to one worker at once.
-	ParallelStarts interface {
-		// StartsAtOnce is how many it takes at present.
-		StartsAtOnce() int
+	// ParallelStarter is a WorkerOrders that may take several starts to one worker at once.
+	ParallelStarter interface {
+		// MaxParallelStarts is how many it takes at present.
+		MaxParallelStarts() int
 	}
 
 	// Advice is the answer of the advice service for a step.
@@ -135,18 +135,18 @@
 
 // Reasons of refused orders.
 const (
-	// RefusedFence: a newer owner has given orders.
-	RefusedFence RefusalReason = "fence"
-	// RefusedOldRun: the run is not above one that was stopped or ended.
-	RefusedOldRun RefusalReason = "old-run"
-	// RefusedLate: the order's deadline has passed.
-	RefusedLate RefusalReason = "late"
-	// RefusedRoom: the worker has no room.
-	RefusedRoom RefusalReason = "room"
+	// RefusedStaleFence: a newer owner has given orders.
+	RefusedStaleFence RefusalReason = "fence"
+	// RefusedStaleRun: the run is not above one that was stopped or ended.
+	RefusedStaleRun RefusalReason = "old-run"
+	// RefusedDeadlinePassed: the order's deadline has passed.
+	RefusedDeadlinePassed RefusalReason = "late"
+	// RefusedNoCapacity: the worker has no room.
+	RefusedNoCapacity RefusalReason = "room"
 	// RefusedTicket: the ticket is missing or has expired.
 	RefusedTicket RefusalReason = "ticket"
-	// RefusedLife: another life of a worker listens at the address.
-	RefusedLife RefusalReason = "other-life"
+	// RefusedOtherIncarnation: another life of a worker listens at the address.
+	RefusedOtherIncarnation RefusalReason = "other-life"
 	// RefusedUnhealthy: the worker takes no orders at present.
 	RefusedUnhealthy RefusalReason = "unhealthy"
 	// RefusedInvalid: the worker does not understand the order.
@@ -154,22 +154,22 @@
 )
 
 // Error implements error.
-func (r *OrderRefused) Error() string { return "worker refused the order: " + string(r.Reason) }
+func (r *OrderRefusedError) Error() string { return "worker refused the order: " + string(r.Reason) }
 
 // RefusedFor tells whether an order was refused for a reason.
 func RefusedFor(err error, reason RefusalReason) bool {
-	var refused *OrderRefused
+	var refused *OrderRefusedError
 	return errors.As(err, &refused) && refused.Reason == reason
 }
 
 // Answered tells whether a worker has answered an order, if only to refuse it.
 func Answered(err error) bool {
-	var refused *OrderRefused
+	var refused *OrderRefusedError
 	return err == nil || errors.As(err, &refused)
 }
 
 // Add is c moved by d.
-func (c WorkerClock) Add(d time.Duration) WorkerClock { return c + WorkerClock(d.Milliseconds()) }
+func (c WorkerTime) Add(d time.Duration) WorkerTime { return c + WorkerTime(d.Milliseconds()) }
 
 // Rack is the label that names the worker's rack; see RackOf.
 func (w *WorkerEntry) Rack() RackLabel { return RackOf(w.Labels) }
