--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -17,7 +17,7 @@
 	PathStatus  = "/status"
 )
 
-// adminHandler serves the admin port.
+// adminHandler returns the handler of the admin port.
 func (d *Daemon) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
@@ -30,12 +30,12 @@
 	mux.HandleFunc("GET "+PathReady, d.ready)
 	mux.HandleFunc("GET "+PathStatus, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(d.node.Status()) // the asker may be gone
+		_ = json.NewEncoder(w).Encode(d.node.Status()) // the client may be gone
 	})
 	return mux
 }
 
-// ready tells the balancer whether to send requests here.
+// ready is the load balancer's readiness check.
 func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
 	status := d.node.Status()
 	switch {
@@ -50,7 +50,7 @@
 	}
 }
 
-// hasRelayPeer tells whether a peer could serve for this daemon.
+// hasRelayPeer reports whether a peer could serve requests for this daemon.
 func hasRelayPeer(s control.Status) bool {
 	for _, m := range s.Members {
 		if m.ID != s.Self && len(m.Jobs) > 0 {
@@ -62,5 +62,5 @@
 
 func writeLine(w http.ResponseWriter, status int, line string) {
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(line + "\n")) // the asker may be gone
+	_, _ = w.Write([]byte(line + "\n")) // the client may be gone
 }
--- a/daemon/config_news.go
+++ b/daemon/config_news.go
@@ -7,26 +7,26 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// configFetchGate decides when a newer configuration, of which peers tell, is read from one
-// of them. The store brings it in most cases; who is turned away by the store has only
-// its peers, and must not serve by an old configuration for longer than the platform
+// configFetchGate decides when to fetch a newer configuration, announced by peers, from
+// one of them. Usually the store delivers it. A daemon whose calls the store rejects has
+// only its peers, and must not use an old configuration for longer than the platform
 // allows.
 type configFetchGate struct {
 	mu sync.Mutex
-	// version is the version in force when peers first told of a newer one, at from.
+	// version is the one in effect when peers first announced a newer one, at since.
 	version tw.Version
 	since   time.Time
-	// reading: a configuration is being read from a peer.
+	// reading is set while a configuration is read from a peer.
 	reading bool
 }
 
-// configFetchDelay is the time that a store which answers has to bring a version that peers
-// know of: a link of 10 Mbit/s takes 0.25 s for a large one, which is not to be
-// brought twice.
+// configFetchDelay is how long a store that answers has to deliver a version that peers
+// have announced: a large one takes 0.25 s on a link of 10 Mbit/s, and should not be
+// transferred twice.
 const configFetchDelay = 400 * time.Millisecond
 
-// begin tells whether the newer version is to be read from a peer now. Then end is to be
-// called after it.
+// begin reports whether to read the newer version from a peer now. If so, the caller must
+// call end after it.
 func (n *configFetchGate) begin(have, newer tw.Version, storeAnswers bool, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -19,7 +19,7 @@
 )
 
 type (
-	// Config configures a Daemon. What is nil is made from the settings.
+	// Config configures a Daemon. Nil fields are created from the settings.
 	Config struct {
 		Settings  Settings
 		Log       *zap.Logger
@@ -46,23 +46,24 @@
 		done            chan struct{}
 	}
 
-	// deferredClaims lets the gateway be made before the node that keeps claims.
+	// deferredClaims lets the gateway be created before the node that stores claims.
 	deferredClaims struct{ tw.Claims }
 )
 
 const (
-	// headerTimeout bounds how long a caller may take to send its header.
+	// headerTimeout bounds how long a caller may take to send a request's header.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// headerLimitFactor lets the gateway refuse a header that is too large with a
-	// reason, before the server does without one.
+	// headerLimitFactor is the ratio of the server's header limit to the gateway's.
+	// Above 1, the gateway rejects an oversized header and states the reason, which
+	// the server would not.
 	headerLimitFactor = 4
-	// readinessDelay is how long a stopping daemon still takes requests
-	// after it has said that it is not ready, so that the balancer sees it.
+	// readinessDelay is how long a stopping daemon still accepts requests after its
+	// readiness check has begun to fail, so that the load balancer notices it.
 	readinessDelay = time.Second
 )
 
-// New starts a daemon; Stop ends it.
+// New starts a daemon; Stop stops it.
 func (c Config) New() (*Daemon, error) {
 	c.defaults()
 	d := &Daemon{settings: c.Settings, log: c.Log, metrics: metrics.NewSet(), done: make(chan struct{})}
@@ -147,13 +148,13 @@
 	}.New()
 }
 
-// Gateway is the address that takes requests.
+// Gateway returns the address that accepts requests.
 func (d *Daemon) Gateway() string { return d.member.Gateway }
 
-// Admin is the address of the admin port.
+// Admin returns the address of the admin port.
 func (d *Daemon) Admin() string { return d.admin }
 
-// PeersDown counts the daemons of the hall that came to count as down.
+// PeersDown returns how often a daemon of the hall has been marked as down.
 func (d *Daemon) PeersDown() int {
 	return int(d.metrics.GetOrCreateCounter("tamarind_peers_down_total").Get())
 }
@@ -161,8 +162,9 @@
 // Done is closed when the daemon has stopped.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
 
-// Stop is the planned stop: not ready, then nothing new, then what is in
-// flight is finished, then lease and place in the roster are given back.
+// Stop shuts the daemon down gracefully: it fails the readiness check, stops
+// accepting requests, finishes those in flight, and releases the lease and the
+// roster entry.
 func (d *Daemon) Stop(ctx context.Context) error {
 	if d.stopping.Swap(true) {
 		return nil
@@ -181,14 +183,14 @@
 	return err
 }
 
-// Kill ends the daemon at once, as a crash would.
+// Kill stops the daemon at once, like a crash.
 func (d *Daemon) Kill() {
 	if d.stopping.Swap(true) {
 		return
 	}
 	defer close(d.done)
 	for _, s := range append(d.internalServers, d.callerServer) {
-		_ = s.Close() // nobody is left to tell
+		_ = s.Close() // nothing is left to handle the error
 	}
 	d.node.Close()
 }
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -17,49 +17,50 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// directory follows what operators and workers write into the store.
+// directory tracks what operators and workers write into the store.
 type directory struct {
 	kv       tw.KV
 	clock    tw.Clock
 	log      *zap.Logger
 	operator *member.Watcher
-	// workersChanged is called after a change of the list of workers or of the evacuated
-	// halls.
+	// workersChanged is called after the list of workers or the evacuated halls have
+	// changed.
 	workersChanged func()
 
 	mu sync.Mutex
-	// workers follows the list of workers while this daemon owns a pool, else
-	// it is nil: every read of it is paid for.
+	// workers watches the list of workers while this daemon owns a pool. Otherwise it
+	// is nil, as every read of the list has a cost.
 	workers *member.Watcher
-	// generation numbers the watchers of the list of workers, so that a former one
-	// that is still ending changes nothing any more.
+	// generation numbers the watchers of the list of workers, so that late changes
+	// from a former one are ignored.
 	generation int
 	config     *tw.QueueConfig
 	waves      map[int64]tw.MaintenanceWave
-	// evacuations are the evacuated halls; nil until they are known.
+	// evacuations is nil until the evacuated halls are known.
 	evacuations *tw.Evacuations
 	decoded     map[tw.WorkerID]decodedEntry
 	byPool      map[tw.PoolID]map[tw.WorkerID]tw.WorkerEntry
 	workersRead bool
-	// invalidEntries counts readings of entries that name no worker to use.
+	// invalidEntries counts the worker entries read that can't be used.
 	invalidEntries *metrics.Counter
 }
 
-// decodedEntry is a worker's entry, decoded once a revision.
+// decodedEntry caches the decoding of one revision of a worker's entry.
 type decodedEntry struct {
 	revision tw.KVRevision
 	entry    tw.WorkerEntry
-	// invalid is why the entry names no worker to use; empty if it does.
+	// invalid is why the entry can't be used; empty if it can.
 	invalid string
 }
 
 const (
-	// operatorWait is how long one watch of the operators' keys waits. A
-	// connection on which an answer was lost says nothing any more, so that a
-	// short wait bounds how late a configuration can be.
+	// operatorWait is the wait of one watch call for the operators' keys. A
+	// connection on which a response was lost delivers nothing more, so that a
+	// short wait bounds how late a configuration arrives.
 	operatorWait = 1200 * time.Millisecond
 	workersWait  = 3 * time.Second
-	// workersGap: some tens of workers write their status reports each second.
+	// workersGap limits the rate of reads: some tens of workers write their status
+	// reports each second.
 	workersGap = 250 * time.Millisecond
 )
 
@@ -73,7 +74,8 @@
 	return d
 }
 
-// watchOperator begins to follow what operators write. The directory is not used before it.
+// watchOperator starts the watch of the operators' keys. It must be called before the
+// directory is used.
 func (d *directory) watchOperator() {
 	d.operator = member.WatcherConfig{
 		KV: d.kv, Clock: d.clock, Log: d.log, Prefix: platform.OperatorPrefix, Wait: operatorWait, Changed: d.operatorChanged,
@@ -87,7 +89,7 @@
 	}
 }
 
-// watchWorkers begins to follow the list of workers, if it is not followed.
+// watchWorkers starts the watch of the list of workers unless it is running.
 func (d *directory) watchWorkers() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,14 +97,14 @@
 		return
 	}
 	d.generation++
-	round := d.generation
+	generation := d.generation
 	d.workers = member.WatcherConfig{
 		KV: d.kv, Clock: d.clock, Log: d.log, Prefix: platform.WorkerPrefix, Wait: workersWait, Gap: workersGap,
-		Changed: func(items map[tw.Key]tw.KVItem, _ tw.KVRevision) { d.updateWorkers(round, items) },
+		Changed: func(items map[tw.Key]tw.KVItem, _ tw.KVRevision) { d.updateWorkers(generation, items) },
 	}.New()
 }
 
-// refreshWorkers has the list of workers read anew, if it is followed.
+// refreshWorkers triggers a new read of the list of workers if it is watched.
 func (d *directory) refreshWorkers() {
 	d.mu.Lock()
 	watcher := d.workers
@@ -112,9 +114,9 @@
 	}
 }
 
-// detachWorkerWatch stops following the list of workers. It returns the watcher, or
-// nil. The caller closes it without holding a lock: Close waits for a change
-// that is being taken up, which may need that lock.
+// detachWorkerWatch removes the watcher of the list of workers and returns it, or nil.
+// The caller must close it without holding a lock: Close waits for a running callback,
+// which may need that lock.
 func (d *directory) detachWorkerWatch() *member.Watcher {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,14 +125,14 @@
 	return watcher
 }
 
-// Config is the configuration in force, or nil.
+// Config returns the configuration in effect, or nil.
 func (d *directory) Config() *tw.QueueConfig {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.config
 }
 
-// version is that of the configuration in force, zero if there is none.
+// version returns the version of the configuration in effect, or zero.
 func (d *directory) version() tw.Version {
 	if config := d.Config(); config != nil {
 		return config.Version
@@ -138,7 +140,7 @@
 	return 0
 }
 
-// pools are the pools of the configuration, and that of the machines' manager.
+// pools returns the pools of the configuration and the pool of the machine manager.
 func (d *directory) pools() []tw.PoolID {
 	config := d.Config()
 	if config == nil {
@@ -151,7 +153,7 @@
 	return out
 }
 
-// Waves are the maintenance waves that the operators asked for.
+// Waves returns the maintenance waves requested by the operators.
 func (d *directory) Waves() []tw.MaintenanceWave {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -162,8 +164,8 @@
 	return out
 }
 
-// workerList is the pool's part of the list of workers; false before the
-// list was read.
+// workerList returns the workers of a pool, or false before the list has been
+// read.
 func (d *directory) workerList(pool tw.PoolID) (run.WorkerList, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,7 +187,7 @@
 	}
 }
 
-// decodeConfig puts the operators' configuration in force if it is newer.
+// decodeConfig decodes the operators' configuration and applies it if it is newer.
 func (d *directory) decodeConfig(value []byte) {
 	config, err := platform.DecodeQueueConfig(value)
 	if err != nil {
@@ -195,8 +197,8 @@
 	d.applyConfig(config, "store")
 }
 
-// applyConfig puts a configuration in force if it is newer. It never goes back: what
-// was answered by a version must not be answered by an older one.
+// applyConfig applies a configuration if it is newer. It never reverts to an older
+// version: after a response under one version, none may follow under an older one.
 func (d *directory) applyConfig(config *tw.QueueConfig, from string) {
 	config.Prepare()
 	d.mu.Lock()
@@ -219,14 +221,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, known := d.waves[wave.Number]; !known {
-		d.log.Info("wave: asked for", zap.Int64("wave", wave.Number), zap.Int("machines", len(wave.Machines)),
+		d.log.Info("wave: requested", zap.Int64("wave", wave.Number), zap.Int("machines", len(wave.Machines)),
 			zap.Duration("within", wave.Within), zap.Int("at_once", wave.AtOnce))
 	}
 	d.waves[wave.Number] = wave
 }
 
-// decodeEntry reads an entry of the list of workers. One that names no worker to use is set
-// aside, and logged when its fault is a new one: its writer may go on writing it.
+// decodeEntry decodes an entry of the list of workers. An invalid entry is ignored, and
+// logged only if its error is new, as its writer may keep writing it.
 func (d *directory) decodeEntry(item tw.KVItem, before decodedEntry) decodedEntry {
 	entry, err := platform.DecodeWorker(item)
 	if err == nil {
@@ -239,33 +241,33 @@
 	return decodedEntry{revision: item.Revision, invalid: err.Error()}
 }
 
-// updateWorkers takes up the list of workers as the watcher of a round read it.
-func (d *directory) updateWorkers(round int, items map[tw.Key]tw.KVItem) {
+// updateWorkers applies the list of workers as read by the watcher of a generation.
+func (d *directory) updateWorkers(generation int, items map[tw.Key]tw.KVItem) {
 	d.mu.Lock()
-	if d.workers == nil || d.generation != round {
+	if d.workers == nil || d.generation != generation {
 		d.mu.Unlock()
 		return
 	}
-	listed := make(map[tw.WorkerID]decodedEntry, len(items))
+	decoded := make(map[tw.WorkerID]decodedEntry, len(items))
 	byPool := map[tw.PoolID]map[tw.WorkerID]tw.WorkerEntry{}
 	for key, item := range items {
 		id := platform.WorkerFromKey(key)
-		have, known := d.decoded[id]
-		if !known || have.revision != item.Revision {
-			have = d.decodeEntry(item, have)
+		current, known := d.decoded[id]
+		if !known || current.revision != item.Revision {
+			current = d.decodeEntry(item, current)
 		}
-		listed[id] = have
-		if have.invalid != "" {
+		decoded[id] = current
+		if current.invalid != "" {
 			continue
 		}
-		pool := byPool[have.entry.Pool]
+		pool := byPool[current.entry.Pool]
 		if pool == nil {
 			pool = map[tw.WorkerID]tw.WorkerEntry{}
-			byPool[have.entry.Pool] = pool
+			byPool[current.entry.Pool] = pool
 		}
-		pool[id] = have.entry
+		pool[id] = current.entry
 	}
-	d.decoded, d.byPool, d.workersRead = listed, byPool, true
+	d.decoded, d.byPool, d.workersRead = decoded, byPool, true
 	d.mu.Unlock()
 	d.workersChanged()
 }
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon joins the parts of an entry daemon: settings, listeners,
-// gateway, control, admin port, and the planned stop.
+// Package daemon assembles the daemons from their parts: settings, listeners,
+// gateway, control, admin port, and graceful shutdown.
 package daemon
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -10,14 +10,14 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// Evacuations are the evacuated halls, or nil while they are not known.
+// Evacuations returns the evacuated halls, or nil while they are unknown.
 func (d *directory) Evacuations() *tw.Evacuations {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.evacuations
 }
 
-// readEvacuations reads from the store which halls are evacuated.
+// readEvacuations reads the evacuated halls from the store.
 func (d *directory) readEvacuations(ctx context.Context) error {
 	e, err := platform.ReadEvacuations(ctx, d.kv)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// applyEvacuations puts evacuations in force if they are newer than those that are known. Peers
-// offer what they know, or nil, as the store may turn this daemon away.
+// applyEvacuations applies evacuations that are newer than the known ones. Peers send those that
+// they know, or nil, as the store may reject this daemon's calls.
 func (d *directory) applyEvacuations(e *tw.Evacuations, from string) {
 	d.mu.Lock()
 	before := d.evacuations
@@ -46,7 +46,7 @@
 	d.workersChanged()
 }
 
-// evacuatedHalls is a gauge.
+// evacuatedHalls returns the number of evacuated halls, for a gauge.
 func (d *directory) evacuatedHalls() float64 {
 	if e := d.Evacuations(); e != nil {
 		return float64(len(e.Halls))
--- a/daemon/evacuations_test.go
+++ b/daemon/evacuations_test.go
@@ -16,21 +16,21 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// evacuationRig is the directory of a daemon and the store that it reads.
-type evacuationRig struct {
+// evacuationFixture is the directory of a daemon and the store that it reads.
+type evacuationFixture struct {
 	*WithT
 	kv      *standin.KV
 	d       *directory
 	changes atomic.Int32
 }
 
-func (r *evacuationRig) evacuate(hall string) {
+func (r *evacuationFixture) evacuate(hall string) {
 	r.kv.Put(platform.EvacuationPrefix+tw.Key(hall), []byte("{}"))
 }
 
-// evacuationsCases are how a daemon learns of evacuations.
-var evacuationsCases = map[string]func(r *evacuationRig){
-	"by its watch, also of their end": func(r *evacuationRig) {
+// evacuationsCases are the ways in which a daemon learns of evacuations.
+var evacuationsCases = map[string]func(r *evacuationFixture){
+	"from its watch, including their end": func(r *evacuationFixture) {
 		r.evacuate("a")
 		r.evacuate("b")
 		time.Sleep(100 * time.Millisecond)
@@ -41,7 +41,7 @@
 		r.Expect(r.d.evacuatedHalls()).To(BeEquivalentTo(1))
 		r.Expect(r.changes.Load()).To(BeNumerically(">=", 2))
 	},
-	"from a peer, while the store is down": func(r *evacuationRig) {
+	"from a peer, while the store is down": func(r *evacuationFixture) {
 		time.Sleep(100 * time.Millisecond)
 		r.kv.SetFaults(standin.KVFaults{Down: true})
 		later := r.d.Evacuations().Revision + 5
@@ -49,11 +49,11 @@
 		r.Expect(r.d.Evacuations().Has("a")).To(BeTrue())
 		r.d.applyEvacuations(&tw.Evacuations{Revision: later - 1}, "c")
 		r.d.applyEvacuations(nil, "c")
-		r.Expect(r.d.Evacuations().Has("a")).To(BeTrue(), "older news have replaced newer ones")
+		r.Expect(r.d.Evacuations().Has("a")).To(BeTrue(), "an older state has replaced a newer one")
 		r.d.applyEvacuations(&tw.Evacuations{Revision: later + 1}, "c")
 		r.Expect(r.d.Evacuations().Any()).To(BeFalse())
 	},
-	"by reading at a takeover, if the watch is silent": func(r *evacuationRig) {
+	"from the read at a takeover, if the watch fails": func(r *evacuationFixture) {
 		time.Sleep(100 * time.Millisecond)
 		r.d.operator.Close()
 		r.evacuate("a")
@@ -62,7 +62,7 @@
 		r.Expect(r.d.readEvacuations(context.Background())).To(Succeed())
 		r.Expect(r.d.Evacuations().Has("a")).To(BeTrue())
 	},
-	"keys of no hall are passed over": func(r *evacuationRig) {
+	"keys that name no hall are ignored": func(r *evacuationFixture) {
 		r.evacuate("")
 		r.evacuate("a/b")
 		time.Sleep(100 * time.Millisecond)
@@ -74,7 +74,7 @@
 	for name, c := range evacuationsCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := &evacuationRig{WithT: NewWithT(t), kv: standin.KVConfig{Latency: time.Millisecond}.New()}
+				r := &evacuationFixture{WithT: NewWithT(t), kv: standin.KVConfig{Latency: time.Millisecond}.New()}
 				r.d = newDirectory(r.kv, tw.SystemClock{}, zap.NewNop(), metrics.NewSet(), func() { r.changes.Add(1) })
 				r.d.watchOperator()
 				defer r.d.close()
--- a/daemon/load.go
+++ b/daemon/load.go
@@ -11,20 +11,21 @@
 	"github.com/tamarindworks/tamarindworks/internal/traffic"
 )
 
-// trafficLog tells at a bounded pace what fills the link of a daemon whose owners are short.
+// trafficLog logs at a bounded rate the traffic of a daemon that is too slow for its pools.
 type trafficLog struct {
 	lastTime time.Time
 	last     map[string]traffic.Count
 }
 
 const (
-	// trafficLogInterval is the pace of the lines, loadKinds bounds the kinds of messages that
-	// one names, those with the most bytes.
+	// trafficLogInterval is the time between lines. maxTrafficKinds limits a line to the
+	// kinds of messages with the most bytes.
 	trafficLogInterval = time.Second
 	maxTrafficKinds    = 8
 )
 
-// write writes a line about the messages since the last one, if it is due.
+// write logs the traffic since the last line if the next one is due. If the last call was
+// longer ago, it only sets a new baseline.
 func (l *trafficLog) write(now time.Time, meter *traffic.Meter, log *zap.Logger) {
 	since := now.Sub(l.lastTime)
 	if since < trafficLogInterval {
@@ -37,7 +38,8 @@
 	l.lastTime, l.last = now, totals
 }
 
-// fields are kB a second by kind, and the messages a second.
+// fields returns the total kB per second, and for each kind the messages per second and
+// the kB per second sent and received.
 func (l *trafficLog) fields(totals map[string]traffic.Count, since time.Duration) []zap.Field {
 	recent := map[string]traffic.Count{}
 	for kind, total := range totals {
--- a/daemon/owners.go
+++ b/daemon/owners.go
@@ -19,24 +19,25 @@
 )
 
 type (
-	// owners are the pools that this daemon owns.
+	// owners holds the pools that this daemon owns or takes over.
 	owners struct {
-		d         *QueueDaemon
-		ctx       context.Context
-		cancel    context.CancelFunc
-		done      chan struct{}
+		d      *QueueDaemon
+		ctx    context.Context
+		cancel context.CancelFunc
+		done   chan struct{}
+		// workersMu serialises the updates of the owners' worker lists.
 		workersMu sync.Mutex
 
 		mu       sync.Mutex
 		stopping bool
 		owned    map[tw.PoolID]*ownedPool
 		manager  *maintenance.Manager
-		// managerRecord is the ownership under which the manager acts.
+		// managerRecord is the manager's ownership record.
 		managerRecord ledger.Owner
 		taking        map[tw.PoolID]bool
 	}
 
-	// ownedPool is an owner with the watch of its inbox.
+	// ownedPool is an owner with the watcher of its inbox.
 	ownedPool struct {
 		owner *run.Owner
 		inbox *member.Watcher
@@ -44,8 +45,8 @@
 )
 
 const (
-	// takeoverTimeout bounds a takeover: a slow store takes 240 ms for each of its calls,
-	// and a link of 2 Mbit/s up to 9 s for the submissions of all pools.
+	// takeoverTimeout bounds a takeover: a slow store takes 240 ms for each call, and
+	// the submissions of all pools up to 9 s on a link of 2 Mbit/s.
 	takeoverTimeout = 20 * time.Second
 	inboxWait       = 5 * time.Second
 )
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// pools names the pools that are owned or being taken.
+// pools returns the pools that are owned or being taken over.
 func (o *owners) pools() []tw.PoolID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,7 +91,7 @@
 	return out
 }
 
-// records are the ownerships of this daemon, for others.
+// records returns the ownership records of this daemon, for its peers.
 func (o *owners) records() []ledger.Owner {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -104,8 +105,9 @@
 	return out
 }
 
-// startTakeover makes this daemon the owner of a pool; it returns at once.
-func (o *owners) startTakeover(pool tw.PoolID, why string) {
+// startTakeover starts a takeover of a pool in the background, unless this daemon owns
+// it, is taking it over, or is stopping.
+func (o *owners) startTakeover(pool tw.PoolID, reason string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	managing := pool == maintenance.ManagerPool && o.manager != nil
@@ -114,7 +116,7 @@
 	}
 	o.taking[pool] = true
 	go func() {
-		err := o.takeOver(pool, why)
+		err := o.takeOver(pool, reason)
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		delete(o.taking, pool)
@@ -124,9 +126,9 @@
 	}()
 }
 
-func (o *owners) takeOver(pool tw.PoolID, why string) error {
+func (o *owners) takeOver(pool tw.PoolID, reason string) error {
 	d := o.d
-	d.log.Info("owner: takes pool", zap.String("pool", string(pool)), zap.String("why", why))
+	d.log.Info("owner: takes pool", zap.String("pool", string(pool)), zap.String("why", reason))
 	began := d.clock.Now()
 	ctx, cancel := context.WithTimeout(o.ctx, takeoverTimeout)
 	defer cancel()
@@ -142,7 +144,7 @@
 		return err
 	}
 	self.Fence = book.Fence()
-	// What this daemon knows of evacuations may be older than its ownership.
+	// The known evacuations may be older than the ownership.
 	if err := d.directory.readEvacuations(ctx); err != nil {
 		return err
 	}
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// startManager starts to startManager the machines.
+// startManager starts the machine manager.
 func (o *owners) startManager(book *ledger.Book, self ledger.Owner, recent map[tw.InstanceID]time.Time) {
 	d := o.d
 	o.mu.Lock()
@@ -194,7 +196,7 @@
 	}.New()
 }
 
-// closeManager forgets a manager that was deposed.
+// closeManager closes the machine manager after it has lost its ownership.
 func (o *owners) closeManager() {
 	o.mu.Lock()
 	manager := o.manager
@@ -206,7 +208,7 @@
 	}
 }
 
-// watchInbox hands over what other daemons leave in the store for the owner.
+// watchInbox passes messages that other daemons write into the store to the owner.
 func (o *owners) watchInbox(pool tw.PoolID, owner *run.Owner) *member.Watcher {
 	seen := map[tw.Key]tw.KVRevision{}
 	return member.WatcherConfig{
@@ -228,8 +230,8 @@
 	}.New()
 }
 
-// setWorkers hands the present list of workers to an owner. One call at a time, so
-// that an older list never follows a newer one.
+// setWorkers passes the current list of workers to an owner. Calls are serialised, so
+// that an older list never replaces a newer one.
 func (o *owners) setWorkers(pool tw.PoolID, owner *run.Owner) {
 	o.workersMu.Lock()
 	defer o.workersMu.Unlock()
@@ -238,7 +240,7 @@
 	}
 }
 
-// setWorkersForAll does so for all owners.
+// setWorkersForAll passes the current list of workers to all owners.
 func (o *owners) setWorkersForAll() {
 	o.mu.Lock()
 	all := make(map[tw.PoolID]*run.Owner, len(o.owned))
@@ -251,7 +253,7 @@
 	}
 }
 
-// closeOwner forgets an owner that was deposed.
+// closeOwner removes and closes an owner that has lost its pool.
 func (o *owners) closeOwner(pool tw.PoolID, owned *ownedPool) {
 	o.mu.Lock()
 	if o.owned[pool] == owned {
@@ -265,7 +267,7 @@
 	}
 }
 
-// handOver gives all pools to other daemons, for a planned stop.
+// handOver hands all pools over to other daemons, for a graceful shutdown.
 func (o *owners) handOver(ctx context.Context) {
 	o.mu.Lock()
 	o.stopping = true
@@ -292,7 +294,7 @@
 	o.cancel()
 }
 
-// handOverPool has the first successor that answers take a pool.
+// handOverPool asks the successors in turn to take over a pool, until one accepts.
 func (o *owners) handOverPool(ctx context.Context, record ledger.Owner) {
 	for _, successor := range o.d.members.Successors(record.Pool) {
 		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
--- a/daemon/peer_calls.go
+++ b/daemon/peer_calls.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// relayPeers are the daemons that give orders for this one.
+// relayPeers implements tw.Relays: other daemons relay this daemon's orders.
 type relayPeers struct{ *QueueDaemon }
 
 var (
@@ -32,14 +32,14 @@
 // Ping implements member.Handler.
 func (d *QueueDaemon) Ping(_ context.Context, m *member.PingRequest) (*member.PingResponse, error) {
 	if address, known := d.members.AddressOf(m.From); known && m.ConfigVersion > d.directory.version() {
-		go d.fetchConfig(address, m.ConfigVersion) // the answer must not wait for it
+		go d.fetchConfig(address, m.ConfigVersion) // the response must not wait for it
 	}
 	d.directory.applyEvacuations(m.Evacuations, string(m.From))
-	doubts, owners := d.members.HandlePing(m)
+	suspicions, owners := d.members.HandlePing(m)
 	return &member.PingResponse{
 		Daemon: d.self.Daemon, Incarnation: d.self.Incarnation, ConfigVersion: d.directory.version(), Owned: d.owners.records(),
 		StoreReachable: d.members.StoreReachable(), Evacuations: d.directory.Evacuations(),
-		Suspicions: doubts, Owners: owners,
+		Suspicions: suspicions, Owners: owners,
 	}, nil
 }
 
@@ -91,12 +91,12 @@
 	return &member.WaitingResponse{Outcome: queue.OutcomeOf(err), Count: count}, nil
 }
 
-// Take implements member.Handler. A former owner that was cut off may ask
-// although another daemon has taken the pool since; taking it from that one
-// would interrupt the pool for nothing. An asker that names no fence is obeyed.
+// Take implements member.Handler. It ignores a request of a former owner, for example
+// after a network partition, if another daemon has taken the pool since: taking it
+// again would interrupt the pool for nothing. A request without a fence is accepted.
 func (d *QueueDaemon) Take(_ context.Context, m *member.TakeRequest) (*member.TakeResponse, error) {
 	if owner, found := d.members.Owner(m.Pool); found && m.Fence != 0 && owner.Fence > m.Fence {
-		d.log.Info("owner: pool not taken, it has a newer owner than the one who asks", zap.String("pool", string(m.Pool)),
+		d.log.Info("owner: pool not taken, it has a newer owner than the requesting daemon", zap.String("pool", string(m.Pool)),
 			zap.String("owner", string(owner.Daemon)), zap.Int64("fence", int64(owner.Fence)))
 		return &member.TakeResponse{}, nil
 	}
@@ -114,19 +114,19 @@
 	return &member.ReportResponse{Outcome: queue.OutcomeOf(err), Report: report}, nil
 }
 
-// ReportOf asks the owner of a pool how busy it is, and gives it its
+// ReportOf gets the load report of a pool from its owner, and passes it its
 // directions.
 func (d *QueueDaemon) ReportOf(ctx context.Context, pool tw.PoolID, directions run.Directions) (run.Report, error) {
 	owner, found := d.members.Owner(pool)
 	report, err := d.reportFrom(ctx, owner, found, pool, directions)
 	if err == nil && report.Fence < owner.Fence {
-		// A former owner doesn't know of the work that its successor has started.
+		// A former owner does not know the work that its successor has started.
 		return run.Report{}, run.ErrNotOwner
 	}
 	return report, err
 }
 
-// reportFrom asks the owner here, if there is one, else the one that is known.
+// reportFrom asks this daemon's owner of the pool if there is one, else the known owner.
 func (d *QueueDaemon) reportFrom(
 	ctx context.Context, owner ledger.Owner, found bool, pool tw.PoolID, directions run.Directions,
 ) (run.Report, error) {
--- a/daemon/queue_daemon.go
+++ b/daemon/queue_daemon.go
@@ -25,7 +25,7 @@
 )
 
 type (
-	// QueueConfig configures a QueueDaemon. What is nil is made from the
+	// QueueConfig configures a QueueDaemon. Nil fields are created from the
 	// settings.
 	QueueConfig struct {
 		Settings QueueSettings
@@ -37,7 +37,7 @@
 		Advisor  tw.Advisor
 	}
 
-	// QueueDaemon is a running daemon that takes submissions and owns pools.
+	// QueueDaemon is a running daemon that accepts submissions and owns pools.
 	QueueDaemon struct {
 		settings QueueSettings
 		log      *zap.Logger
@@ -45,7 +45,7 @@
 		metrics  *metrics.Set
 		meter    *traffic.Meter
 		kv       tw.KV
-		// orders may go over other daemons, for which relay gives theirs.
+		// orders may be relayed by other daemons; relay executes orders for them.
 		orders   *relay.Orders
 		relay    *relay.Server
 		machines tw.Machines
@@ -59,7 +59,7 @@
 		directory       *directory
 		owners          *owners
 		callerServer    *drain.Server
-		internalServers []*drain.Server // for the balancer, other daemons and metrics
+		internalServers []*drain.Server // for the load balancer, other daemons and metrics
 		stopping        atomic.Bool
 		configFetch     configFetchGate
 		done            chan struct{}
@@ -67,26 +67,27 @@
 )
 
 const (
-	// memoryShare of the process's bound is the garbage collector's limit;
-	// the rest is for what it does not count, such as socket buffers.
+	// memoryShare is the part of the process's memory limit that is set as the limit
+	// of the Go runtime; the rest is for what that does not count, such as socket
+	// buffers.
 	memoryShare = 0.6
-	// gcPercent lets the heap grow to five times what is in use before a collection:
-	// at Go's usual 100 a busy owner of hundreds of workers, whose heap is small, spent
-	// a tenth of its processor time on collections. The limit above goes first.
+	// gcPercent lets the heap grow to five times the live heap before a collection. With
+	// Go's default of 100 a busy owner of hundreds of workers, whose heap is small, spent
+	// a tenth of its processor time on collections. The memory limit takes precedence.
 	gcPercent = 400
-	// callersHeaderTime and callersIdleTime bound idle callers; the
-	// configuration's own bounds are the same on present deployments.
+	// callersHeaderTime and callersIdleTime limit idle connections of callers; the
+	// configuration's own limits are the same on present deployments.
 	callersHeaderTime = 3 * time.Second
 	callersIdleTime   = 15 * time.Second
-	// callersMaxHeader is above any limit that a configuration names.
+	// callersMaxHeader is in bytes, and above any limit in a configuration.
 	callersMaxHeader = 64 << 10
-	// balancerDrainTime is how long the platform's balancer still sends new
-	// connections after the daemon said that it is not ready: it asks each
-	// second and takes two misses.
+	// balancerDrainTime is how long the platform's load balancer still sends new
+	// connections after the readiness check has begun to fail: it checks each
+	// second and acts on two failures.
 	balancerDrainTime = 2500 * time.Millisecond
 )
 
-// New starts the daemon; Stop ends it.
+// New starts the daemon; Stop stops it.
 func (c QueueConfig) New() (*QueueDaemon, error) {
 	set := metrics.NewSet()
 	meter := traffic.New(set)
@@ -146,11 +147,11 @@
 	}
 }
 
-// startComponents starts what runs beside the listeners.
+// startComponents starts everything but the listeners.
 func (d *QueueDaemon) startComponents() {
 	d.directory = newDirectory(d.kv, d.clock, d.log, d.metrics, func() { d.owners.setWorkersForAll() })
 	d.owners = newOwners(d)
-	d.directory.watchOperator() // its changes go to the owners
+	d.directory.watchOperator() // after d.owners, which its changes go to
 	d.presence = member.PresenceConfig{
 		KV: d.kv, Clock: d.clock, Log: d.log, Self: d.self, MinTTL: d.settings.Platform.MinLease.Std(),
 	}.New()
@@ -163,7 +164,7 @@
 	}.New()
 }
 
-// startServers serves callers, the balancer, other daemons and metrics.
+// startServers starts the servers for callers, the load balancer, other daemons and metrics.
 func (d *QueueDaemon) startServers(listeners []*net.TCPListener) {
 	router := queue.RouterConfig{
 		Pools: d.owners, Members: d.members, Peers: d.peers, KV: d.kv, Clock: d.clock, Log: d.log,
@@ -174,21 +175,21 @@
 	}.New()
 	readiness := http.NewServeMux()
 	readiness.HandleFunc("GET "+platform.ReadinessPath, d.ready)
-	figures := http.NewServeMux()
-	figures.HandleFunc("GET /metrics", d.serveMetrics)
+	metricsMux := http.NewServeMux()
+	metricsMux.HandleFunc("GET /metrics", d.serveMetrics)
 	d.callerServer = serve(listeners[0], &http.Server{
 		Handler: d.meter.Handler(handler), ReadHeaderTimeout: callersHeaderTime, IdleTimeout: callersIdleTime, MaxHeaderBytes: callersMaxHeader,
 	}, d.log)
-	others := []http.Handler{readiness, d.meter.Handler(member.NewHandler(d)), figures}
+	handlers := []http.Handler{readiness, d.meter.Handler(member.NewHandler(d)), metricsMux}
 	for n, at := range listeners[1:] {
-		server := &http.Server{Handler: others[n], ReadHeaderTimeout: callersHeaderTime}
+		server := &http.Server{Handler: handlers[n], ReadHeaderTimeout: callersHeaderTime}
 		d.internalServers = append(d.internalServers, serve(at, server, d.log))
 	}
 }
 
-// ready tells the balancer whether to send callers here: not before there is
-// a configuration, not while stopping, and not while the daemon is isolated. One
-// that can't reach the store serves through its peers.
+// ready is the load balancer's readiness check. It fails before there is a
+// configuration, while stopping, and while the daemon is isolated. A daemon that
+// can't reach the store serves through its peers.
 func (d *QueueDaemon) ready(w http.ResponseWriter, _ *http.Request) {
 	if d.stopping.Load() || d.directory.Config() == nil || d.members.Isolated() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -202,8 +203,8 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// fetchConfig reads a newer configuration from a peer, unless the store brings it:
-// a link of 10 Mbit/s takes 0.25 s for a large one, and all peers tell of it at once.
+// fetchConfig reads a newer configuration from a peer unless the store delivers it: a
+// large one takes 0.25 s on a link of 10 Mbit/s, and all peers announce it at once.
 func (d *QueueDaemon) fetchConfig(address string, version tw.Version) {
 	if !d.configFetch.begin(d.directory.version(), version, d.members.StoreReachable(), d.clock.Now()) {
 		return
@@ -213,14 +214,14 @@
 	defer cancel()
 	resp, err := d.peers.Config(ctx, address)
 	if err != nil || resp.Config == nil {
-		d.log.Warn("config: newer one not read from peer", zap.String("address", address),
+		d.log.Warn("config: newer version not read from peer", zap.String("address", address),
 			zap.Uint64("version", uint64(version)), logsink.Err(err))
 		return
 	}
 	d.directory.applyConfig(resp.Config, address)
 }
 
-// peerCallTimeout bounds a call to a peer that no caller waits for.
+// peerCallTimeout bounds a call to a peer for which no caller waits.
 const peerCallTimeout = time.Second
 
 func (d *QueueDaemon) bounds() run.Bounds {
@@ -231,9 +232,9 @@
 // Done is closed when the daemon has stopped.
 func (d *QueueDaemon) Done() <-chan struct{} { return d.done }
 
-// Stop is the planned stop: the balancer is told, the pools are handed over,
-// requests are served until the balancer sends none and those in flight are
-// answered.
+// Stop shuts the daemon down gracefully: it fails the readiness check, hands its
+// pools over, and serves until the load balancer sends no more connections and
+// the requests in flight are answered.
 func (d *QueueDaemon) Stop(ctx context.Context) error {
 	if d.stopping.Swap(true) {
 		return nil
@@ -241,11 +242,11 @@
 	defer close(d.done)
 	d.log.Info("daemon: stopping")
 	d.callerServer.StartDrain()
-	quiet := d.clock.After(balancerDrainTime)
+	drained := d.clock.After(balancerDrainTime)
 	d.presence.Close(ctx)
 	d.owners.handOver(ctx)
 	select {
-	case <-quiet:
+	case <-drained:
 	case <-ctx.Done():
 	}
 	err := errors.CombineErrors(d.callerServer.Shutdown(ctx), shutdown(ctx, d.internalServers))
@@ -257,11 +258,12 @@
 	return err
 }
 
-// Reload takes up a settings file that was written anew.
+// Reload logs whether a new settings file differs from the one in use. Changes take
+// effect at the next start.
 func (d *QueueDaemon) Reload(s QueueSettings) {
 	if reflect.DeepEqual(s, d.settings) {
-		d.log.Info("daemon: settings read again, nothing has changed")
+		d.log.Info("daemon: settings reloaded, nothing has changed")
 		return
 	}
-	d.log.Info("daemon: settings have changed; addresses and bounds hold from the next start")
+	d.log.Info("daemon: settings have changed; they take effect at the next start")
 }
--- a/daemon/queue_settings.go
+++ b/daemon/queue_settings.go
@@ -13,10 +13,10 @@
 )
 
 type (
-	// QueueSettings is the TOML file of a daemon that takes submissions on
-	// the platform. The platform fills deploy/settings.toml.tmpl to make it.
-	// The names begin with Queue to tell them from the parts of Settings, the
-	// file of the entry daemon.
+	// QueueSettings is the TOML settings file of a daemon that accepts submissions
+	// on the platform. The platform generates it from deploy/settings.toml.tmpl.
+	// The names begin with Queue to distinguish them from the parts of Settings,
+	// the file of the entry daemon.
 	QueueSettings struct {
 		ID       tw.DaemonID        `toml:"id"`
 		Hall     tw.HallID          `toml:"hall"`
@@ -28,69 +28,69 @@
 		Log      LogSettings        `toml:"log"`
 	}
 
-	// QueueListen says where the daemon listens, as IP:port.
+	// QueueListen holds the listen addresses, as IP:port.
 	QueueListen struct {
-		// Callers takes the requests of those who submit work.
+		// Callers is for the requests of callers.
 		Callers string `toml:"callers"`
-		// Readiness answers the platform's balancer.
+		// Readiness is for the readiness check of the platform's load balancer.
 		Readiness string `toml:"readiness"`
-		// Peers answers the other daemons.
+		// Peers is for the other daemons.
 		Peers string `toml:"peers"`
-		// Metrics may be empty: then metrics are not served.
+		// Metrics may be empty; then metrics are not served.
 		Metrics string `toml:"metrics"`
 	}
 
-	// QueuePlatform says where the platform's services are, as IP:port.
+	// QueuePlatform holds the addresses of the platform's services, as IP:port.
 	QueuePlatform struct {
 		// Store is the metadata store, Machines the machine interface.
 		Store    string `toml:"store"`
 		Machines string `toml:"machines"`
-		// Advice may be empty where no route asks for it.
+		// Advice is the advice service. It may be empty if no route uses it.
 		Advice string `toml:"advice"`
 		// MinLease is the shortest lease that the store grants.
 		MinLease tw.Duration `toml:"min_lease"`
-		// Contracts are the parts of the platform's rules that the deployment has.
+		// Contracts are the parts of the platform's rules that apply to the deployment.
 		Contracts []string `toml:"contracts"`
 	}
 
-	// QueueProcessLimits bounds the process.
+	// QueueProcessLimits holds the limits of the process.
 	QueueProcessLimits struct {
 		// MemoryMB is the memory that the process may use, in units of 1<<20
 		// bytes.
 		MemoryMB int64 `toml:"memory_mb"`
-		// Cores is the share of processor cores that the process has. It sets
-		// no limit: daemons with more take pools first.
+		// Cores is the share of processor cores that the process has. It does not
+		// limit the process: daemons with more cores take pools first.
 		Cores tw.Cores `toml:"cores"`
-		// LinkMbps is what the daemon's link carries in one direction, in Mbit/s; zero if
-		// that is not known. Owners take no more work than it can carry the orders of.
+		// LinkMbps is the bandwidth of the daemon's link in one direction, in Mbit/s; zero
+		// if unknown. Owners take no more work than the link has capacity for orders.
 		LinkMbps float64 `toml:"link_mbps"`
 	}
 
-	// QueueMachines says how machines are held.
+	// QueueMachines configures the use of machines.
 	QueueMachines struct {
-		// ParkAfter is for how long no pool may have needed a machine before it
-		// is switched off.
+		// ParkAfter is how long no pool must have needed a machine before it is
+		// switched off.
 		ParkAfter tw.Duration `toml:"park_after"`
 	}
 
-	// QueueBounds are the platform's figures; docs/SETTINGS.md explains each.
-	// Those from MaxHold to KeepEnded are the fields of run.Bounds under the
-	// keys of the file, and are explained there too.
+	// QueueBounds are time limits of the platform; docs/SETTINGS.md explains each.
+	// Those from MaxHold to KeepEnded correspond to the fields of run.Bounds and
+	// are explained there too.
 	QueueBounds struct {
 		MaxHold   tw.Duration `toml:"max_hold"`
 		StopTime  tw.Duration `toml:"stop_time"`
 		KeepEnded tw.Duration `toml:"keep_ended"`
-		// HolderTime must pass between the orders of two holders for one
+		// HolderTime is the least time between the orders of two holders for one
 		// machine.
 		HolderTime tw.Duration `toml:"holder_time"`
-		// StopGrace is the time from SIGTERM to SIGKILL, in which a planned
-		// stop must end.
+		// StopGrace is the time from SIGTERM to SIGKILL, in which a graceful
+		// shutdown must end.
 		StopGrace tw.Duration `toml:"stop_grace"`
 	}
 )
 
-// LoadQueueSettings reads a settings file. Faults are of type tw.Faults; a
-// file that can't be read is another error.
+// LoadQueueSettings reads a settings file. Errors in its content are of type
+// tw.ValidationErrors; a file that can't be read is another error.
 func LoadQueueSettings(path string) (QueueSettings, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return s, err
 }
 
-// SetDefaults fills what was left out. The bounds are those of the platform's
-// present deployments.
+// SetDefaults sets the defaults of missing values. The bounds are those of the
+// platform's present deployments.
 func (s *QueueSettings) SetDefaults() {
 	setDefault(&s.Platform.MinLease, tw.Duration(time.Second))
 	setDefault(&s.Limits.MemoryMB, 284)
@@ -112,14 +112,13 @@
 	setDefault(&s.Bounds.KeepEnded, tw.Duration(2*time.Minute))
 	setDefault(&s.Bounds.HolderTime, tw.Duration(3*time.Second))
 	setDefault(&s.Bounds.StopGrace, tw.Duration(6*time.Second))
-	// Bringing a machine back takes 1.5 s, in which its pool is short of it,
-	// and each move is paid for like two seconds of the machine. Measured on
-	// the bench against 3 s: see docs/DESIGN.md.
+	// Switching a machine on again takes 1.5 s, in which its pool lacks it, and
+	// each move costs as much as two seconds of the machine.
 	setDefault(&s.Machines.ParkAfter, tw.Duration(time.Minute))
 	setDefault(&s.Log.Level, "info")
 }
 
-// Validate gathers all faults; the error is of type tw.Faults.
+// Validate reports all faults; the error is of type tw.ValidationErrors.
 func (s *QueueSettings) Validate() error {
 	var faults tw.ValidationErrors
 	checkRequired(&faults, "id", string(s.ID))
@@ -163,13 +162,12 @@
 }
 
 const (
-	// bytesPerMegabit is a megabit in bytes.
 	bytesPerMegabit = 1e6 / 8
-	// slowLink is full before the processor of a small daemon is.
+	// slowLink is a bandwidth that a small daemon uses up before its processor time.
 	slowLink tw.BytesPerSecond = 4 * bytesPerMegabit
 )
 
-// link is what the daemon's link carries; zero if that is not known.
+// link returns the bandwidth of the daemon's link, or zero if unknown.
 func (s *QueueSettings) link() tw.BytesPerSecond {
 	return tw.BytesPerSecond(s.Limits.LinkMbps * bytesPerMegabit)
 }
--- a/daemon/queue_settings_test.go
+++ b/daemon/queue_settings_test.go
@@ -13,7 +13,7 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// fields are the platform's fields of an entry machine.
+// fields are the values that the platform fills into the template.
 var fields = map[string]string{
 	"nodeName": "edge-a-1", "zone": "a", "ip": "10.1.0.9", "bindAddrs.front": "10.1.0.9:1", "bindAddrs.readiness": "10.1.0.9:2",
 	"bindAddrs.control": "10.1.0.9:3", "platform.address": "10.2.0.1:4", "platform.ttl_min_ms": "1000", "cloudApi.address": "10.2.0.1:5",
@@ -23,13 +23,12 @@
 }
 
 var (
-	sections = regexp.MustCompile(`(?s)\{\{#([^}]+)\}\}(.*?)\{\{/[^}]+\}\}`)
-	gaps     = regexp.MustCompile(`\{\{([^#/}]+)\}\}`)
+	sections     = regexp.MustCompile(`(?s)\{\{#([^}]+)\}\}(.*?)\{\{/[^}]+\}\}`)
+	placeholders = regexp.MustCompile(`\{\{([^#/}]+)\}\}`)
 )
 
-// fill fills the template as the platform's page describes, as far as the
-// template makes use of it.
-func fill(t *testing.T, fields map[string]string) string {
+// fillTemplate fills the template like the platform, as far as the template needs it.
+func fillTemplate(t *testing.T, fields map[string]string) string {
 	text, err := os.ReadFile("../deploy/settings.toml.tmpl")
 	if err != nil {
 		t.Fatal(err)
@@ -41,10 +40,10 @@
 		}
 		return parts[2]
 	})
-	return gaps.ReplaceAllStringFunc(out, func(gap string) string { return fields[strings.Trim(gap, "{}")] })
+	return placeholders.ReplaceAllStringFunc(out, func(gap string) string { return fields[strings.Trim(gap, "{}")] })
 }
 
-func load(t *testing.T, text string) (QueueSettings, error) {
+func loadQueueSettings(t *testing.T, text string) (QueueSettings, error) {
 	path := t.TempDir() + "/settings.toml"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -54,7 +53,7 @@
 
 func TestSettingsTemplate(t *testing.T) {
 	g := NewWithT(t)
-	s, err := load(t, fill(t, fields))
+	s, err := loadQueueSettings(t, fillTemplate(t, fields))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.ID).To(Equal(tw.DaemonID("edge-a-1")))
 	g.Expect(s.Listen.Metrics).To(Equal("10.1.0.9:9464"))
@@ -64,7 +63,7 @@
 	g.Expect(s.Limits.LinkMbps).To(Equal(200.0))
 }
 
-// Fields that a deployment does not have leave the defaults.
+// Values that a deployment does not have must leave the defaults.
 func TestSettingsTemplateWithFewFields(t *testing.T) {
 	g := NewWithT(t)
 	few := map[string]string{}
@@ -73,36 +72,36 @@
 			few[name] = value
 		}
 	}
-	s, err := load(t, fill(t, few))
+	s, err := loadQueueSettings(t, fillTemplate(t, few))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Bounds.MaxHold.Std()).To(Equal(6 * time.Second))
 	g.Expect(s.Platform.Advice).To(BeEmpty())
 }
 
-// badQueueSettings are files with all that is wrong with them.
+// badQueueSettings are invalid files with the fields that the error must name.
 var badQueueSettings = map[string]struct {
-	text string
-	says []string
+	text       string
+	wantFields []string
 }{
-	"empty": {says: []string{"id", "hall", "listen.callers", "listen.readiness", "listen.peers", "platform.store", "platform.machines"}},
+	"empty": {wantFields: []string{"id", "hall", "listen.callers", "listen.readiness", "listen.peers", "platform.store", "platform.machines"}},
 	"unknown key": {
-		text: "id = \"a\"\nhal = \"h\"\n", says: []string{"hal"},
+		text: "id = \"a\"\nhal = \"h\"\n", wantFields: []string{"hal"},
 	},
 	"bad values": {
 		text: "id=\"a\"\nhall=\"h\"\n[listen]\ncallers=\"x\"\nreadiness=\"1.1.1.1:1\"\npeers=\"1.1.1.1:2\"\n" +
 			"[platform]\nstore=\"1.1.1.1:3\"\nmachines=\"1.1.1.1:4\"\n[bounds]\nmax_hold=\"-1s\"\nstop_grace=\"0s\"\n[limits]\nlink_mbps=-1\n[log]\nlevel=\"loud\"\n",
-		says: []string{"listen.callers", "bounds.max_hold", "limits.link_mbps", "log.level"},
+		wantFields: []string{"listen.callers", "bounds.max_hold", "limits.link_mbps", "log.level"},
 	},
 }
 
-func TestQueueSettingsTellAllFaults(t *testing.T) {
+func TestQueueSettingsReportAllFaults(t *testing.T) {
 	for name, c := range badQueueSettings {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			_, err := load(t, c.text)
+			_, err := loadQueueSettings(t, c.text)
 			var faults tw.ValidationErrors
 			g.Expect(errors.As(err, &faults)).To(BeTrue())
-			for _, field := range c.says {
+			for _, field := range c.wantFields {
 				g.Expect(err.Error()).To(ContainSubstring(field))
 			}
 		})
--- a/daemon/ready_test.go
+++ b/daemon/ready_test.go
@@ -15,17 +15,17 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// readyCases are how a daemon is, and what it tells the balancer.
+// readyCases are states of a daemon with the result of its readiness check.
 var readyCases = map[string]struct {
-	configured, stopping, storeDown, cut bool
-	want                                 int
+	configured, stopping, storeDown, partitioned bool
+	want                                         int
 }{
-	"not configured yet":           {want: http.StatusServiceUnavailable},
-	"serving":                      {configured: true, want: http.StatusOK},
-	"stopping":                     {configured: true, stopping: true, want: http.StatusServiceUnavailable},
-	"without the store":            {configured: true, storeDown: true, want: http.StatusOK},
-	"without the store and a hall": {configured: true, storeDown: true, cut: true, want: http.StatusServiceUnavailable},
-	"without the other hall":       {configured: true, cut: true, want: http.StatusOK},
+	"not configured yet":                   {want: http.StatusServiceUnavailable},
+	"serving":                              {configured: true, want: http.StatusOK},
+	"stopping":                             {configured: true, stopping: true, want: http.StatusServiceUnavailable},
+	"without the store":                    {configured: true, storeDown: true, want: http.StatusOK},
+	"without the store and the other hall": {configured: true, storeDown: true, partitioned: true, want: http.StatusServiceUnavailable},
+	"without the other hall":               {configured: true, partitioned: true, want: http.StatusOK},
 }
 
 func TestReady(t *testing.T) {
@@ -34,8 +34,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				kv := standin.KVConfig{Latency: time.Millisecond}.New()
 				membertest.Announce(kv, member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"})
-				others := &membertest.Peers{}
-				members, end := membertest.StartWithPeers(kv, member.DaemonRecord{Daemon: "a", Address: "a:1", Hall: "near"}, others)
+				peers := &membertest.Peers{}
+				members, end := membertest.StartWithPeers(kv, member.DaemonRecord{Daemon: "a", Address: "a:1", Hall: "near"}, peers)
 				defer end()
 				d := &QueueDaemon{directory: &directory{}, members: members}
 				if c.configured {
@@ -44,7 +44,7 @@
 				d.stopping.Store(c.stopping)
 				time.Sleep(2 * time.Second)
 				kv.SetFaults(standin.KVFaults{Down: c.storeDown})
-				others.Unresponsive.Store(c.cut)
+				peers.Unresponsive.Store(c.partitioned)
 				time.Sleep(time.Second)
 				answer := httptest.NewRecorder()
 				d.ready(answer, nil)
--- a/daemon/report_test.go
+++ b/daemon/report_test.go
@@ -15,12 +15,11 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// The manager moves a machine away when the owner of its pool reports that it is
-// empty. A daemon that has lost a pool finds that out with its next write, up to 1.5 s
-// later. Until then it answered for the pool, also when this daemon knew of the newer
-// owner from a peer: with fence 1 here, where the owner has fence 5. That owner may
-// have started work on the machines that the former one reports as empty.
-func TestReportOfAFormerOwner(t *testing.T) {
+// ReportOf must reject the report of a former owner. A daemon that has lost a pool learns
+// of it only with its next write, up to 1.5 s later, and reports for the pool until then:
+// here with fence 1, while a peer has announced an owner with fence 5. The manager moves
+// machines that are reported as empty, although the new owner may have started work there.
+func TestReportOfFormerOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		newer := ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Fence: 5}
@@ -31,10 +30,10 @@
 		book, err := ledger.Config{KV: kv, Clock: d.clock, Log: d.log, Owner: self}.Open(t.Context())
 		g.Expect(err).NotTo(HaveOccurred())
 		self.Fence = book.Fence()
-		census := run.MachineCacheConfig{Machines: standin.CloudConfig{}.New(), Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
-		defer census.Close()
+		machineCache := run.MachineCacheConfig{Machines: standin.CloudConfig{}.New(), Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
+		defer machineCache.Close()
 		former := run.Config{
-			Book: book, Self: self, KV: kv, MachineCache: census, Clock: d.clock, Log: d.log, Metrics: metrics.NewSet(),
+			Book: book, Self: self, KV: kv, MachineCache: machineCache, Clock: d.clock, Log: d.log, Metrics: metrics.NewSet(),
 		}.New()
 		defer former.Close()
 		d.owners.owned["p"] = &ownedPool{owner: former}
--- a/daemon/rescue.go
+++ b/daemon/rescue.go
@@ -12,41 +12,40 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// ownership is what watchStore needs of one that this daemon has, of a pool or
-// of the machines.
+// ownership is this daemon's ownership of a pool or of the machine manager, as used by
+// monitorOwners.
 type ownership struct {
 	record ledger.Owner
-	// storeStalledFor is how long the store has taken no write of it, overloadedFor how long this
-	// daemon has been too slow for it; nil where that is not known.
-	storeStalledFor, overloadedFor func(ctx context.Context) (time.Duration, error)
-	// close ends it and asks nobody to take over, as somebody has already.
+	// storeOutage returns how long the store has accepted no write of the owner, and
+	// overload how long this daemon has been too slow for it. Either may be nil.
+	storeOutage, overload func(ctx context.Context) (time.Duration, error)
+	// close ends the ownership without a handover, as another daemon has taken over.
 	close func()
 }
 
 const (
-	// storeCheckInterval is the pace at which owners are asked whether the store takes
-	// their writes, storePatience how long it may not before others are asked
-	// to take over. A write of the slow store takes 240 ms: the patience is
-	// longer than three of them.
+	// storeCheckInterval is the interval of checks whether the store accepts the
+	// owners' writes, storeOutageTimeout how long it may not do so before another
+	// daemon is asked to take over. A slow store takes 240 ms for a write: the
+	// timeout is longer than three of them.
 	storeCheckInterval = 300 * time.Millisecond
-	storeStallTimeout  = 900 * time.Millisecond
-	// overloadTimeout is how long an owner may be short of processor time or link before a
-	// faster daemon takes its pool, reliefGap the least time between two such changes of
-	// a pool.
+	storeOutageTimeout = 900 * time.Millisecond
+	// overloadTimeout is how long an owner may lack processor time or link capacity before
+	// a faster daemon is asked to take its pool, offloadCooldown the least time between two
+	// such requests for a pool.
 	overloadTimeout = time.Second
 	offloadCooldown = 5 * time.Second
 )
 
-// monitorOwners has other daemons take the pools of this one while it does not
-// reach the metadata store but they do. At the same pace it stops following the
-// list of workers once no pool is left that needs it. It runs until the
-// daemon's owners end.
+// monitorOwners asks other daemons to take over pools for which this daemon is too slow,
+// and all of them while it can't reach the metadata store but others can. It also stops
+// the watch of the list of workers once no pool needs it. It runs until o.ctx ends.
 func (o *owners) monitorOwners() {
-	// asked counts how often others were asked to take each pool since the store
-	// last took a write of it, so that each time another one is asked.
-	asked := map[tw.PoolID]int{}
-	relieved := map[tw.PoolID]time.Time{}
-	var load trafficLog
+	// requests counts the takeover requests for each pool since the store last accepted
+	// its writes, so that each request goes to another daemon.
+	requests := map[tw.PoolID]int{}
+	offloaded := map[tw.PoolID]time.Time{}
+	var linkLog trafficLog
 	for {
 		select {
 		case <-o.ctx.Done():
@@ -56,30 +55,30 @@
 		o.unwatchWorkers()
 		for _, own := range o.ownerships() {
 			pool := own.record.Pool
-			trouble, err := own.storeStalledFor(o.ctx)
+			outage, err := own.storeOutage(o.ctx)
 			switch {
-			case err != nil || trouble <= storeStallTimeout:
-				delete(asked, pool)
+			case err != nil || outage <= storeOutageTimeout:
+				delete(requests, pool)
 				now := o.d.clock.Now()
-				short := o.overloadedFor(own)
-				if short > 0 {
-					load.write(now, o.d.meter, o.d.log)
+				overload := o.overload(own)
+				if overload > 0 {
+					linkLog.write(now, o.d.meter, o.d.log)
 				}
-				if short >= overloadTimeout && now.Sub(relieved[pool]) > offloadCooldown && o.offload(own, short) {
-					relieved[pool] = now
+				if overload >= overloadTimeout && now.Sub(offloaded[pool]) > offloadCooldown && o.offload(own, overload) {
+					offloaded[pool] = now
 				}
 			case o.superseded(own.record):
 				own.close()
 			default:
-				o.requestTakeover(own.record, trouble, asked[pool])
-				asked[pool]++
+				o.requestTakeover(own.record, outage, requests[pool])
+				requests[pool]++
 			}
 		}
 	}
 }
 
-// unwatchWorkers stops following the list of workers if this daemon owns no
-// pool and takes none: every read of the list is paid for.
+// unwatchWorkers stops the watch of the list of workers if this daemon neither owns
+// nor takes over a pool, as every read of the list has a cost.
 func (o *owners) unwatchWorkers() {
 	o.mu.Lock()
 	var watcher *member.Watcher
@@ -92,25 +91,25 @@
 	}
 }
 
-// ownerships are those that this daemon has now.
+// ownerships returns the current ownerships of this daemon.
 func (o *owners) ownerships() []ownership {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []ownership
 	for pool, p := range o.owned {
 		out = append(out, ownership{
-			record: p.owner.Record(), storeStalledFor: p.owner.StoreOutage, overloadedFor: p.owner.Shortage,
+			record: p.owner.Record(), storeOutage: p.owner.StoreOutage, overload: p.owner.Shortage,
 			close: func() { o.closeOwner(pool, p) },
 		})
 	}
 	if o.manager != nil {
-		out = append(out, ownership{record: o.managerRecord, storeStalledFor: o.manager.StoreOutage, close: o.closeManager})
+		out = append(out, ownership{record: o.managerRecord, storeOutage: o.manager.StoreOutage, close: o.closeManager})
 	}
 	return out
 }
 
-// superseded tells whether a peer has told of an owner newer than record. The
-// store knows of that one too, but can't be asked.
+// superseded reports whether a peer has announced an owner newer than record. The
+// store has that one too, but can't be reached.
 func (o *owners) superseded(record ledger.Owner) bool {
 	newest, found := o.d.members.Owner(record.Pool)
 	if !found || newest.Fence <= record.Fence {
@@ -121,21 +120,21 @@
 	return true
 }
 
-// overloadedFor is how long this daemon has been too slow for an ownership.
-func (o *owners) overloadedFor(own ownership) time.Duration {
-	if own.overloadedFor == nil {
+// overload returns how long this daemon has been too slow for an ownership.
+func (o *owners) overload(own ownership) time.Duration {
+	if own.overload == nil {
 		return 0
 	}
-	short, err := own.overloadedFor(o.ctx)
+	overload, err := own.overload(o.ctx)
 	if err != nil {
 		return 0 // the owner has ended
 	}
-	return short
+	return overload
 }
 
-// offload has a faster daemon take a pool for which this one is too slow. It goes on with the
-// pool until that one has it.
-func (o *owners) offload(own ownership, short time.Duration) bool {
+// offload asks a faster daemon to take a pool for which this one is too slow. This daemon
+// continues to run the pool until the other one owns it.
+func (o *owners) offload(own ownership, overload time.Duration) bool {
 	peer, found := o.d.members.FasterSuccessor(own.record.Pool)
 	if !found {
 		return false
@@ -144,23 +143,23 @@
 	defer cancel()
 	err := o.d.peers.Take(ctx, peer.Address, own.record.Pool, own.record.Fence)
 	o.d.log.Info("owner: too slow for the pool, a faster daemon is asked to take it",
-		zap.String("pool", string(own.record.Pool)), zap.Duration("short_for", short),
+		zap.String("pool", string(own.record.Pool)), zap.Duration("short_for", overload),
 		zap.String("daemon", string(peer.Daemon)), logsink.Err(err))
 	return true
 }
 
-// requestTakeover asks one daemon that reaches the store to take a pool; asked is
-// how often others were asked before. If that daemon does not take it, the next
-// round of watchStore asks another one.
-func (o *owners) requestTakeover(record ledger.Owner, trouble time.Duration, asked int) {
-	peer, found := o.d.members.TakeoverTarget(record.Pool, asked)
+// requestTakeover asks one daemon that reaches the store to take a pool; requests is the
+// number of earlier requests. If that daemon does not take it, the next iteration of
+// monitorOwners asks another one.
+func (o *owners) requestTakeover(record ledger.Owner, outage time.Duration, requests int) {
+	peer, found := o.d.members.TakeoverTarget(record.Pool, requests)
 	if !found {
 		return
 	}
 	ctx, cancel := context.WithTimeout(o.ctx, peerCallTimeout)
 	defer cancel()
 	err := o.d.peers.Take(ctx, peer.Address, record.Pool, record.Fence)
-	o.d.log.Warn("owner: store takes no writes of this daemon, another is asked to take the pool",
-		zap.String("pool", string(record.Pool)), zap.Duration("trouble", trouble),
+	o.d.log.Warn("owner: store accepts no writes of this daemon, another daemon is asked to take the pool",
+		zap.String("pool", string(record.Pool)), zap.Duration("trouble", outage),
 		zap.String("daemon", string(peer.Daemon)), logsink.Err(err))
 }
--- a/daemon/rescue_test.go
+++ b/daemon/rescue_test.go
@@ -16,37 +16,37 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// stuckKV answers no call, so that a takeover never gets anywhere.
-type stuckKV struct{ tw.KV }
+// blockingKV answers no call, so that a takeover never completes.
+type blockingKV struct{ tw.KV }
 
-func (stuckKV) Get(ctx context.Context, _ tw.Key) (tw.KVItem, error) {
+func (blockingKV) Get(ctx context.Context, _ tw.Key) (tw.KVItem, error) {
 	<-ctx.Done()
 	return tw.KVItem{}, tw.ErrAmbiguous
 }
 
-func (stuckKV) Range(ctx context.Context, _ tw.Key) ([]tw.KVItem, tw.KVRevision, error) {
+func (blockingKV) Range(ctx context.Context, _ tw.Key) ([]tw.KVItem, tw.KVRevision, error) {
 	<-ctx.Done()
 	return nil, 0, tw.ErrAmbiguous
 }
 
-func (stuckKV) Commit(ctx context.Context, _ tw.KVTxn) (tw.KVRevision, error) {
+func (blockingKV) Commit(ctx context.Context, _ tw.KVTxn) (tw.KVRevision, error) {
 	<-ctx.Done()
 	return 0, tw.ErrAmbiguous
 }
 
-// bareDaemon is a daemon without listeners that knows the owner of the pool "p"
-// by the word of a peer.
+// bareDaemon returns a daemon without listeners that has learnt the owner of the pool "p"
+// from a peer.
 func bareDaemon(known ledger.Owner) (d *QueueDaemon, end func()) {
 	kv := standin.KVConfig{Latency: time.Millisecond}.New()
 	self := member.DaemonRecord{Daemon: "a", Incarnation: 1, Address: "a:1"}
-	d = &QueueDaemon{kv: stuckKV{}, clock: tw.SystemClock{}, log: zap.NewNop(), self: self}
+	d = &QueueDaemon{kv: blockingKV{}, clock: tw.SystemClock{}, log: zap.NewNop(), self: self}
 	d.directory = &directory{kv: d.kv, clock: d.clock, log: d.log}
 	members, endMembers := membertest.Start(kv, self)
 	d.members = members
 	d.members.RecordOwner(known)
 	d.owners = newOwners(d)
 	return d, func() {
-		synctest.Wait() // a takeover has begun, and is stuck
+		synctest.Wait() // until a takeover has started and is blocked
 		d.owners.cancel()
 		<-d.owners.done
 		if watcher := d.directory.detachWorkerWatch(); watcher != nil {
@@ -56,19 +56,19 @@
 	}
 }
 
-// fenceCases are the fences of the owner that this daemon knows and of the one
-// who asks it to take the pool, and what follows.
+// fenceCases are the fences of the known owner and of the daemon that requests a
+// takeover, with the expected results.
 var fenceCases = map[string]struct {
-	known, asking     tw.FencingToken
+	known, requesting tw.FencingToken
 	taken, superseded bool
 }{
-	"the owner asks":               {known: 4, asking: 4, taken: true},
-	"a former owner asks":          {known: 9, asking: 4, superseded: true},
-	"a newer one than known asks":  {known: 4, asking: 9, taken: true},
-	"an asker that names no fence": {known: 4, taken: true, superseded: true},
+	"the owner":                    {known: 4, requesting: 4, taken: true},
+	"a former owner":               {known: 9, requesting: 4, superseded: true},
+	"an owner newer than known":    {known: 4, requesting: 9, taken: true},
+	"a daemon that names no fence": {known: 4, taken: true, superseded: true},
 }
 
-func TestTakeOnlyFromTheOwner(t *testing.T) {
+func TestTakeOnlyFromOwner(t *testing.T) {
 	for name, c := range fenceCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -76,10 +76,10 @@
 				known := ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Incarnation: 1, Fence: c.known}
 				d, end := bareDaemon(known)
 				defer end()
-				_, err := d.Take(t.Context(), &member.TakeRequest{Pool: "p", Fence: c.asking})
+				_, err := d.Take(t.Context(), &member.TakeRequest{Pool: "p", Fence: c.requesting})
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(len(d.owners.pools()) > 0).To(Equal(c.taken))
-				g.Expect(d.owners.superseded(ledger.Owner{Pool: "p", Daemon: "a", Fence: c.asking})).To(Equal(c.superseded))
+				g.Expect(d.owners.superseded(ledger.Owner{Pool: "p", Daemon: "a", Fence: c.requesting})).To(Equal(c.superseded))
 			})
 		})
 	}
--- a/daemon/servers.go
+++ b/daemon/servers.go
@@ -13,14 +13,14 @@
 	"github.com/tamarindworks/tamarindworks/internal/logsink"
 )
 
-// listenAll opens listeners for all addresses, or none.
+// listenAll opens listeners on all addresses; if one fails, it closes the others.
 func listenAll(addresses ...string) ([]*net.TCPListener, error) {
 	var out []*net.TCPListener
 	for _, at := range addresses {
 		l, err := drain.Listen(at)
 		if err != nil {
 			for _, open := range out {
-				_ = open.Close() // the first error is what counts
+				_ = open.Close() // only the first error is returned
 			}
 			return nil, errors.Wrap(err, "daemon.listenAll")
 		}
@@ -29,7 +29,7 @@
 	return out, nil
 }
 
-// serve starts a server that shutdown stops.
+// serve runs a server in the background; shutdown stops it.
 func serve(at *net.TCPListener, s *http.Server, log *zap.Logger) *drain.Server {
 	s.ErrorLog = zap.NewStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))
 	server := drain.Config{HTTP: s}.New()
@@ -41,7 +41,7 @@
 	return server
 }
 
-// shutdown stops servers side by side, without cutting requests unless ctx ends.
+// shutdown stops servers in parallel. It cuts requests off only when ctx ends.
 func shutdown(ctx context.Context, servers []*drain.Server) error {
 	failed := make([]error, len(servers))
 	var wg sync.WaitGroup
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// Settings is a daemon's TOML file.
+	// Settings is the TOML settings file of an entry daemon.
 	Settings struct {
 		ID       tw.DaemonID      `toml:"id"`
 		Hall     tw.HallID        `toml:"hall"`
@@ -27,22 +27,22 @@
 		Log      LogSettings      `toml:"log"`
 	}
 
-	// ListenSettings says where the daemon listens, as IP:port. Port 0 lets
-	// the kernel choose.
+	// ListenSettings holds the listen addresses, as IP:port. Port 0 lets the
+	// kernel choose.
 	ListenSettings struct {
 		Gateway string `toml:"gateway"`
 		Peer    string `toml:"peer"`
 		Admin   string `toml:"admin"`
 	}
 
-	// PlatformSettings says how to reach the platform.
+	// PlatformSettings configures access to the platform.
 	PlatformSettings struct {
 		URL            string      `toml:"url"`
 		Timeout        tw.Duration `toml:"timeout"`
 		CallsPerSecond float64     `toml:"calls_per_second"`
 	}
 
-	// LimitSettings bounds what the daemon takes.
+	// LimitSettings limits what the daemon accepts.
 	LimitSettings struct {
 		Body        tw.Bytes    `toml:"body"`
 		HeldBody    tw.Bytes    `toml:"held_body"`
@@ -53,7 +53,7 @@
 		KeyLifetime tw.Duration `toml:"key_lifetime"`
 	}
 
-	// LogSettings says what is logged.
+	// LogSettings configures logging.
 	LogSettings struct {
 		Level string `toml:"level"`
 	}
@@ -61,7 +61,7 @@
 
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// LoadSettings reads a settings file. Faults are of type tw.Faults.
+// LoadSettings reads a settings file. Errors in its content are of type tw.ValidationErrors.
 func LoadSettings(path string) (Settings, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return s, nil
 }
 
-// SetDefaults fills what was left out.
+// SetDefaults sets the defaults of missing values.
 func (s *Settings) SetDefaults() {
 	setDefault(&s.Platform.Timeout, tw.Duration(2*time.Second))
 	setDefault(&s.Platform.CallsPerSecond, 10)
@@ -88,7 +88,7 @@
 	setDefault(&s.Log.Level, "info")
 }
 
-// Validate gathers all faults; the error is of type tw.Faults.
+// Validate reports all faults; the error is of type tw.ValidationErrors.
 func (s *Settings) Validate() error {
 	var faults tw.ValidationErrors
 	checkRequired(&faults, "id", string(s.ID))
@@ -126,14 +126,14 @@
 	checkPositive(faults, "limits.stop_timeout", int64(s.Limits.StopTimeout))
 	checkPositive(faults, "limits.key_lifetime", int64(s.Limits.KeyLifetime))
 	if s.Limits.Body > 0 && s.Limits.HeldBody > s.Limits.Body {
-		faults.Add("limits.held_body", "is over limits.body")
+		faults.Add("limits.held_body", "exceeds limits.body")
 	}
 }
 
-func setDefault[T comparable](at *T, rest T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *at == zero {
-		*at = rest
+	if *field == zero {
+		*field = value
 	}
 }
 
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -24,7 +24,7 @@
 	RunSpecs(t, "daemon", suite, reporter)
 }
 
-const good = `id = "d"
+const validSettings = `id = "d"
 hall = "h"
 instance = "i"
 [listen]
@@ -35,28 +35,28 @@
 url = "http://127.0.0.1:7000"
 `
 
-// row is a file and the faults that it has, each as "line field".
-type row struct {
+// settingsCase is a file and its faults, each as "line field".
+type settingsCase struct {
 	source string
 	faults []string
 }
 
-var settingsRows = map[string]row{
-	"good":                      {source: good},
-	"nothing at all":            {source: "", faults: []string{"0 id", "0 hall", "0 instance", "0 listen.gateway", "0 listen.peer", "0 listen.admin", "0 platform.url"}},
-	"an unknown key":            {source: good + "[log]\nlevle = \"info\"\n", faults: []string{"11 log.levle"}},
-	"several faults at once":    {source: strings.Replace(good, `"127.0.0.1:0"`, `"localhost"`, 1) + "timeout = \"soon\"\ncolour = 1\n[limits]\nbody = -1\n", faults: []string{"10 platform.timeout", "11 platform.colour", "13 limits.body", "5 listen.gateway"}},
-	"a held body over the body": {source: good + "[limits]\nbody = 10\nheld_body = 20\n", faults: []string{"12 limits.held_body"}},
-	"no TOML":                   {source: "id = \n", faults: []string{"1 file", "0 hall", "0 id", "0 instance", "0 listen.admin", "0 listen.gateway", "0 listen.peer", "0 platform.url"}},
+var settingsCases = map[string]settingsCase{
+	"good":                   {source: validSettings},
+	"no content":             {source: "", faults: []string{"0 id", "0 hall", "0 instance", "0 listen.gateway", "0 listen.peer", "0 listen.admin", "0 platform.url"}},
+	"an unknown key":         {source: validSettings + "[log]\nlevle = \"info\"\n", faults: []string{"11 log.levle"}},
+	"several faults at once": {source: strings.Replace(validSettings, `"127.0.0.1:0"`, `"localhost"`, 1) + "timeout = \"soon\"\ncolour = 1\n[limits]\nbody = -1\n", faults: []string{"10 platform.timeout", "11 platform.colour", "13 limits.body", "5 listen.gateway"}},
+	"held_body above body":   {source: validSettings + "[limits]\nbody = 10\nheld_body = 20\n", faults: []string{"12 limits.held_body"}},
+	"no TOML":                {source: "id = \n", faults: []string{"1 file", "0 hall", "0 id", "0 instance", "0 listen.admin", "0 listen.gateway", "0 listen.peer", "0 platform.url"}},
 }
 
-var fleetRows = map[string]row{
+var fleetCases = map[string]settingsCase{
 	"an empty configuration": {source: "", faults: []string{"0 halls"}},
-	"references and selectors": {
+	"bad references and selectors": {
 		source: "halls = [\"h\"]\n[[pools]]\nid = \"p\"\ninstances = \"a==\"\njobs = \"x in (\"\n[[jobs]]\nid = \"j\"\nservice = \"none\"\n[[services]]\nid = \"s\"\n[[services.routes]]\npath = \"x\"\njob = \"k\"\n",
 		faults: []string{"5 pools.jobs", "12 services[0].routes[0].path", "13 services[0].routes[0].job", "8 jobs[0].service"},
 	},
-	"a name twice": {
+	"a duplicate name": {
 		source: "halls = [\"h\"]\n[[teams]]\nid = \"a\"\n[[teams]]\nid = \"a\"\n",
 		faults: []string{"5 teams[1].id"},
 	},
@@ -67,17 +67,17 @@
 }
 
 var _ = Describe("a settings file", func() {
-	for _, name := range slices.Sorted(maps.Keys(settingsRows)) {
+	for _, name := range slices.Sorted(maps.Keys(settingsCases)) {
 		It("with "+name, func() {
-			Expect(faultsOf(settingsRows[name].source, &Settings{})).To(ConsistOf(settingsRows[name].faults))
+			Expect(faultsOf(settingsCases[name].source, &Settings{})).To(ConsistOf(settingsCases[name].faults))
 		})
 	}
 })
 
 var _ = Describe("a fleet configuration", func() {
-	for _, name := range slices.Sorted(maps.Keys(fleetRows)) {
+	for _, name := range slices.Sorted(maps.Keys(fleetCases)) {
 		It("with "+name, func() {
-			Expect(faultsOf(fleetRows[name].source, &tw.FleetConfig{})).To(ContainElements(fleetRows[name].faults))
+			Expect(faultsOf(fleetCases[name].source, &tw.FleetConfig{})).To(ContainElements(fleetCases[name].faults))
 		})
 	}
 })
--- a/internal/delays/delays.go
+++ b/internal/delays/delays.go
@@ -1,5 +1,5 @@
-// Package delays tells from the daemons' logs where the time of submissions went:
-// it follows each one back from its last end to its acceptance.
+// Package delays breaks down the time of submissions by cause. It reads the daemons' logs
+// and traces each submission back from its last end to its acceptance.
 package delays
 
 import (
@@ -20,19 +20,19 @@
 )
 
 type (
-	// Cause is what a part of a submission's time was spent on.
+	// Cause is what a segment of a submission's time was spent on.
 	Cause string
 
-	// Segment is a stretch of a submission's time.
+	// Segment is a part of a submission's time with one cause.
 	Segment struct {
 		Cause    Cause
 		Duration time.Duration
-		// Subtask is the one that everything waited for.
+		// Subtask is the one on the critical path.
 		Subtask string
 		Worker  tw.WorkerID
 	}
 
-	// Breakdown is where the time of one submission went, the last part first.
+	// Breakdown divides the time of one submission into segments, the last one first.
 	Breakdown struct {
 		ID       tw.SubmissionID
 		Pool     tw.PoolID
@@ -42,7 +42,7 @@
 		Segments []Segment
 	}
 
-	// logLine is what is read of a log logLine.
+	// logLine holds the fields of a log line that are used.
 	logLine struct {
 		Time       float64         `json:"ts"` // seconds since 1970
 		Message    string          `json:"msg"`
@@ -64,7 +64,7 @@
 		kind    tw.EndKind
 	}
 
-	// history is all that the logs tell of a submission.
+	// history collects what the logs contain about a submission.
 	history struct {
 		Breakdown
 		recorded time.Time
@@ -74,30 +74,30 @@
 
 // Causes, in the order in which a submission goes through them.
 const (
-	// Waiting: a subtask could start and waited for a worker or for an owner.
+	// Waiting means that a subtask was ready and waited for a worker or for an owner.
 	Waiting Cause = "waits"
-	// Running: a subtask ran.
+	// Running means that a subtask ran.
 	Running Cause = "runs"
-	// Slow: it ran for longer than slowFactor times its siblings' median.
+	// Slow is the part of a run above slowFactor times the median of its siblings.
 	Slow Cause = "slow"
-	// Lost: a run of it did not end as done, and it had to start again.
+	// Lost means that a run did not end as done, and its subtask had to start again.
 	Lost Cause = "lost"
-	// Recording: everything had ended, and the end was not recorded yet.
+	// Recording means that all runs had ended, and the end was not recorded yet.
 	Recording Cause = "record"
 )
 
-// Causes lists them.
+// Causes lists all causes in that order.
 var Causes = []Cause{Waiting, Running, Slow, Lost, Recording}
 
 const (
 	slowFactor = 1.6
-	// maxLineSize bounds a log line.
+	// maxLineSize is the limit for a log line, in bytes.
 	maxLineSize = 1 << 20
 )
 
-// Read works out the accounts of all submissions that ended, by the time of
-// their acceptance. Lines may have something before their JSON. It fails only if
-// the logs can't be read.
+// Read returns the breakdowns of all submissions that ended, ordered by the time of
+// their acceptance. Lines may have a prefix before their JSON. It fails only if the
+// logs can't be read.
 func Read(logs io.Reader) ([]Breakdown, error) {
 	all := map[tw.SubmissionID]*history{}
 	scanner := bufio.NewScanner(logs)
@@ -109,7 +109,7 @@
 		}
 		var l logLine
 		if json.Unmarshal(scanner.Bytes()[start:], &l) != nil {
-			continue // not a line of a daemon
+			continue // not a daemon's log line
 		}
 		addLine(all, &l)
 	}
@@ -162,8 +162,8 @@
 	}
 }
 
-// computeSegments goes back from the end: what ended last held everything up, before it
-// what ended last in the step before it, and so on.
+// computeSegments traces the critical path back from the end: the run that ended last,
+// before it the run of an earlier step that ended last, and so on.
 func (h *history) computeSegments() {
 	h.Duration = h.recorded.Sub(h.Accepted)
 	at := h.recorded
@@ -194,14 +194,15 @@
 	if took <= 0 {
 		return
 	}
-	part := Segment{Cause: cause, Duration: took}
+	segment := Segment{Cause: cause, Duration: took}
 	if run != nil {
-		part.Subtask, part.Worker = run.subtask, run.worker
+		segment.Subtask, segment.Worker = run.subtask, run.worker
 	}
-	h.Segments = append(h.Segments, part)
+	h.Segments = append(h.Segments, segment)
 }
 
-// addRunTime adds a run's time, and apart what of it is more than its siblings took.
+// addRunTime adds a run's time. The part above slowFactor times the median of its
+// siblings counts as Slow.
 func (h *history) addRunTime(run *attempt) {
 	took := run.ended.Sub(run.ordered)
 	usual := time.Duration(slowFactor * float64(h.median(run.subtask)))
@@ -209,7 +210,7 @@
 	h.addSegment(Running, min(took, usual), run)
 }
 
-// median is the median run time of the done subtasks of a step.
+// median returns the median run time of the done subtasks in the step of a subtask.
 func (h *history) median(subtask string) time.Duration {
 	var times []time.Duration
 	for _, run := range h.runs {
@@ -221,8 +222,8 @@
 	return times[len(times)/2]
 }
 
-// lastDone is the run that ended as done last, but not after a time and in a step
-// before one; any step if that is negative.
+// lastDone returns the run that ended as done last, but not after the time by, in a step
+// below before, or in any step if before is negative.
 func (h *history) lastDone(by time.Time, before int) *attempt {
 	var out *attempt
 	for _, number := range slices.Sorted(maps.Keys(h.runs)) {
@@ -237,7 +238,7 @@
 	return out
 }
 
-// previousAttempt is the run of the same subtask that was ordered before one.
+// previousAttempt returns the last run of the same subtask that was ordered before run.
 func (h *history) previousAttempt(run *attempt) *attempt {
 	var out *attempt
 	for _, other := range h.runs {
@@ -251,7 +252,7 @@
 	return out
 }
 
-// stepOf is the step in a subtask's name, ID.REPETITION.STEP.INDEX.
+// stepOf returns the step in a subtask's name, ID.REPETITION.STEP.INDEX.
 func stepOf(subtask string) int {
 	parts := strings.Split(subtask, ".")
 	if len(parts) < 3 {
@@ -264,11 +265,11 @@
 	return n
 }
 
-// ByCause sums the parts of an account by cause.
+// ByCause sums the segments by cause.
 func (a *Breakdown) ByCause() map[Cause]time.Duration {
 	out := map[Cause]time.Duration{}
-	for _, part := range a.Segments {
-		out[part.Cause] += part.Duration
+	for _, segment := range a.Segments {
+		out[segment.Cause] += segment.Duration
 	}
 	return out
 }
--- a/internal/delays/delays_test.go
+++ b/internal/delays/delays_test.go
@@ -10,13 +10,13 @@
 	"github.com/tamarindworks/tamarindworks/internal/delays"
 )
 
-// cases are logs of one submission, accepted at 100 s, and what its time went
-// to, in tenths of a second.
+// cases are logs of one submission, accepted at 100 s, and its time by cause in
+// tenths of a second.
 var cases = map[string]struct {
 	logs []string
 	want map[delays.Cause]int
 }{
-	"one that goes well": {
+	"no problems": {
 		logs: []string{
 			`{"ts":100.1,"msg":"run: ordered","subtask":"s.0.0.0","run":1,"worker":"w"}`,
 			`{"ts":101.1,"msg":"run: ended","subtask":"s.0.0.0","run":1,"kind":"done"}`,
@@ -24,7 +24,7 @@
 		},
 		want: map[delays.Cause]int{delays.Waiting: 1, delays.Running: 10, delays.Recording: 1},
 	},
-	"a second step that waits for room": {
+	"a second step that waits for a worker": {
 		logs: []string{
 			`{"ts":100,"msg":"run: ordered","subtask":"s.0.0.0","run":1}`,
 			`{"ts":101,"msg":"run: ended","subtask":"s.0.0.0","run":1,"kind":"done"}`,
@@ -56,7 +56,7 @@
 		},
 		want: map[delays.Cause]int{delays.Running: 16, delays.Slow: 34},
 	},
-	"one that nothing is known of but its end": {
+	"only the end is logged": {
 		logs: []string{`{"ts":103,"msg":"submission: recorded as ended","submission":"s"}`},
 		want: map[delays.Cause]int{delays.Waiting: 30},
 	},
@@ -67,11 +67,11 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			logs := append([]string{`100.0 node {"ts":100,"msg":"submission: accepted","submission":"s","pool":"p"}`, "no log line"}, c.logs...)
-			accounts, err := delays.Read(strings.NewReader(strings.Join(logs, "\n")))
+			breakdowns, err := delays.Read(strings.NewReader(strings.Join(logs, "\n")))
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(accounts).To(HaveLen(1))
+			g.Expect(breakdowns).To(HaveLen(1))
 			got := map[delays.Cause]int{}
-			for cause, took := range accounts[0].ByCause() {
+			for cause, took := range breakdowns[0].ByCause() {
 				got[cause] = int(took.Round(time.Second/100) / (time.Second / 10))
 			}
 			g.Expect(got).To(Equal(c.want))
@@ -79,10 +79,10 @@
 	}
 }
 
-// What has not ended has no account.
-func TestReadLeavesOutWhatGoesOn(t *testing.T) {
+// A submission that has not ended has no breakdown.
+func TestReadSkipsUnfinished(t *testing.T) {
 	g := NewWithT(t)
-	accounts, err := delays.Read(strings.NewReader(`{"ts":100,"msg":"submission: accepted","submission":"s"}`))
+	breakdowns, err := delays.Read(strings.NewReader(`{"ts":100,"msg":"submission: accepted","submission":"s"}`))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(accounts).To(BeEmpty())
+	g.Expect(breakdowns).To(BeEmpty())
 }
--- a/internal/drain/conn.go
+++ b/internal/drain/conn.go
@@ -13,47 +13,47 @@
 )
 
 type (
-	// conn is a connection that ends by itself between two requests, in the goroutine that
-	// reads it, so that nothing that was read is dropped.
+	// conn is a connection that closes itself between two requests. It does so in the
+	// goroutine that reads it, so that no data is lost after it was read.
 	conn struct {
 		*net.TCPConn
 		server *Server
 
 		mu    sync.Mutex
 		phase phase
-		// idleSince is when it was opened or its last request was answered.
+		// idleSince is when the connection was opened or its last request was answered.
 		idleSince time.Time
-		// deadline is that for reads, as http.Server has set it.
+		// deadline is the read deadline set by http.Server.
 		deadline time.Time
 		stage    stopStage
 	}
 
-	// phase is what a connection is read for.
+	// phase is the state of a connection between, in or after its requests.
 	phase int
 
-	// stopStage is what a connection no longer waits for.
+	// stopStage is how far a shutdown is, which determines what a connection still waits for.
 	stopStage int
 )
 
 const (
 	idle      phase = iota
-	partial         // a part of a request was read
-	active          // a request is with the handler
-	lingering       // nothing is answered any more
+	partial         // part of a request was read
+	active          // the handler runs a request
+	lingering       // further requests get no response
 )
 
 const (
-	serving stopStage = iota
-	closingIdle
-	refusingPartial
+	serving         stopStage = iota // no shutdown
+	closingIdle                      // connections close once they are idle
+	refusingPartial                  // connections close unless the handler runs a request
 )
 
 const (
-	// idleTimeout is how long a connection is idle before it is closed by a stop: one that is
-	// used more often is closed after an answer that says so.
+	// idleTimeout is how long a connection must be idle before a shutdown closes it. One that
+	// is used more often is closed after a response with "Connection: close".
 	idleTimeout = 500 * time.Millisecond
-	// lingerTimeout bounds how long a connection is read after its last answer: closing it
-	// with something unread resets it, and the caller may lose that answer.
+	// lingerTimeout bounds how long a connection is read after its last response: closing
+	// it with unread data resets it, and the caller may lose that response.
 	lingerTimeout   = 500 * time.Millisecond
 	refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
@@ -105,7 +105,7 @@
 	return c.TCPConn.Close()
 }
 
-// linger reads until the caller closes the connection, too. Close tells of errors.
+// linger reads until the caller closes the connection too. Errors are left to Close.
 func (c *conn) linger() {
 	c.mu.Lock()
 	c.phase = lingering
@@ -116,7 +116,7 @@
 	_, _ = io.Copy(io.Discard, c.TCPConn)
 }
 
-// setStopStage has the connection closed when it no longer is read for what it may wait for.
+// setStopStage makes the connection close itself if the stage no longer allows it to wait.
 func (c *conn) setStopStage(s stopStage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// effectiveDeadline is the deadline that holds, zero if none does. It needs the lock.
+// effectiveDeadline returns the read deadline in effect, or zero. c.mu must be held.
 func (c *conn) effectiveDeadline() time.Time {
 	switch {
 	case c.phase != active && c.stage == refusingPartial:
@@ -153,7 +153,8 @@
 	return c.TCPConn.SetReadDeadline(c.effectiveDeadline())
 }
 
-// deadlinePassed tells whether the deadline that holds has deadlinePassed: stop changes it during a read.
+// deadlinePassed returns the phase, and whether the deadline in effect has passed:
+// setStopStage may change it during a read.
 func (c *conn) deadlinePassed() (phase, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,8 +181,8 @@
 	return c.TCPConn.SetReadDeadline(c.effectiveDeadline())
 }
 
-// readOrShutdown reads what has arrived without waiting, and ends the connection if that is
-// nothing. No time passes between the two in which a request could arrive.
+// readOrShutdown reads data that has arrived, without waiting. If there is none, it shuts the
+// connection down at once, so that no request arrives between the two steps.
 func (c *conn) readOrShutdown(p []byte) (int, error) {
 	if err := c.TCPConn.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
@@ -195,7 +196,7 @@
 		var failed error
 		if n, failed = unix.Read(int(fd), p); failed != nil || n == 0 {
 			n = 0
-			_ = unix.Shutdown(int(fd), unix.SHUT_WR) // Close tells of errors
+			_ = unix.Shutdown(int(fd), unix.SHUT_WR) // errors are left to Close
 		}
 		return true
 	})
--- a/internal/drain/listener.go
+++ b/internal/drain/listener.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// listener accepts what is in its backlog before it is closed.
+// listener accepts the connections in its backlog before it is closed.
 type listener struct {
 	*net.TCPListener
 	server   *Server
@@ -21,15 +21,16 @@
 }
 
 const (
-	// handshakeTimeout is enough for a connection that is being opened: a round trip.
+	// handshakeTimeout allows a connection that is being opened to complete, which takes a
+	// round trip.
 	handshakeTimeout = 20 * time.Millisecond
-	// flagsOffset is where a TCP header has its flags.
+	// flagsOffset is the offset of the flags in a TCP header, in bytes.
 	flagsOffset = 13
 	flagSYN     = 0x02
 )
 
-// Listen opens a listener that can drop the opening packets of connections, which one for
-// multipath TCP, Go's usual kind, can't.
+// Listen opens a listener that can drop SYN packets. Go's default, a listener for
+// multipath TCP, can't.
 func Listen(address string) (*net.TCPListener, error) {
 	config := net.ListenConfig{}
 	config.SetMultipathTCP(false)
@@ -60,14 +61,14 @@
 	}
 }
 
-// stop has Accept return http.ErrServerClosed once the backlog is empty.
+// stop makes Accept return http.ErrServerClosed once the backlog is empty.
 func (l *listener) stop() error {
 	err := l.dropNew()
 	l.stopping.Store(true)
 	return errors.CombineErrors(err, l.SetDeadline(time.Now().Add(handshakeTimeout)))
 }
 
-// hasPending tells whether the backlog holds a connection.
+// hasPending reports whether the backlog holds a connection.
 func (l *listener) hasPending() bool {
 	ready := 0
 	err := l.control(func(fd int) error {
@@ -78,8 +79,8 @@
 	return err == nil && ready > 0
 }
 
-// dropNew drops the opening packets of further connections. Their callers send them again
-// and are refused then, as the listener is closed by that time.
+// dropNew drops the SYN packets of further connections. The callers retransmit them and are
+// refused then, as the listener is closed by that time.
 func (l *listener) dropNew() error {
 	program, err := bpf.Assemble([]bpf.Instruction{
 		bpf.LoadAbsolute{Off: flagsOffset, Size: 1},
--- a/internal/drain/server.go
+++ b/internal/drain/server.go
@@ -1,8 +1,8 @@
-// Package drain stops HTTP servers without cutting requests.
+// Package drain stops HTTP servers without cutting off requests.
 //
 // http.Server.Shutdown drops a request that it has read but not passed to the handler, closes
-// a kept connection while a request is on its way, and resets the connections that are still
-// in the listener's backlog. A caller can't know whether such a request was run.
+// a keep-alive connection while a request is on its way, and resets the connections that are
+// still in the listener's backlog. The caller can't know whether such a request was executed.
 package drain
 
 import (
@@ -19,12 +19,12 @@
 type (
 	// Config configures a Server.
 	Config struct {
-		// HTTP is the server to stop. Its handler and its ConnState hook are replaced.
+		// HTTP is the server to stop. New replaces its handler and its ConnState hook.
 		HTTP *http.Server
 	}
 
 	// Server is an HTTP/1 server, or an HTTP/2 server without TLS, that can be stopped
-	// without cutting requests.
+	// without cutting off requests.
 	Server struct {
 		http     *http.Server
 		draining atomic.Bool
@@ -32,19 +32,19 @@
 		mu       sync.Mutex
 		conns    map[*conn]struct{}
 		listener *listener
-		// changed is closed and replaced when a connection is gone.
+		// changed is closed and replaced when a connection is closed.
 		changed chan struct{}
 		done    chan struct{}
 	}
 )
 
 const (
-	// abortTimeout is how long connections have to refuse half-sent requests once the time
-	// for the stop has passed.
+	// abortTimeout is how long connections have to refuse requests that have arrived in part,
+	// after the time for the shutdown has passed.
 	abortTimeout = 100 * time.Millisecond
 )
 
-// New makes a server that does not listen yet.
+// New returns a server that does not listen yet.
 func (c Config) New() *Server {
 	s := &Server{
 		http: c.HTTP, conns: map[*conn]struct{}{}, changed: make(chan struct{}), done: make(chan struct{}),
@@ -74,11 +74,12 @@
 	return s.http.Serve(accepting)
 }
 
-// StartDrain has each answer from now on ask the caller to use another connection.
+// StartDrain adds "Connection: close" to each response from now on.
 func (s *Server) StartDrain() { s.draining.Store(true) }
 
 // Shutdown stops listening, closes connections as they become idle, and returns once all are
-// closed. When ctx ends first, half-sent requests are refused and the rest is cut.
+// closed. If ctx ends first, it refuses requests that have arrived in part, and cuts off
+// the others.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.StartDrain()
 	err := s.stopListening()
@@ -97,13 +98,13 @@
 	return errors.CombineErrors(err, s.Close())
 }
 
-// Close cuts all connections.
+// Close closes all connections immediately.
 func (s *Server) Close() error {
 	s.aborting.Store(true)
 	return s.http.Close()
 }
 
-// stopListening returns when the last connection is accepted.
+// stopListening returns when the last connection has been accepted.
 func (s *Server) stopListening() error {
 	s.mu.Lock()
 	l := s.listener
@@ -141,7 +142,7 @@
 	}
 }
 
-// waitClosed tells whether all connections were closed before ctx ended.
+// waitClosed reports whether all connections were closed before ctx ended.
 func (s *Server) waitClosed(ctx context.Context) bool {
 	for {
 		s.mu.Lock()
--- a/internal/drain/server_test.go
+++ b/internal/drain/server_test.go
@@ -22,38 +22,39 @@
 )
 
 type (
-	// rig is a server whose handler counts what it runs and answers with the size of the body.
-	rig struct {
+	// testServer is a server whose handler counts its requests and responds with the size of the body.
+	testServer struct {
 		*WithT
 		server  *drain.Server
 		address string
 		ran     atomic.Int64
 		// accepting is called before each connection is accepted.
 		accepting atomic.Pointer[func()]
-		// hold keeps requests for /held in the handler.
-		hold chan struct{}
-		held chan struct{}
+		// release blocks requests for /held in the handler until it is closed; held receives a
+		// value for each of them.
+		release chan struct{}
+		held    chan struct{}
 	}
 
-	// caller is a connection with what was read from it.
+	// caller is a connection with a reader of its responses.
 	caller struct {
-		*rig
+		*testServer
 		net.Conn
-		answers *bufio.Reader
+		responses *bufio.Reader
 	}
 )
 
 const (
-	// stopTime bounds each stop.
+	// stopTime bounds each shutdown.
 	stopTime = 3 * time.Second
-	// begun is enough for a stop to close the listener and the idle connections.
-	begun   = 100 * time.Millisecond
-	request = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
+	// settleTime is enough for a shutdown to close the listener and the idle connections.
+	settleTime = 100 * time.Millisecond
+	request    = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
 )
 
-func newRig(t *testing.T, protocols *http.Protocols) *rig {
+func newTestServer(t *testing.T, protocols *http.Protocols) *testServer {
 	t.Helper()
-	r := &rig{WithT: NewWithT(t), hold: make(chan struct{}), held: make(chan struct{}, 100)}
+	r := &testServer{WithT: NewWithT(t), release: make(chan struct{}), held: make(chan struct{}, 100)}
 	l, err := drain.Listen("127.0.0.1:0")
 	r.Expect(err).NotTo(HaveOccurred())
 	r.address = l.Addr().String()
@@ -66,7 +67,7 @@
 		}
 		if req.URL.Path == "/held" {
 			r.held <- struct{}{}
-			<-r.hold
+			<-r.release
 		}
 		fmt.Fprint(w, n)
 	})
@@ -88,8 +89,8 @@
 	return r
 }
 
-// shutdown starts a stop; the channel tells its result.
-func (r *rig) shutdown(within time.Duration) <-chan error {
+// shutdown starts a shutdown; the channel receives its result.
+func (r *testServer) shutdown(within time.Duration) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
@@ -99,11 +100,11 @@
 	return ended
 }
 
-func (r *rig) dial() *caller {
+func (r *testServer) dial() *caller {
 	conn, err := net.Dial("tcp", r.address)
 	r.Expect(err).NotTo(HaveOccurred())
 	r.Expect(conn.SetDeadline(time.Now().Add(2 * stopTime))).To(Succeed())
-	return &caller{rig: r, Conn: conn, answers: bufio.NewReader(conn)}
+	return &caller{testServer: r, Conn: conn, responses: bufio.NewReader(conn)}
 }
 
 func (c *caller) send(text string) {
@@ -111,66 +112,66 @@
 	c.Expect(err).NotTo(HaveOccurred())
 }
 
-// answer reads one answer.
-func (c *caller) answer() (*http.Response, string) {
-	resp, err := http.ReadResponse(c.answers, nil)
+// readResponse reads one response.
+func (c *caller) readResponse() (*http.Response, string) {
+	resp, err := http.ReadResponse(c.responses, nil)
 	c.Expect(err).NotTo(HaveOccurred())
 	body, err := io.ReadAll(resp.Body)
 	c.Expect(err).NotTo(HaveOccurred())
 	return resp, string(body)
 }
 
-// expectAnswer reads an answer of the handler and tells whether it is the last.
-func (c *caller) expectAnswer(body string) (last bool) {
-	resp, got := c.answer()
+// expectResponse reads a response of the handler and returns whether it closes the connection.
+func (c *caller) expectResponse(body string) (last bool) {
+	resp, got := c.readResponse()
 	c.Expect(resp.StatusCode).To(Equal(http.StatusOK))
 	c.Expect(got).To(Equal(body))
 	return resp.Close
 }
 
-// expectLast reads an answer that says that it is the last, and the end of the connection.
+// expectLast reads a response that closes the connection, and the end of the connection.
 func (c *caller) expectLast(body string) {
-	c.Expect(c.expectAnswer(body)).To(BeTrue())
-	_, err := c.answers.ReadByte()
+	c.Expect(c.expectResponse(body)).To(BeTrue())
+	_, err := c.responses.ReadByte()
 	c.Expect(err).To(MatchError(io.EOF))
 }
 
-// A stop must answer each request of which a part has arrived. http.Server.Shutdown cuts all
-// of these but those that the handler has begun.
+// A shutdown must answer each request of which a part has arrived. http.Server.Shutdown cuts
+// off all of them except those that the handler has started.
 func TestShutdownAnswers(t *testing.T) {
 	half := len(request) / 2
-	for name, play := range map[string]func(r *rig, stop func()){
-		"a request half sent on a new connection": func(r *rig, stop func()) {
+	for name, scenario := range map[string]func(r *testServer, stop func()){
+		"a request half sent on a new connection": func(r *testServer, stop func()) {
 			c := r.dial()
 			c.send(request[:half])
 			stop()
 			c.send(request[half:])
 			c.expectLast("3")
 		},
-		"a request half sent on a kept connection": func(r *rig, stop func()) {
+		"a request half sent on a keep-alive connection": func(r *testServer, stop func()) {
 			c := r.dial()
 			c.send(request)
-			c.answer()
+			c.readResponse()
 			c.send(request[:half])
 			stop()
 			c.send(request[half:])
 			c.expectLast("3")
 		},
-		"a request on a connection that was opened just before": func(r *rig, stop func()) {
+		"a request on a connection opened just before": func(r *testServer, stop func()) {
 			c := r.dial()
 			stop()
 			c.send(request)
 			c.expectLast("3")
 		},
-		"a request on a connection that was used just before": func(r *rig, stop func()) {
+		"a request on a connection used just before": func(r *testServer, stop func()) {
 			c := r.dial()
 			c.send(request)
-			c.answer()
+			c.readResponse()
 			stop()
 			c.send(request)
 			c.expectLast("3")
 		},
-		"a connection that is not accepted yet": func(r *rig, stop func()) {
+		"a request on a connection that is not accepted yet": func(r *testServer, stop func()) {
 			blocked, release := make(chan struct{}), make(chan struct{})
 			wait := func() { blocked <- struct{}{}; <-release }
 			r.accepting.Store(&wait)
@@ -183,36 +184,36 @@
 			close(release)
 			c.expectLast("3")
 		},
-		"a large body that is being sent": func(r *rig, stop func()) {
+		"a large body that is being sent": func(r *testServer, stop func()) {
 			body := strings.Repeat("x", 1<<20)
 			c := r.dial()
 			c.send(fmt.Sprintf("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", len(body)))
 			c.send(body[:len(body)/2])
 			stop()
 			c.send(body[len(body)/2:])
-			c.expectAnswer(fmt.Sprint(len(body)))
-			_, err := c.answers.ReadByte()
+			c.expectResponse(fmt.Sprint(len(body)))
+			_, err := c.responses.ReadByte()
 			r.Expect(err).To(MatchError(io.EOF))
 		},
-		"pipelined requests up to the one that is said to be the last": func(r *rig, stop func()) {
+		"pipelined requests up to the last response": func(r *testServer, stop func()) {
 			c := r.dial()
 			held := strings.Replace(request, "/", "/held", 1)
 			c.send(held + request + request + strings.Repeat("x", 1<<16))
 			<-r.held
 			stop()
-			close(r.hold)
-			c.expectAnswer("3")
+			close(r.release)
+			c.expectResponse("3")
 			c.expectLast("3")
 			r.Expect(r.ran.Load()).To(BeEquivalentTo(2))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, nil)
+			r := newTestServer(t, nil)
 			var ended <-chan error
-			play(r, func() {
+			scenario(r, func() {
 				ended = r.shutdown(stopTime)
-				time.Sleep(begun)
+				time.Sleep(settleTime)
 			})
 			r.Eventually(ended, stopTime).Should(Receive(BeNil()))
 			_, err := net.Dial("tcp", r.address)
@@ -221,56 +222,57 @@
 	}
 }
 
-// A stop is bounded: what is half sent is refused, what is still run is cut.
+// A shutdown is bounded: half-sent requests are refused, those in the handler are cut off.
 func TestShutdownIsBounded(t *testing.T) {
 	const within, slack = 300 * time.Millisecond, 300 * time.Millisecond
-	for name, play := range map[string]struct {
-		send    string
-		answers int // the status, 0 for a cut
+	for name, scenario := range map[string]struct {
+		send   string
+		status int // the status, 0 for a connection that is cut off
 	}{
-		"half a request":    {send: request[:20], answers: http.StatusServiceUnavailable},
-		"a request that is": {send: strings.Replace(request, "/", "/held", 1), answers: 0},
+		"half a request":           {send: request[:20], status: http.StatusServiceUnavailable},
+		"a request in the handler": {send: strings.Replace(request, "/", "/held", 1), status: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, nil)
-			defer close(r.hold)
+			r := newTestServer(t, nil)
+			defer close(r.release)
 			c := r.dial()
-			c.send(play.send)
-			if play.answers == 0 {
+			c.send(scenario.send)
+			if scenario.status == 0 {
 				<-r.held
 			}
 			began := time.Now()
 			r.Eventually(r.shutdown(within), stopTime).Should(Receive(MatchError(context.DeadlineExceeded)))
 			r.Expect(time.Since(began)).To(BeNumerically("<", within+slack))
-			if play.answers == 0 {
-				_, err := http.ReadResponse(c.answers, nil)
+			if scenario.status == 0 {
+				_, err := http.ReadResponse(c.responses, nil)
 				r.Expect(err).To(HaveOccurred())
 				return
 			}
-			resp, _ := c.answer()
-			r.Expect(resp.StatusCode).To(Equal(play.answers))
+			resp, _ := c.readResponse()
+			r.Expect(resp.StatusCode).To(Equal(scenario.status))
 			r.Expect(r.ran.Load()).To(BeZero())
 		})
 	}
 }
 
-// Connections that nobody uses don't hold a stop up.
+// Idle connections must not delay a shutdown.
 func TestShutdownClosesIdleConnections(t *testing.T) {
-	r := newRig(t, nil)
+	r := newTestServer(t, nil)
 	for range 10 {
 		c := r.dial()
 		c.send(request)
-		c.answer()
+		c.readResponse()
 		defer c.Close()
 	}
 	r.dial()
 	began := time.Now()
 	r.Eventually(r.shutdown(10*time.Second), 5*time.Second).Should(Receive(BeNil()))
-	// Nobody closes the connections here, so that each is read for a while after its end.
+	// The callers don't close their connections, so that each lingers for lingerTimeout.
 	r.Expect(time.Since(began)).To(BeNumerically("<", 1500*time.Millisecond))
 }
 
-// Callers go on until they are refused, on kept connections and on new ones; none is cut.
+// Callers send requests until they are refused, on keep-alive and on new connections; no
+// request may be cut off.
 func TestShutdownUnderLoad(t *testing.T) {
 	const rounds, callers = 10, 16
 	for name, version2 := range map[string]bool{"HTTP/1": false, "HTTP/2": true} {
@@ -280,7 +282,7 @@
 				protocols := &http.Protocols{}
 				protocols.SetHTTP1(!version2)
 				protocols.SetUnencryptedHTTP2(version2)
-				r := newRig(t, protocols)
+				r := newTestServer(t, protocols)
 				var wg sync.WaitGroup
 				var answered atomic.Int64
 				for n := range callers {
@@ -301,8 +303,9 @@
 	}
 }
 
-// callUntilRefused counts the answers.
-func (r *rig) callUntilRefused(t *testing.T, client *http.Client, body []byte, pause time.Duration) (answered int64) {
+// callUntilRefused sends requests until a connection is refused, and returns the number of
+// responses.
+func (r *testServer) callUntilRefused(t *testing.T, client *http.Client, body []byte, pause time.Duration) (answered int64) {
 	for {
 		resp, err := client.Post("http://"+r.address, "text/plain", bytes.NewReader(body))
 		if err != nil {
--- a/internal/fakeclock/clock.go
+++ b/internal/fakeclock/clock.go
@@ -1,4 +1,4 @@
-// Package fakeclock has a clock that tests move by hand.
+// Package fakeclock provides a clock that tests advance manually.
 package fakeclock
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Clock is moved by hand.
+// Clock is a tw.Clock that is advanced manually.
 type Clock struct {
 	mu     sync.Mutex
 	now    time.Time
@@ -18,7 +18,7 @@
 	c  chan time.Time
 }
 
-// New starts at a fixed time.
+// New returns a clock that is set to a fixed time.
 func New() *Clock {
 	return &Clock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), timers: map[*timer]bool{}}
 }
@@ -34,24 +34,24 @@
 func (c *Clock) After(d time.Duration) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := &timer{at: c.now.Add(d), c: make(chan time.Time, 1)}
+	t := &timer{at: c.now.Add(d), c: make(chan time.Time, 1)}
 	if d <= 0 {
-		a.c <- c.now
-		return a.c
+		t.c <- c.now
+		return t.c
 	}
-	c.timers[a] = true
-	return a.c
+	c.timers[t] = true
+	return t.c
 }
 
-// Advance moves the clock and rings what is due.
+// Advance advances the clock and fires the timers that are due.
 func (c *Clock) Advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
-	for a := range c.timers {
-		if !a.at.After(c.now) {
-			a.c <- c.now
-			delete(c.timers, a)
+	for t := range c.timers {
+		if !t.at.After(c.now) {
+			t.c <- c.now
+			delete(c.timers, t)
 		}
 	}
 }
--- a/internal/logsink/fields.go
+++ b/internal/logsink/fields.go
@@ -2,8 +2,8 @@
 
 import "go.uber.org/zap"
 
-// Err is an error's text. The usual field adds its stack, which is long and
-// costs processor time at each refused call.
+// Err returns a field with an error's text. zap.Error adds the stack, which is
+// long and costs processor time for each refused call.
 func Err(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/internal/logsink/sink.go
+++ b/internal/logsink/sink.go
@@ -1,5 +1,5 @@
-// Package logsink brings log lines to an output without ever blocking the
-// one who logs: lines that the output does not take in time are dropped and
+// Package logsink writes log lines to an output without ever blocking the
+// caller. Lines that the output does not accept in time are dropped and
 // counted, and the count is logged.
 package logsink
 
@@ -17,17 +17,17 @@
 	// Config configures a Sink.
 	Config struct {
 		Out io.Writer
-		// QueueSize bounds the lines that wait; 0 takes the default.
+		// QueueSize is the number of lines that each of the two queues holds; 0 selects the
+		// default.
 		QueueSize int
 	}
 
-	// Sink is a zapcore.WriteSyncer.
+	// Sink is a zapcore.WriteSyncer that writes in the background.
 	Sink struct {
 		out       *bufio.Writer
 		lines     chan []byte
 		important chan []byte
-		// dropped counts all dropped lines, reported those of which a line was
-		// written.
+		// dropped counts all dropped lines, reported those that have been logged.
 		dropped  atomic.Int64
 		reported int64
 		closing  chan struct{}
@@ -37,22 +37,23 @@
 )
 
 const (
-	// defaultQueueSize bounds what waits to about 1 MB.
+	// defaultQueueSize limits the queued lines to about 1 MB.
 	defaultQueueSize = 4096
-	outBufferSize    = 32 << 10
-	// flushDelay is the longest that a line waits for others before it is written:
-	// one write for all that came meanwhile, as each write costs a system call.
+	outBufferSize    = 32 << 10 // bytes
+	// flushDelay is the longest time that a line waits to be written together with
+	// others, as each write costs a system call.
 	flushDelay = 20 * time.Millisecond
 )
 
-// importantPatterns are what lines contain that go before others when the output
-// is slow: those of failed and refused requests, and all above info.
+// importantPatterns mark the lines with a queue of their own, so that other lines
+// don't displace them when the output is slow: those of failed and refused
+// requests, and all above level info.
 var importantPatterns = [][]byte{
 	[]byte(`"level":"warn"`), []byte(`"level":"error"`), []byte(`"msg":"request: refused"`),
 	[]byte(`"state":"failed"`), []byte(`"kind":"failed"`),
 }
 
-// New starts to write; Close ends it.
+// New starts a sink; Close stops it.
 func (c Config) New() *Sink {
 	if c.QueueSize == 0 {
 		c.QueueSize = defaultQueueSize
@@ -68,7 +69,7 @@
 	return s
 }
 
-// Write takes a line; it never fails and never waits.
+// Write queues a line; it never fails and never blocks.
 func (s *Sink) Write(line []byte) (int, error) {
 	queue := s.lines
 	if isImportant(line) {
@@ -82,13 +83,14 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines are on their way in any case.
+// Sync implements zapcore.WriteSyncer. It does nothing, as lines are written in
+// the background.
 func (s *Sink) Sync() error { return nil }
 
-// Dropped counts the lines that were dropped.
+// Dropped returns the number of dropped lines.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what waits and ends.
+// Close writes the queued lines and stops the sink.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.closing) })
 	<-s.done
@@ -119,7 +121,7 @@
 	}
 }
 
-// put writes a line, and how many were dropped before it.
+// put writes a line, and the number of lines dropped before it.
 func (s *Sink) put(line []byte) {
 	s.write(line)
 	if n := s.dropped.Load() - s.reported; n > 0 {
@@ -142,7 +144,7 @@
 	}
 }
 
-// write and flush ignore errors: there is nobody left to tell.
+// write and flush ignore errors, as there is no other output to report them to.
 func (s *Sink) write(line []byte) { _, _ = s.out.Write(line) }
 
 func (s *Sink) flush() { _ = s.out.Flush() }
--- a/internal/logsink/sink_test.go
+++ b/internal/logsink/sink_test.go
@@ -14,33 +14,33 @@
 	"github.com/tamarindworks/tamarindworks/internal/logsink"
 )
 
-// stalled is an output that takes nothing until it is released.
-type stalled struct {
+// blockedWriter is an output that blocks until it is released.
+type blockedWriter struct {
 	once     sync.Once
 	entered  chan struct{}
 	released chan struct{}
 	taken    bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	s.once.Do(func() { close(s.entered) })
 	<-s.released
 	return s.taken.Write(p)
 }
 
-// An output that stalls never blocks the one who logs; what is dropped is
-// counted, and lines of failed requests are kept before others.
-func TestSinkStalls(t *testing.T) {
+// An output that blocks must not block the logging goroutine. Dropped lines are
+// counted, and other lines must not displace those of failed requests.
+func TestSinkBlockedOutput(t *testing.T) {
 	g := NewWithT(t)
 	const queued, lines = 10, 1000
-	out := &stalled{entered: make(chan struct{}), released: make(chan struct{})}
+	out := &blockedWriter{entered: make(chan struct{}), released: make(chan struct{})}
 	sink := logsink.Config{Out: out, QueueSize: queued}.New()
 	write := func(line string) {
 		_, err := sink.Write([]byte(line + "\n"))
 		g.Expect(err).NotTo(HaveOccurred())
 	}
 	write("first")
-	<-out.entered // the sink's own goroutine stands still from here on
+	<-out.entered // the sink's goroutine is blocked from here on
 	for n := range lines {
 		write(fmt.Sprintf(`{"level":"info","msg":"run: ordered","n":%d}`, n))
 	}
@@ -53,31 +53,31 @@
 	g.Expect(strings.Count(text, "run: ordered")).To(Equal(queued))
 }
 
-// counted counts the writes that reach an output.
-type counted struct {
+// countingWriter is an output that counts its writes.
+type countingWriter struct {
 	mu     sync.Mutex
 	writes int
 	taken  bytes.Buffer
 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingWriter) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writes++
 	return c.taken.Write(p)
 }
 
-func (c *counted) state() (writes int, text string) {
+func (c *countingWriter) state() (writes int, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes, c.taken.String()
 }
 
-// Lines that come at nearly the same time are written together, and soon.
-func TestSinkGathers(t *testing.T) {
+// Lines that arrive at nearly the same time are written together, within flushDelay.
+func TestSinkBatchesWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var out counted
+		var out countingWriter
 		sink := logsink.Config{Out: &out}.New()
 		defer sink.Close()
 		const lines = 20
--- a/internal/membertest/membertest.go
+++ b/internal/membertest/membertest.go
@@ -1,4 +1,4 @@
-// Package membertest starts the duties of a daemon's membership for tests.
+// Package membertest runs the membership of a daemon for tests.
 package membertest
 
 import (
@@ -14,41 +14,41 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// Peers stands for all other daemons: they answer pings, or leave them
-// without an answer while Cut is true.
+// Peers simulates all other daemons: they answer pings, or leave them
+// unanswered while Unresponsive is true.
 type Peers struct{ Unresponsive atomic.Bool }
 
 // Ping implements member.Pinger.
-func (o *Peers) Ping(ctx context.Context, _ string, _ member.PingRequest) (*member.PingResponse, error) {
-	if o.Unresponsive.Load() {
+func (p *Peers) Ping(ctx context.Context, _ string, _ member.PingRequest) (*member.PingResponse, error) {
+	if p.Unresponsive.Load() {
 		<-ctx.Done()
 		return nil, tw.ErrAmbiguous
 	}
 	return &member.PingResponse{}, nil
 }
 
-// Announce puts the record of another daemon into a store, as if it lived.
-func Announce(kv *standin.KV, l member.DaemonRecord) {
-	value, err := json.Marshal(l)
+// Announce writes the record of another daemon into a store, as if it were running.
+func Announce(kv *standin.KV, record member.DaemonRecord) {
+	value, err := json.Marshal(record)
 	if err != nil {
 		panic(err) // the type can always be encoded
 	}
-	kv.Put(ledger.LiveKey(l.Daemon), value)
+	kv.Put(ledger.LiveKey(record.Daemon), value)
 }
 
 // Start starts the membership of one daemon on a store. The daemon owns no
-// pool and is configured with none, so that it takes nothing by itself. The
-// caller calls end when the test is over.
+// pool and its configuration has none, so that it takes over none. The caller
+// calls end when the test is over.
 func Start(kv tw.KV, self member.DaemonRecord) (members *member.Members, end func()) {
 	return StartWithPeers(kv, self, &Peers{})
 }
 
-// StartWithPeers is Start with other daemons.
-func StartWithPeers(kv tw.KV, self member.DaemonRecord, others *Peers) (members *member.Members, end func()) {
+// StartWithPeers is Start with the given peers.
+func StartWithPeers(kv tw.KV, self member.DaemonRecord, peers *Peers) (members *member.Members, end func()) {
 	clock, log := tw.SystemClock{}, zap.NewNop()
 	presence := member.PresenceConfig{KV: kv, Clock: clock, Log: log, Self: self}.New()
 	members = member.Config{
-		KV: kv, Clock: clock, Log: log, Self: self, Peers: others, Presence: presence,
+		KV: kv, Clock: clock, Log: log, Self: self, Peers: peers, Presence: presence,
 		Pools: func() []tw.PoolID { return nil }, OwnedPools: func() []tw.PoolID { return nil },
 		ConfigVersion: func() tw.Version { return 0 }, TakeOver: func(tw.PoolID, string) {},
 		OnNewerConfig: func(string, tw.Version) {},
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,15 +1,15 @@
-// Package spread hashes short ids evenly, the same way in every daemon.
+// Package spread hashes short ids uniformly and identically in every daemon.
 package spread
 
 import "hash/fnv"
 
-// Hash is an even hash of the parts together. FNV alone leaves the high bits
-// of ids that differ in their last letter nearly alike, so its sum is mixed
-// once more (the finalizer of MurmurHash3).
+// Hash returns a uniform hash of the parts. FNV-1a alone gives ids that differ
+// only in their last letter nearly the same high bits, so its sum is mixed by
+// the finalizer of MurmurHash3.
 func Hash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
-		_, _ = h.Write([]byte(p)) // a hash never fails
+		_, _ = h.Write([]byte(p)) // Write of a hash never fails
 		_, _ = h.Write([]byte{0})
 	}
 	x := h.Sum64()
@@ -21,7 +21,7 @@
 	return x
 }
 
-// Fraction is a hash in [0, 1).
+// Fraction returns a hash of the parts in [0, 1).
 func Fraction(parts ...string) float64 {
 	const mantissa = 53
 	return float64(Hash(parts...)>>(64-mantissa)) / (1 << mantissa)
--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -1,5 +1,5 @@
-// Package tcp makes dialers whose connections notice a peer that is gone
-// without a word.
+// Package tcp provides a dialer whose connections detect a peer that has become
+// unreachable without closing them.
 package tcp
 
 import (
@@ -11,14 +11,13 @@
 )
 
 const (
-	// DialTimeout is above a dial within a region of about 2 ms, and above the
-	// second after which a dropped opening
-	// packet is sent again.
+	// DialTimeout is above the 2 ms or so of a dial within a region, and above the
+	// second after which a dropped SYN packet is retransmitted.
 	DialTimeout = 1200 * time.Millisecond
-	// unackedTimeout closes a connection whose bytes nobody acknowledges, as
-	// behind a silent cut. A round trip takes about 2 ms.
+	// unackedTimeout closes a connection whose data is not acknowledged, as during
+	// a network partition. A round trip takes about 2 ms.
 	unackedTimeout = 1500 * time.Millisecond
-	// probeIdle, probeInterval and probeCount find a dead idle connection
+	// probeIdle, probeInterval and probeCount detect a dead idle connection
 	// within 4 s.
 	probeIdle     = 2 * time.Second
 	probeInterval = time.Second
@@ -27,8 +26,8 @@
 	userTimeoutOption = 18
 )
 
-// NewDialer makes a dialer with short time limits. Its connections are reset when they are
-// closed, so that what is given up while it is held up never arrives.
+// NewDialer returns a dialer with short timeouts. Closing one of its connections resets it,
+// so that unsent data of an abandoned call never arrives.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: DialTimeout,
@@ -39,8 +38,8 @@
 	}
 }
 
-// setSocketOptions bounds how long sent bytes may stay unacknowledged, and has them dropped when the
-// connection is closed.
+// setSocketOptions limits how long sent data may stay unacknowledged, and makes closing the
+// connection discard it.
 func setSocketOptions(_, _ string, conn syscall.RawConn) error {
 	var failed error
 	err := conn.Control(func(fd uintptr) {
@@ -52,12 +51,12 @@
 	return errors.CombineErrors(err, failed)
 }
 
-// Refused tells whether an error says that nobody listens at the address.
+// Refused reports whether an error shows that no process listens at the address.
 func Refused(err error) bool {
 	return NotConnected(err) && errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// NotConnected tells whether an error proves that no connection was made, so
+// NotConnected reports whether an error proves that no connection was made, so
 // that nothing was sent.
 func NotConnected(err error) bool {
 	var op *net.OpError
--- a/internal/tcp/dialer_test.go
+++ b/internal/tcp/dialer_test.go
@@ -14,11 +14,10 @@
 	"github.com/tamarindworks/tamarindworks/internal/tcp"
 )
 
-// A connection that is closed while its bytes are held up went on sending them: an order to
-// a machine that its manager had given up reached the platform after the next manager's
-// orders, when a cut had ended, and so one machine had two holders in turn. What is given up
-// must not arrive any more, so such a connection is reset.
-func TestCloseDropsWhatIsHeldUp(t *testing.T) {
+// Closing a connection must discard its unsent data. Without a reset the kernel continues to
+// send it: after a network partition, an order that a machine manager had given up reached
+// the platform after the orders of the next manager, and the machine had two holders in turn.
+func TestCloseDiscardsUnsentData(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -36,7 +35,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	server := <-accepted
 	defer server.Close()
-	// The server does not read, as if a cut held the bytes up, until no more fit.
+	// The server does not read, so that the buffers fill up as in a partition.
 	g.Expect(conn.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))).To(Succeed())
 	_, err = conn.Write(make([]byte, 64<<20))
 	g.Expect(err).To(MatchError(os.ErrDeadlineExceeded))
--- a/internal/textdiff/textdiff.go
+++ b/internal/textdiff/textdiff.go
@@ -1,11 +1,11 @@
-// Package textdiff shows how two short texts differ, line by line.
+// Package textdiff compares two short texts line by line.
 package textdiff
 
 import "strings"
 
-// Lines marks the lines that are only in before with "-" and those only in
-// after with "+"; common lines are left out. It follows a longest common
-// subsequence and is meant for files of a few thousand lines.
+// Lines returns the lines that are only in before, marked with "-", and those
+// only in after, marked with "+". It uses a longest common subsequence and is
+// meant for files of a few thousand lines.
 func Lines(before, after string) string {
 	a, b := splitLines(before), splitLines(after)
 	length := lcsTable(a, b)
@@ -27,7 +27,7 @@
 	return out.String()
 }
 
-// lcsTable has the length of the longest common subsequence of a[i:] and b[j:].
+// lcsTable returns the lengths of the longest common subsequences of a[i:] and b[j:].
 func lcsTable(a, b []string) [][]int {
 	length := make([][]int, len(a)+1)
 	for i := range length {
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML strictly: unknown keys and bad values are
-// faults, all told at once, each with its line.
+// Package tomlfile decodes TOML strictly: it reports all unknown keys and bad
+// values at once, each with its line.
 package tomlfile
 
 import (
@@ -12,18 +12,18 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// maxFaults bounds how often a file with bad values is read again.
+// maxFaults bounds how often a file with bad values is decoded again.
 const maxFaults = 50
 
-// Validator is a configuration that fills in what was left out and checks
-// itself. Validate fails with tw.Faults.
+// Validator is a configuration that sets the defaults of missing values and
+// validates itself. Validate fails with tw.ValidationErrors.
 type Validator interface {
 	SetDefaults()
 	Validate() error
 }
 
-// Decode reads source into v, fills its defaults and validates it. The error
-// is of type tw.Faults.
+// Decode decodes source into v, sets its defaults and validates it. The error
+// is of type tw.ValidationErrors.
 func Decode(source []byte, v Validator) error {
 	faults := decodeStrict(source, v)
 	v.SetDefaults()
@@ -34,8 +34,8 @@
 	return faults.Err()
 }
 
-// decodeStrict gathers syntax faults, unknown keys and bad values. The
-// library stops at the first bad value, so I blank its line and read again.
+// decodeStrict collects syntax errors, unknown keys and bad values. The decoder
+// stops at the first bad value, so its line is blanked and the source decoded again.
 func decodeStrict(source []byte, v any) tw.ValidationErrors {
 	var faults tw.ValidationErrors
 	rest := bytes.Clone(source)
@@ -72,8 +72,8 @@
 	return faults
 }
 
-// withLines gives each fault the line of its field, or of the table that lacks
-// it, and drops those on a line that is at fault already.
+// withLines adds to each found fault the line of its field, or of the table that
+// lacks it, and drops those on the line of a known fault.
 func withLines(source []byte, found, known tw.ValidationErrors) tw.ValidationErrors {
 	index := indexLines(source)
 	taken := map[int]bool{}
@@ -101,7 +101,7 @@
 
 func stripTOMLPrefix(text string) string { return strings.TrimPrefix(text, "toml: ") }
 
-// blankLine overwrites a line with spaces; false if there is nothing to blankLine.
+// blankLine overwrites a line with spaces. It returns false if nothing has changed.
 func blankLine(source []byte, line int) bool {
 	start := 0
 	for ; line > 1; line-- {
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -10,7 +10,7 @@
 // lineIndex maps a field's path ("pools[1].id") to its line.
 type lineIndex map[string]int
 
-// indexLines walks the source; what cannot be parsed is left out.
+// indexLines parses the source; what cannot be parsed is left out.
 func indexLines(source []byte) lineIndex {
 	index := lineIndex{}
 	counts := map[string]int{}
@@ -36,7 +36,7 @@
 	return index
 }
 
-// line finds a field, or the nearest table around it; exact tells which.
+// line returns the line of a field (exact), or of the nearest table around it.
 func (x lineIndex) line(path string) (line int, exact bool) {
 	if n, ok := x[path]; ok {
 		return n, true
@@ -53,7 +53,7 @@
 	}
 }
 
-// resolve names a table's path, with the current element of each array.
+// resolve returns a table's path with the current index of each array.
 func resolve(counts map[string]int, keys []string) string {
 	path := ""
 	for i, key := range keys {
--- a/internal/traffic/meter.go
+++ b/internal/traffic/meter.go
@@ -1,5 +1,5 @@
-// Package traffic counts the bytes of HTTP messages by their kind, so that what fills a
-// daemon's link can be told.
+// Package traffic counts the bytes of HTTP messages by kind, to show what uses the bandwidth
+// of a daemon's link.
 package traffic
 
 import (
@@ -15,8 +15,7 @@
 )
 
 type (
-	// Meter counts messages. All its methods may be called by several goroutines; a nil
-	// Meter counts nothing.
+	// Meter counts messages. It is safe for concurrent use; a nil Meter counts nothing.
 	Meter struct {
 		set *metrics.Set
 
@@ -24,13 +23,13 @@
 		kinds map[string]*kindCounters
 	}
 
-	// Count is what has passed of a kind of message, headers included.
+	// Count is the traffic of one kind of message, headers included.
 	Count struct {
 		Sent, Received tw.Bytes
 		Messages       int64
 	}
 
-	// kindCounters counts one kindCounters of message.
+	// kindCounters counts one kind of message.
 	kindCounters struct{ sent, received, messages atomic.Int64 }
 
 	transport struct {
@@ -38,13 +37,13 @@
 		next  http.RoundTripper
 	}
 
-	// countedBody counts what is read of a body.
+	// countedBody counts the bytes read from a body.
 	countedBody struct {
 		io.ReadCloser
 		count *atomic.Int64
 	}
 
-	// countedWriter counts what is written of an answer.
+	// countedWriter counts the bytes written to a response.
 	countedWriter struct {
 		http.ResponseWriter
 		count *atomic.Int64
@@ -52,22 +51,22 @@
 )
 
 const (
-	// requestLineOverhead is about what the first line of a message takes beside the path, and
-	// answerHead what the head of an answer takes.
+	// requestLineOverhead is the approximate size of a request line without its path, and
+	// responseHeadSize that of a response's status line and header, in bytes.
 	requestLineOverhead = 17
 	responseHeadSize    = 100
-	// headerOverhead is what separates a header's name from its value and from the next.
+	// headerOverhead is the size of the separators of a header line, in bytes.
 	headerOverhead = 4
-	// apiPrefix begins the paths of the platform's calls; an id may follow the call.
+	// apiPrefix is the prefix of the paths of the platform's calls; an id may follow the call.
 	apiPrefix = "/api/"
-	// callersKind are the messages of callers.
+	// callersKind is the kind of callers' messages.
 	callersKind = "callers"
 )
 
-// New makes a meter that also tells its counts as metrics of a set.
+// New returns a meter that also exports its counts as metrics of a set.
 func New(set *metrics.Set) *Meter { return &Meter{set: set, kinds: map[string]*kindCounters{}} }
 
-// Transport counts what goes through another transport.
+// Transport wraps a transport to count its messages.
 func (m *Meter) Transport(next http.RoundTripper) http.RoundTripper {
 	if m == nil {
 		return next
@@ -89,14 +88,14 @@
 	return resp, nil
 }
 
-// CloseIdleConnections passes on what http.Client asks for.
+// CloseIdleConnections is used by http.Client; it calls the wrapped transport's.
 func (t *transport) CloseIdleConnections() {
 	if c, ok := t.next.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
 }
 
-// Handler counts what another handler is asked and answers.
+// Handler wraps a handler to count its requests and responses.
 func (m *Meter) Handler(next http.Handler) http.Handler {
 	if m == nil {
 		return next
@@ -110,7 +109,7 @@
 	})
 }
 
-// Totals are the counts since the meter was made, by kind.
+// Totals returns the counts since the meter was created, by kind.
 func (m *Meter) Totals() map[string]Count {
 	out := map[string]Count{}
 	if m == nil {
@@ -138,8 +137,8 @@
 	return k
 }
 
-// kindOf is the kind of a message by its path: the platform's call, the procedure of a peer,
-// or one for all that callers send, whose paths are without number.
+// kindOf returns the kind of a message by its path: the platform's call, the procedure of a
+// peer, or one kind for all callers' messages, as the number of their paths is unbounded.
 func kindOf(path string) string {
 	if call, found := strings.CutPrefix(path, apiPrefix); found {
 		name, _, _ := strings.Cut(call, "/")
@@ -151,7 +150,7 @@
 	return callersKind
 }
 
-// requestBytes is about what a request takes on the wire.
+// requestBytes estimates the size of a request on the wire.
 func requestBytes(r *http.Request) int64 {
 	n := int64(requestLineOverhead + len(r.URL.Path) + len(r.URL.RawQuery) + len(r.Host))
 	for name, values := range r.Header {
@@ -176,11 +175,11 @@
 	return n, err
 }
 
-// Flush implements http.Flusher, which servers of streams look for.
+// Flush implements http.Flusher, which handlers of streams need.
 func (w *countedWriter) Flush() {
-	// A writer that can't flush sends all at the end.
+	// A writer that can't flush sends everything at the end.
 	_ = http.NewResponseController(w.ResponseWriter).Flush()
 }
 
-// Unwrap lets http.ResponseController find the writer below.
+// Unwrap gives http.ResponseController access to the wrapped writer.
 func (w *countedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/traffic/meter_test.go
+++ b/internal/traffic/meter_test.go
@@ -22,7 +22,8 @@
 	"/puxa400/5c0e7a21d94b36f8":                "callers",
 }
 
-// Both ends of an exchange count the same: the bodies to the byte, beside the heads.
+// Client and server count a request and its response alike, with exact body sizes and
+// approximate headers.
 func TestMeter(t *testing.T) {
 	for path, kind := range paths {
 		t.Run(path, func(t *testing.T) {
@@ -47,14 +48,14 @@
 			g.Expect(int(here.Received)).To(And(BeNumerically(">", answered), BeNumerically("<", answered+300)))
 			g.Expect(int(there.Received)).To(BeNumerically(">=", int(here.Sent)))
 			g.Expect(there.Sent).To(Equal(here.Received))
-			var told bytes.Buffer
-			set.WritePrometheus(&told)
-			g.Expect(told.String()).To(ContainSubstring(`tamarind_sent_bytes_total{kind="` + kind + `"}`))
+			var output bytes.Buffer
+			set.WritePrometheus(&output)
+			g.Expect(output.String()).To(ContainSubstring(`tamarind_sent_bytes_total{kind="` + kind + `"}`))
 		})
 	}
 }
 
-func TestNoMeter(t *testing.T) {
+func TestNilMeter(t *testing.T) {
 	g := NewWithT(t)
 	var none *traffic.Meter
 	g.Expect(none.Transport(http.DefaultTransport)).To(BeIdenticalTo(http.DefaultTransport))
