--- a/assignment.go
+++ b/assignment.go
@@ -16,8 +16,8 @@
 		Pool     PoolID        `json:"pool"`
 		State    InstanceState `json:"state"`
 		Jobs     []Placement   `json:"jobs,omitempty"`
-		// Next is the pool that a draining instance goes to.
-		Next PoolID `json:"next,omitempty"`
+		// NextPool is the pool that a draining instance goes to.
+		NextPool PoolID `json:"next,omitempty"`
 		// Generation of the plan that set State.
 		Generation Generation `json:"generation"`
 		// Wave that the instance is draining or out for.
--- a/cmd/tamarind/config.go
+++ b/cmd/tamarind/config.go
@@ -76,9 +76,9 @@
 		if err != nil {
 			return err
 		}
-		return conn.use(func(ctx context.Context, o *control.Operator) error {
+		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			accepted, err := o.Apply(ctx, source, *operator, tw.Revision(*base))
-			var conflict *control.Conflict
+			var conflict *control.ConflictError
 			if errors.As(err, &conflict) {
 				fmt.Fprint(os.Stderr, textdiff.Lines(conflict.Current.Source, source))
 			}
@@ -102,10 +102,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	start := time.Now()
-	daemons, err := o.WaitInForce(ctx, parsed.Halls, accepted.Revision)
+	daemons, err := o.WaitForRevision(ctx, parsed.Halls, accepted.Revision)
 	for _, d := range daemons {
 		if !d.Reached || d.Revision < accepted.Revision {
-			fmt.Printf("%s in %s: %s\n", d.ID, d.Hall, behind(d))
+			fmt.Printf("%s in %s: %s\n", d.ID, d.Hall, describeLag(d))
 		}
 	}
 	if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func behind(d control.DaemonState) string {
+func describeLag(d control.DaemonState) string {
 	if !d.Reached {
 		return "not reached"
 	}
@@ -125,7 +125,7 @@
 func addGet(config *kingpin.CmdClause, conn *connection) {
 	cmd := config.Command("get", getHelp)
 	cmd.Action(action(func() error {
-		return conn.use(func(ctx context.Context, o *control.Operator) error {
+		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			current, err := o.Get(ctx)
 			if err != nil {
 				return err
@@ -145,7 +145,7 @@
 		if err != nil {
 			return err
 		}
-		return conn.use(func(ctx context.Context, o *control.Operator) error {
+		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			current, err := o.Get(ctx)
 			if err != nil {
 				return err
--- a/cmd/tamarind/connection.go
+++ b/cmd/tamarind/connection.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// use calls do with an operator, within the timeout.
-func (c *connection) use(do func(ctx context.Context, o *control.Operator) error) error {
+// withOperator calls do with an operator, within the timeout.
+func (c *connection) withOperator(do func(ctx context.Context, o *control.Operator) error) error {
 	if *c.platform == "" {
 		return errors.Wrap(errUsage, "give --platform or set TAMARIND_PLATFORM")
 	}
--- a/cmd/tamarind/delays.go
+++ b/cmd/tamarind/delays.go
@@ -69,13 +69,13 @@
 	}
 	for i := range all {
 		if over > 0 && all[i].Duration > over {
-			printAccount(&all[i], begin)
+			printBreakdown(&all[i], begin)
 		}
 	}
 	return nil
 }
 
-func printAccount(a *delays.Breakdown, begin time.Time) {
+func printBreakdown(a *delays.Breakdown, begin time.Time) {
 	fmt.Printf("%s %s accepted %.2f took %.2f:", a.ID, a.Pool, a.Accepted.Sub(begin).Seconds(), a.Duration.Seconds())
 	for i := len(a.Segments) - 1; i >= 0; i-- {
 		part := a.Segments[i]
--- a/cmd/tamarind/entry.go
+++ b/cmd/tamarind/entry.go
@@ -27,7 +27,7 @@
 	id := cmd.Arg("id", "Daemon.").Required().String()
 	hall := cmd.Flag("hall", "Its data hall.").Required().String()
 	cmd.Action(action(func() error {
-		return conn.use(func(ctx context.Context, o *control.Operator) error {
+		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			if err := o.Forget(ctx, tw.HallID(*hall), tw.DaemonID(*id)); err != nil {
 				return err
 			}
--- a/cmd/tamarind/explain.go
+++ b/cmd/tamarind/explain.go
@@ -28,21 +28,21 @@
 	instance := explain.Command("instance", explainInstanceHelp)
 	instanceID := instance.Arg("id", "Instance.").Required().String()
 	instance.Action(action(func() error {
-		return conn.use(func(ctx context.Context, o *control.Operator) error {
+		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			return explainInstance(ctx, o, tw.InstanceID(*instanceID))
 		})
 	}))
 	job := explain.Command("job", explainJobHelp)
 	jobID := job.Arg("id", "Job.").Required().String()
 	job.Action(action(func() error {
-		return conn.use(func(ctx context.Context, o *control.Operator) error {
+		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			return explainJob(ctx, o, tw.JobID(*jobID))
 		})
 	}))
 }
 
-// plans reads the configuration and every hall's plan.
-func plans(ctx context.Context, o *control.Operator) (*tw.FleetConfig, []tw.Plan, error) {
+// loadPlans reads the configuration and every hall's plan.
+func loadPlans(ctx context.Context, o *control.Operator) (*tw.FleetConfig, []tw.Plan, error) {
 	current, err := o.Get(ctx)
 	if err != nil {
 		return nil, nil, err
@@ -67,7 +67,7 @@
 }
 
 func explainInstance(ctx context.Context, o *control.Operator, id tw.InstanceID) error {
-	_, all, err := plans(ctx, o)
+	_, all, err := loadPlans(ctx, o)
 	if err != nil {
 		return err
 	}
@@ -83,13 +83,13 @@
 		if a.State != tw.InstanceDraining {
 			return nil
 		}
-		return explainWait(ctx, o, all[i].Hall, a)
+		return explainDrainWait(ctx, o, all[i].Hall, a)
 	}
 	return errors.Wrapf(tw.ErrNotFound, "instance %s in any plan", id)
 }
 
-// explainWait names the daemons that a drain waits for.
-func explainWait(ctx context.Context, o *control.Operator, hall tw.HallID, a *tw.Assignment) error {
+// explainDrainWait names the daemons that a drain waits for.
+func explainDrainWait(ctx context.Context, o *control.Operator, hall tw.HallID, a *tw.Assignment) error {
 	daemons, err := o.Daemons(ctx, []tw.HallID{hall})
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 }
 
 func explainJob(ctx context.Context, o *control.Operator, id tw.JobID) error {
-	config, all, err := plans(ctx, o)
+	config, all, err := loadPlans(ctx, o)
 	if err != nil {
 		return err
 	}
@@ -118,12 +118,12 @@
 		return errors.Wrapf(tw.ErrNotFound, "job %s in the configuration", id)
 	}
 	for i := range all {
-		explainJobIn(job, &all[i])
+		explainJobInHall(job, &all[i])
 	}
 	return nil
 }
 
-func explainJobIn(job *tw.Job, plan *tw.Plan) {
+func explainJobInHall(job *tw.Job, plan *tw.Plan) {
 	if !job.In(plan.Hall) {
 		fmt.Printf("hall %s: not wanted there\n", plan.Hall)
 		return
--- a/cmd/tamarind/main.go
+++ b/cmd/tamarind/main.go
@@ -57,26 +57,26 @@
 		return
 	}
 	fmt.Fprintf(os.Stderr, "tamarind: %v\n", err)
-	if !acted {
+	if !commandStarted {
 		os.Exit(exitBadInput) // the library could make no sense of the line
 	}
 	os.Exit(exitCode(err))
 }
 
-// acted says that a command was understood and begun.
-var acted bool
+// commandStarted says that a command was understood and begun.
+var commandStarted bool
 
 // action is what a command does.
 func action(do func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
-		acted = true
+		commandStarted = true
 		return do()
 	}
 }
 
 func exitCode(err error) int {
 	var faults tw.ValidationErrors
-	var conflict *control.Conflict
+	var conflict *control.ConflictError
 	switch {
 	case errors.As(err, &faults) || errors.Is(err, errUsage):
 		return exitBadInput
--- a/cmd/tamarind/plan.go
+++ b/cmd/tamarind/plan.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		return conn.use(func(ctx context.Context, o *control.Operator) error {
+		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			return dryRun(ctx, o, *conn.platform, config)
 		})
 	}))
@@ -53,14 +53,14 @@
 		if err != nil {
 			return errors.Wrap(err, "tasks")
 		}
-		in := dryInput(hall, config, plan, list, tasks)
+		in := dryRunInput(hall, config, plan, list, tasks)
 		moves += printMoves(hall, &plan, fleet.Decide(in))
 	}
 	fmt.Printf("%d changes\n", moves)
 	return nil
 }
 
-func dryInput(hall tw.HallID, config *tw.FleetConfig, plan tw.Plan, list tw.InstanceSnapshot, tasks []tw.Task) fleet.Input {
+func dryRunInput(hall tw.HallID, config *tw.FleetConfig, plan tw.Plan, list tw.InstanceSnapshot, tasks []tw.Task) fleet.Input {
 	in := fleet.Input{
 		Hall:       hall,
 		Config:     config,
@@ -93,7 +93,7 @@
 		fmt.Printf("%s %s: %s in %s (%s)\n", hall, a.Instance, a.State, a.Pool, a.Reason)
 		moves++
 	}
-	for _, w := range out.Wants {
+	for _, w := range out.Deferred {
 		fmt.Printf("%s %s: to drain when the budget allows (%s)\n", hall, w.Instance, w.Reason)
 		moves++
 	}
--- a/cmd/tamarind/queue.go
+++ b/cmd/tamarind/queue.go
@@ -58,7 +58,7 @@
 
 	status := queue.Command("status", queueStatusHelp)
 	status.Action(action(func() error {
-		return conn.useStore(*store, func(ctx context.Context, kv tw.KV) error {
+		return conn.withStore(*store, func(ctx context.Context, kv tw.KV) error {
 			survey, err := ledger.TakeSurvey(ctx, kv)
 			if err != nil {
 				return err
@@ -77,7 +77,7 @@
 
 	caps := queue.Command("caps", queueCapsHelp)
 	caps.Action(action(func() error {
-		return conn.useStore(*store, func(ctx context.Context, kv tw.KV) error {
+		return conn.withStore(*store, func(ctx context.Context, kv tw.KV) error {
 			shares, err := ledger.FindShares(ctx, kv)
 			if err != nil {
 				return err
@@ -96,14 +96,14 @@
 		if !valid {
 			return errors.Wrapf(errUsage, "%q is not an id of 16 hex digits", *id)
 		}
-		return conn.useStore(*store, func(ctx context.Context, kv tw.KV) error {
+		return conn.withStore(*store, func(ctx context.Context, kv tw.KV) error {
 			return printSubmission(ctx, kv, known)
 		})
 	}))
 }
 
-// useStore calls do with the platform's store, within the timeout.
-func (c *connection) useStore(address string, do func(ctx context.Context, kv tw.KV) error) error {
+// withStore calls do with the platform's store, within the timeout.
+func (c *connection) withStore(address string, do func(ctx context.Context, kv tw.KV) error) error {
 	client := platform.KVConfig{Address: address}.New()
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), *c.timeout)
--- a/cmd/tamarind/status.go
+++ b/cmd/tamarind/status.go
@@ -32,7 +32,7 @@
 		Pools        []poolStatus          `json:"pools"`
 		Spares       int                   `json:"spares"`
 		SparesNeeded int                   `json:"spares_needed"`
-		SetAside     []tw.UnplacedJob      `json:"set_aside,omitempty"`
+		Unplaced     []tw.UnplacedJob      `json:"set_aside,omitempty"`
 	}
 
 	poolStatus struct {
@@ -45,7 +45,7 @@
 	cmd := app.Command("status", statusHelp)
 	output := cmd.Flag("output", "text or json.").Default("text").Enum("text", "json")
 	cmd.Action(action(func() error {
-		return conn.use(func(ctx context.Context, o *control.Operator) error {
+		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			status, err := gatherStatus(ctx, o)
 			if err != nil {
 				return err
@@ -91,7 +91,7 @@
 		Generation:   plan.Generation,
 		Revision:     plan.Revision,
 		SparesNeeded: plan.SparesNeeded,
-		SetAside:     plan.Unplaced,
+		Unplaced:     plan.Unplaced,
 	}
 	for _, d := range daemons {
 		if d.Hall == hall {
@@ -125,21 +125,21 @@
 	for _, h := range s.Halls {
 		fmt.Fprintf(out, "\nhall %s\tplan %d\tfollows revision %d\n", h.Hall, h.Generation, h.Revision)
 		for _, d := range h.Daemons {
-			fmt.Fprintf(out, "  daemon %s\t%s\t%s\n", d.ID, daemonWord(d, s.Revision), d.Gateway)
+			fmt.Fprintf(out, "  daemon %s\t%s\t%s\n", d.ID, describeDaemon(d, s.Revision), d.Gateway)
 		}
 		for _, p := range h.Pools {
 			fmt.Fprintf(out, "  pool %s\tserving %d\tjoining %d\tdraining %d\n", p.Pool,
 				p.States[tw.InstanceServing], p.States[tw.InstanceJoining], p.States[tw.InstanceDraining])
 		}
 		fmt.Fprintf(out, "  spares\t%d held\t%d needed\n", h.Spares, h.SparesNeeded)
-		for _, a := range h.SetAside {
+		for _, a := range h.Unplaced {
 			fmt.Fprintf(out, "  job %s\tset aside\t%s\n", a.Job, a.Reason)
 		}
 	}
 	return out.Flush()
 }
 
-func daemonWord(d control.DaemonState, revision tw.Revision) string {
+func describeDaemon(d control.DaemonState, revision tw.Revision) string {
 	switch {
 	case !d.Reached:
 		return "NOT REACHED"
--- a/cmd/tamarindd/main.go
+++ b/cmd/tamarindd/main.go
@@ -43,13 +43,13 @@
 	}
 }
 
-// badSettings prints all faults of a settings file.
-func badSettings(path string, err error) int {
+// reportBadSettings prints all faults of a settings file.
+func reportBadSettings(path string, err error) int {
 	fmt.Fprintf(os.Stderr, "tamarindd: %s:\n%v\n", path, err)
 	return exitBadSettings
 }
 
-func failed(err error) int {
+func reportFailure(err error) int {
 	fmt.Fprintf(os.Stderr, "tamarindd: %v\n", err)
 	return exitFailed
 }
--- a/cmd/tamarindd/queue.go
+++ b/cmd/tamarindd/queue.go
@@ -54,21 +54,21 @@
 func (c *queueCommand) run() int {
 	settings, err := daemon.LoadQueueSettings(*c.path)
 	if err != nil {
-		return badSettings(*c.path, err)
+		return reportBadSettings(*c.path, err)
 	}
 	if *c.check {
 		return 0
 	}
 	log, sink, err := logger(settings.Log.Level)
 	if err != nil {
-		return failed(err)
+		return reportFailure(err)
 	}
 	defer sink.Close()
 	d, err := daemon.QueueConfig{Settings: settings, Log: log}.New()
 	if err != nil {
-		return failed(err)
+		return reportFailure(err)
 	}
-	c.untilStopped(d, log)
+	c.waitForStop(d, log)
 	ctx, cancel := context.WithTimeout(context.Background(), settings.Bounds.StopGrace.Std()-stopMargin)
 	defer cancel()
 	if err := d.Stop(ctx); err != nil {
@@ -78,13 +78,13 @@
 	return 0
 }
 
-// untilStopped takes up changes of the settings until the process is to stop.
-func (c *queueCommand) untilStopped(d *daemon.QueueDaemon, log *zap.Logger) {
+// waitForStop takes up changes of the settings until the process is to stop.
+func (c *queueCommand) waitForStop(d *daemon.QueueDaemon, log *zap.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	ticker := time.NewTicker(settingsPoll)
 	defer ticker.Stop()
-	written := c.written()
+	written := c.modTime()
 	for {
 		select {
 		case s := <-signals:
@@ -92,7 +92,7 @@
 				return
 			}
 		case <-ticker.C:
-			now := c.written()
+			now := c.modTime()
 			if now.Equal(written) {
 				continue
 			}
@@ -111,8 +111,8 @@
 	d.Reload(settings)
 }
 
-// written is when the settings file was last written; zero if unknown.
-func (c *queueCommand) written() time.Time {
+// modTime is when the settings file was last written; zero if unknown.
+func (c *queueCommand) modTime() time.Time {
 	info, err := os.Stat(*c.path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/tamarindd/serve.go
+++ b/cmd/tamarindd/serve.go
@@ -37,19 +37,19 @@
 func (c *serveCommand) run() int {
 	settings, err := daemon.LoadSettings(*c.path)
 	if err != nil {
-		return badSettings(*c.path, err)
+		return reportBadSettings(*c.path, err)
 	}
 	if *c.check {
 		return 0
 	}
 	log, sink, err := logger(settings.Log.Level)
 	if err != nil {
-		return failed(err)
+		return reportFailure(err)
 	}
 	defer sink.Close()
 	d, err := daemon.Config{Settings: settings, Log: log, Clock: tw.SystemClock{}}.New()
 	if err != nil {
-		return failed(err)
+		return reportFailure(err)
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/control/absence.go
+++ b/control/absence.go
@@ -8,40 +8,40 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// absence notes since when every read of the platform's list has lacked the
+// absenceTracker notes since when every read of the platform's list has lacked the
 // instance of a registered life of a daemon.
-type absence struct {
+type absenceTracker struct {
 	clock tw.Clock
 
-	mu    sync.Mutex
-	read  time.Time // when the list was last read, changed or not
-	since map[tw.RosterMember]time.Time
+	mu       sync.Mutex
+	lastRead time.Time // when the list was last read, changed or not
+	since    map[tw.RosterMember]time.Time
 }
 
-// absentFor is how long an entry instance must be unlisted, and its daemon
+// absenceTimeout is how long an entry instance must be unlisted, and its daemon
 // silent, until nobody waits for its acknowledgement any more. The list lags,
 // also for instances that are new.
-const absentFor = 30 * time.Second
+const absenceTimeout = 30 * time.Second
 
-func newAbsence(clock tw.Clock) *absence {
-	return &absence{clock: clock, since: map[tw.RosterMember]time.Time{}}
+func newAbsenceTracker(clock tw.Clock) *absenceTracker {
+	return &absenceTracker{clock: clock, since: map[tw.RosterMember]time.Time{}}
 }
 
-// see takes in a read of the list. Every read counts, not only those that a
+// observeList takes in a read of the list. Every read counts, not only those that a
 // handover looks at: an instance that was listed in between was not absent.
-func (a *absence) see(list tw.InstanceSnapshot) {
+func (a *absenceTracker) observeList(list tw.InstanceSnapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.read = a.clock.Now()
-	maps.DeleteFunc(a.since, func(m tw.RosterMember, _ time.Time) bool { return !lacks(list, m.Instance) })
+	a.lastRead = a.clock.Now()
+	maps.DeleteFunc(a.since, func(m tw.RosterMember, _ time.Time) bool { return !isMissing(list, m.Instance) })
 }
 
-// gone tells whether the instance of a life has been unlisted for long, since this
+// absentTooLong tells whether the instance of a life has been unlisted for long, since this
 // life was first asked for, up to the last read of the list.
-func (a *absence) gone(m tw.RosterMember, list tw.InstanceSnapshot) bool {
+func (a *absenceTracker) absentTooLong(m tw.RosterMember, list tw.InstanceSnapshot) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !lacks(list, m.Instance) {
+	if !isMissing(list, m.Instance) {
 		delete(a.since, m)
 		return false
 	}
@@ -50,12 +50,12 @@
 		since = a.clock.Now()
 		a.since[m] = since
 	}
-	return a.read.Sub(since) >= absentFor
+	return a.lastRead.Sub(since) >= absenceTimeout
 }
 
-// lacks tells whether a list has entry instances, but not this one. A list without
+// isMissing tells whether a list has entry instances, but not this one. A list without
 // any says nothing of them.
-func lacks(list tw.InstanceSnapshot, id tw.InstanceID) bool {
+func isMissing(list tw.InstanceSnapshot, id tw.InstanceID) bool {
 	entries := false
 	for _, in := range list.Instances {
 		if in.ID == id {
--- a/control/busy_meter.go
+++ b/control/busy_meter.go
@@ -9,26 +9,26 @@
 
 // busyMeter smooths the measured use of jobs: up at once, down slowly.
 type busyMeter struct {
-	clock tw.Clock
-	last  time.Time
-	slots map[tw.JobID]float64
+	clock        tw.Clock
+	lastObserved time.Time
+	slots        map[tw.JobID]float64
 }
 
 const (
 	busyHalfLife = 30 * time.Second
-	// idleSlots is so little use that it is forgotten.
-	idleSlots = 0.01
+	// negligibleSlots is so little use that it is forgotten.
+	negligibleSlots = 0.01
 )
 
 func newBusyMeter(clock tw.Clock) *busyMeter {
-	return &busyMeter{clock: clock, last: clock.Now(), slots: map[tw.JobID]float64{}}
+	return &busyMeter{clock: clock, lastObserved: clock.Now(), slots: map[tw.JobID]float64{}}
 }
 
 // observe takes in what is in flight now and returns the smoothed use.
 func (b *busyMeter) observe(now map[tw.JobID]float64) map[tw.JobID]float64 {
 	at := b.clock.Now()
-	keep := math.Exp2(-at.Sub(b.last).Seconds() / busyHalfLife.Seconds())
-	b.last = at
+	keep := math.Exp2(-at.Sub(b.lastObserved).Seconds() / busyHalfLife.Seconds())
+	b.lastObserved = at
 	out := map[tw.JobID]float64{}
 	for job, v := range b.slots {
 		b.slots[job] = v * keep
@@ -37,7 +37,7 @@
 		b.slots[job] = max(b.slots[job], v)
 	}
 	for job, v := range b.slots {
-		if v < idleSlots {
+		if v < negligibleSlots {
 			delete(b.slots, job)
 			continue
 		}
--- a/control/claim_table.go
+++ b/control/claim_table.go
@@ -11,27 +11,27 @@
 	// claimTable holds claims on idempotency keys for a while.
 	claimTable struct {
 		clock tw.Clock
-		keep  time.Duration
+		ttl   time.Duration
 		limit int
 
-		mu     sync.Mutex
-		claims map[string]heldClaim
-		line   []expiry // in the order of expiry
+		mu       sync.Mutex
+		claims   map[string]storedClaim
+		expiries []expiry // in the order of expiry
 	}
 
-	heldClaim struct {
+	storedClaim struct {
 		tw.Claim
-		until time.Time
+		expiresAt time.Time
 	}
 
 	expiry struct {
 		scope string
-		until time.Time
+		at    time.Time
 	}
 )
 
 func newClaimTable(clock tw.Clock, keep time.Duration, limit int) *claimTable {
-	return &claimTable{clock: clock, keep: keep, limit: limit, claims: map[string]heldClaim{}}
+	return &claimTable{clock: clock, ttl: keep, limit: limit, claims: map[string]storedClaim{}}
 }
 
 // put records a claim and returns the one that stands: the same, or another
@@ -55,20 +55,20 @@
 	case !ok && len(t.claims) >= t.limit:
 		return tw.Claim{}
 	}
-	until := now.Add(t.keep)
-	t.claims[c.Scope] = heldClaim{Claim: c, until: until}
-	t.line = append(t.line, expiry{scope: c.Scope, until: until})
+	until := now.Add(t.ttl)
+	t.claims[c.Scope] = storedClaim{Claim: c, expiresAt: until}
+	t.expiries = append(t.expiries, expiry{scope: c.Scope, at: until})
 	return c
 }
 
 // expire drops what is too old. A scope may stand in the line several times;
 // only the newest counts.
 func (t *claimTable) expire(now time.Time) {
-	for len(t.line) > 0 && !now.Before(t.line[0].until) {
-		scope := t.line[0].scope
-		if held, ok := t.claims[scope]; ok && !now.Before(held.until) {
+	for len(t.expiries) > 0 && !now.Before(t.expiries[0].at) {
+		scope := t.expiries[0].scope
+		if held, ok := t.claims[scope]; ok && !now.Before(held.expiresAt) {
 			delete(t.claims, scope)
 		}
-		t.line = t.line[1:]
+		t.expiries = t.expiries[1:]
 	}
 }
--- a/control/claims.go
+++ b/control/claims.go
@@ -18,22 +18,22 @@
 // that rank highest for the key, so that a repeat at any of them, also after
 // the loss of one, finds the claim.
 type claims struct {
-	table   *claimTable
-	peers   tw.Peers
-	self    tw.DaemonID
-	hall    func() []tw.Member // daemons of the hall that may hold claims, self included
-	metrics *metrics.Set
+	table      *claimTable
+	peers      tw.Peers
+	self       tw.DaemonID
+	candidates func() []tw.Member // daemons of the hall that may hold claims, self included
+	metrics    *metrics.Set
 }
 
-// claimAnswer is what a peer says to a claim.
-type claimAnswer struct {
+// claimResponse is what a peer says to a claim.
+type claimResponse struct {
 	claim tw.Claim
 	err   error
 }
 
 const (
-	// claimHolders is how many daemons keep a claim, besides the sender.
-	claimHolders = 3
+	// claimReplicas is how many daemons keep a claim, besides the sender.
+	claimReplicas = 3
 	// claimQuorum is how many must have it before the request is sent, unless
 	// the hall has fewer daemons.
 	claimQuorum = 2
@@ -48,9 +48,9 @@
 		c.count("standing")
 		return claim, tw.ClaimResult{Existing: standing}
 	}
-	hall := c.hall()
+	hall := c.candidates()
 	kept, gone := 1, 0
-	answers := c.ask(ctx, c.holders(scope, hall), claim)
+	answers := c.sendClaim(ctx, c.replicas(scope, hall), claim)
 	for answer := range answers {
 		switch {
 		case errors.Is(answer.err, tw.ErrNotListening):
@@ -60,13 +60,13 @@
 			kept++
 		case answer.claim.Holder != "":
 			c.count("standing")
-			c.giveUp(claim, answers, hall)
+			c.release(claim, answers, hall)
 			return claim, tw.ClaimResult{Existing: answer.claim}
 		}
 	}
 	if kept < min(claimQuorum, len(hall)-gone) {
 		c.count("unavailable")
-		c.giveUp(claim, answers, hall)
+		c.release(claim, answers, hall)
 		return claim, tw.ClaimResult{}
 	}
 	c.count("granted")
@@ -76,39 +76,39 @@
 // Settle implements tw.Claims.
 func (c *claims) Settle(claim tw.Claim, state tw.ClaimState) {
 	if state != tw.ClaimPending {
-		c.tell(claim, state, c.hall())
+		c.propagate(claim, state, c.candidates())
 	}
 }
 
-// tell records how a claim ended, here and with its holders. Those that miss it
+// propagate records how a claim ended, here and with its holders. Those that miss it
 // keep the claim as pending, which is the safe side.
-func (c *claims) tell(claim tw.Claim, state tw.ClaimState, hall []tw.Member) {
+func (c *claims) propagate(claim tw.Claim, state tw.ClaimState, hall []tw.Member) {
 	claim.State = state
 	c.table.put(claim)
 	// Nobody waits for this: it ends with the timeout of the calls.
-	c.ask(context.Background(), c.holders(claim.Scope, hall), claim)
+	c.sendClaim(context.Background(), c.replicas(claim.Scope, hall), claim)
 }
 
-// giveUp releases a claim: here at once, and with its holders when all have
+// release releases a claim: here at once, and with its holders when all have
 // answered, as a release that overtakes the claim leaves it standing there.
-func (c *claims) giveUp(claim tw.Claim, answers <-chan claimAnswer, hall []tw.Member) {
+func (c *claims) release(claim tw.Claim, answers <-chan claimResponse, hall []tw.Member) {
 	claim.State = tw.ClaimReleased
 	c.table.put(claim)
 	go func() {
 		for range answers { // whatever they say
 		}
-		c.tell(claim, tw.ClaimReleased, hall)
+		c.propagate(claim, tw.ClaimReleased, hall)
 	}()
 }
 
-// ask sends a claim to peers at the same time, and yields what they answer.
-func (c *claims) ask(ctx context.Context, peers []tw.Member, claim tw.Claim) <-chan claimAnswer {
-	out := make(chan claimAnswer, len(peers))
+// sendClaim sends a claim to peers at the same time, and yields what they answer.
+func (c *claims) sendClaim(ctx context.Context, peers []tw.Member, claim tw.Claim) <-chan claimResponse {
+	out := make(chan claimResponse, len(peers))
 	var asked sync.WaitGroup
 	for _, m := range peers {
 		asked.Go(func() {
 			standing, err := c.peers.Claim(ctx, m.Address, claim)
-			out <- claimAnswer{claim: standing, err: err}
+			out <- claimResponse{claim: standing, err: err}
 		})
 	}
 	go func() {
@@ -118,15 +118,15 @@
 	return out
 }
 
-// holders ranks the hall's daemons for a key (highest random weight), this
+// replicas ranks the hall's daemons for a key (highest random weight), this
 // one left out. Daemons that see nearly the same hall ask nearly the same
 // peers.
-func (c *claims) holders(scope string, hall []tw.Member) []tw.Member {
+func (c *claims) replicas(scope string, hall []tw.Member) []tw.Member {
 	others := slices.DeleteFunc(slices.Clone(hall), func(m tw.Member) bool { return m.ID == c.self })
 	slices.SortFunc(others, func(a, b tw.Member) int {
 		return cmp.Compare(spread.Hash(scope, string(b.ID)), spread.Hash(scope, string(a.ID)))
 	})
-	return others[:min(len(others), claimHolders)]
+	return others[:min(len(others), claimReplicas)]
 }
 
 func (c *claims) count(result string) {
--- a/control/claims_test.go
+++ b/control/claims_test.go
@@ -38,13 +38,13 @@
 		all := map[tw.DaemonID]*claims{}
 		for _, m := range members {
 			all[m.ID] = &claims{
-				table:   newClaimTable(fakeclock.New(), time.Minute, 100),
-				peers:   slowClaims{network: network, from: "d1", to: "d2"},
-				self:    m.ID,
-				hall:    func() []tw.Member { return members },
-				metrics: metrics.NewSet(),
+				table:      newClaimTable(fakeclock.New(), time.Minute, 100),
+				peers:      slowClaims{network: network, from: "d1", to: "d2"},
+				self:       m.ID,
+				candidates: func() []tw.Member { return members },
+				metrics:    metrics.NewSet(),
 			}
-			network.set(m.Address, claimsOnly{all[m.ID]})
+			network.setHandler(m.Address, claimsOnly{all[m.ID]})
 		}
 		standing := tw.Claim{Scope: "key", Body: "body", Holder: "d0", Nonce: "first", State: tw.ClaimPending}
 		all["d0"].table.put(standing) // d2 has missed it, or is new
@@ -67,55 +67,55 @@
 	// It may send to instances as soon as it has the plan, but hears the other
 	// daemons only with the next heartbeat.
 	It("grants no key that the daemons in the roster hold", func() {
-		b := newBed()
-		b.pace.Sync = time.Second
+		b := newTestBed()
+		b.intervals.Sync = time.Second
 		one, _ := b.node("d1", b.platform)
 		two, _ := b.node("d2", b.platform)
-		b.apply(0)
+		b.applyConfig(0)
 		for _, n := range []*Node{one, two} {
-			Eventually(func() int { return len(n.hallMembers()) }, patient).Should(Equal(2))
+			Eventually(func() int { return len(n.hallMembers()) }, eventualTimeout).Should(Equal(2))
 		}
 		_, first := one.Claims().Claim(GinkgoT().Context(), "key", "body")
 		Expect(first.Granted).To(BeTrue())
-		b.network.setCut("d1", true) // with its caller's answer: the caller repeats
+		b.network.setIsolated("d1", true) // with its caller's answer: the caller repeats
 
 		three, view := b.node("d3", b.platform)
-		Eventually(func() bool { return view.seen().Registered }, patient, "1ms").Should(BeTrue())
+		Eventually(func() bool { return view.installedView().Registered }, eventualTimeout, "1ms").Should(BeTrue())
 		_, again := three.Claims().Claim(GinkgoT().Context(), "key", "body")
 		Expect(again.Granted).To(BeFalse())
 	})
 
 	It("grants keys by itself when the others' processes are gone", func() {
-		b := newBed()
-		b.pace.Sync = time.Second
+		b := newTestBed()
+		b.intervals.Sync = time.Second
 		one, _ := b.node("d1", b.platform)
-		b.apply(0)
+		b.applyConfig(0)
 		one.Close() // without leaving the roster
-		b.network.set("d1", nil)
+		b.network.setHandler("d1", nil)
 
 		two, view := b.node("d2", b.platform)
-		Eventually(func() bool { return view.seen().Registered }, patient, "1ms").Should(BeTrue())
+		Eventually(func() bool { return view.installedView().Registered }, eventualTimeout, "1ms").Should(BeTrue())
 		_, result := two.Claims().Claim(GinkgoT().Context(), "key", "body")
 		Expect(result.Granted).To(BeTrue())
 	})
 
 	It("grants keys beside a daemon that stays silent, once that counts as down", func() {
-		b := newBed()
-		b.pace.Sync = time.Second
+		b := newTestBed()
+		b.intervals.Sync = time.Second
 		b.node("d1", b.platform)
 		b.node("d2", b.platform)
-		b.apply(0)
-		Eventually(func() int { return len(b.roster()) }, patient).Should(Equal(2))
-		b.network.setCut("d1", true)
+		b.applyConfig(0)
+		Eventually(func() int { return len(b.roster()) }, eventualTimeout).Should(Equal(2))
+		b.network.setIsolated("d1", true)
 
 		three, view := b.node("d3", b.platform)
-		Eventually(func() bool { return view.seen().Registered }, patient, "1ms").Should(BeTrue())
+		Eventually(func() bool { return view.installedView().Registered }, eventualTimeout, "1ms").Should(BeTrue())
 		_, result := three.Claims().Claim(GinkgoT().Context(), "key", "body")
 		Expect(result.Granted).To(BeTrue(), "with the other one")
-		b.network.setCut("d2", true)
+		b.network.setIsolated("d2", true)
 		Eventually(func() bool {
 			_, alone := three.Claims().Claim(GinkgoT().Context(), "another key", "body")
 			return alone.Granted
-		}, patient).Should(BeTrue())
+		}, eventualTimeout).Should(BeTrue())
 	})
 })
--- a/control/install.go
+++ b/control/install.go
@@ -8,19 +8,19 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// installDuty gives the gateway a new view whenever something has changed,
+// installLoop gives the gateway a new view whenever something has changed,
 // and with each heartbeat, as demand and membership move the slot shares.
-func (n *Node) installDuty(ctx context.Context) {
+func (n *Node) installLoop(ctx context.Context) {
 	live := 0
 	down := n.cfg.Metrics.GetOrCreateCounter("tamarind_peers_down_total")
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.know.changed:
-		case <-n.cfg.Clock.After(n.cfg.Pace.Sync):
+		case <-n.state.viewChanged:
+		case <-n.cfg.Clock.After(n.cfg.Intervals.Sync):
 		}
-		now := n.install()
+		now := n.installView()
 		if now < live {
 			down.Add(live - now)
 		}
@@ -35,10 +35,10 @@
 	}
 }
 
-// install builds the view and, once the gateway obeys it, acknowledges the
+// installView builds the view and, once the gateway obeys it, acknowledges the
 // plan in it. It returns how many daemons of the hall are live.
-func (n *Node) install() int {
-	view := n.know.view()
+func (n *Node) installView() int {
+	view := n.state.view()
 	view.Hall = n.cfg.Self.Hall
 	view.Self = n.cfg.Self.ID
 	view.Members = n.hallMembers()
--- a/control/knowledge.go
+++ b/control/knowledge.go
@@ -7,9 +7,9 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// knowledge is the newest configuration, plan and instance list that a daemon
+// localState is the newest configuration, plan and instance list that a daemon
 // has seen. Nothing older ever replaces anything newer, wherever it is from.
-type knowledge struct {
+type localState struct {
 	mu         sync.Mutex
 	configBody json.RawMessage
 	config     *tw.FleetConfig
@@ -18,21 +18,21 @@
 	planBody   json.RawMessage
 	plan       *tw.Plan
 	list       tw.InstanceSnapshot
-	listed     bool
+	hasList    bool
 	// registered and fresh: the daemon is in the roster, and has read the
 	// plan from the store since.
-	registered bool
-	fresh      bool
-	changed    chan struct{} // holds one token, for the installer
-	news       chan struct{} // holds one token, for the planner
+	registered  bool
+	planFresh   bool
+	viewChanged chan struct{} // holds one token, for the installer
+	plannerWake chan struct{} // holds one token, for the planner
 }
 
-func newKnowledge() *knowledge {
-	return &knowledge{changed: make(chan struct{}, 1), news: make(chan struct{}, 1)}
+func newLocalState() *localState {
+	return &localState{viewChanged: make(chan struct{}, 1), plannerWake: make(chan struct{}, 1)}
 }
 
-// offerConfig takes a configuration if it is newer; it tells whether it was.
-func (k *knowledge) offerConfig(body json.RawMessage) (bool, error) {
+// updateConfig takes a configuration if it is newer; it tells whether it was.
+func (k *localState) updateConfig(body json.RawMessage) (bool, error) {
 	accepted, config, err := parseAccepted(body)
 	if err != nil {
 		return false, err
@@ -43,32 +43,32 @@
 		return false, nil
 	}
 	k.configBody, k.config, k.revision = body, config, accepted.Revision
-	k.signal()
-	token(k.news)
+	k.notifyInstaller()
+	notify(k.plannerWake)
 	return true, nil
 }
 
-// seeStored notes which revision the store has.
-func (k *knowledge) seeStored(revision tw.Revision) {
+// observeStoredRevision notes which revision the store has.
+func (k *localState) observeStoredRevision(revision tw.Revision) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.behind = revision < k.revision
 	if k.behind {
-		token(k.news)
+		notify(k.plannerWake)
 	}
 }
 
-// storeBehind tells whether the store has an older configuration.
-func (k *knowledge) storeBehind() bool {
+// isStoreBehind tells whether the store has an older configuration.
+func (k *localState) isStoreBehind() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.behind
 }
 
-// offerPlan takes a plan if it is newer. One of the same generation and a higher
+// updatePlan takes a plan if it is newer. One of the same generation and a higher
 // epoch is a planner's fence: who does not know its epoch takes itself for deposed
 // when it plans next, after the store has forgotten its leases.
-func (k *knowledge) offerPlan(body json.RawMessage) (bool, error) {
+func (k *localState) updatePlan(body json.RawMessage) (bool, error) {
 	plan := &tw.Plan{}
 	if err := json.Unmarshal(body, plan); err != nil {
 		return false, err
@@ -79,48 +79,48 @@
 		return false, nil
 	}
 	k.planBody, k.plan = body, plan
-	k.signal()
+	k.notifyInstaller()
 	return true, nil
 }
 
-// offerList takes an instance list if it is newer; it tells whether it was.
-func (k *knowledge) offerList(list tw.InstanceSnapshot) bool {
+// updateList takes an instance list if it is newer; it tells whether it was.
+func (k *localState) updateList(list tw.InstanceSnapshot) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.listed && list.Version <= k.list.Version {
+	if k.hasList && list.Version <= k.list.Version {
 		return false
 	}
-	k.list, k.listed = list, true
-	k.signal()
-	token(k.news)
+	k.list, k.hasList = list, true
+	k.notifyInstaller()
+	notify(k.plannerWake)
 	return true
 }
 
-// register notes that the daemon is in the roster. The plan must be read from
+// setRegistered notes that the daemon is in the roster. The plan must be read from
 // the store after that: what was learned before may be older than a handover
 // that no longer waits for this daemon.
-func (k *knowledge) register(in bool) {
+func (k *localState) setRegistered(in bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.registered, k.fresh = in, false
-	k.signal()
+	k.registered, k.planFresh = in, false
+	k.notifyInstaller()
 }
 
-// refreshed notes that the store's plan was read after registering.
-func (k *knowledge) refreshed() {
+// markPlanFresh notes that the store's plan was read after registering.
+func (k *localState) markPlanFresh() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.registered && !k.fresh {
-		k.fresh = true
-		k.signal()
+	if k.registered && !k.planFresh {
+		k.planFresh = true
+		k.notifyInstaller()
 	}
 }
 
-// signal wakes the installer.
-func (k *knowledge) signal() { token(k.changed) }
+// notifyInstaller wakes the installer.
+func (k *localState) notifyInstaller() { notify(k.viewChanged) }
 
-// token puts one token into a channel that may have it already.
-func token(c chan struct{}) {
+// notify puts one token into a channel that may have it already.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -128,14 +128,14 @@
 }
 
 // view is what is known; who the members are is for the caller to add.
-func (k *knowledge) view() tw.View {
+func (k *localState) view() tw.View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	view := tw.View{
 		Revision:   k.revision,
 		Config:     k.config,
 		Plan:       k.plan,
-		Registered: k.registered && k.fresh,
+		Registered: k.registered && k.planFresh,
 		Leaving:    map[tw.InstanceID]bool{},
 	}
 	for _, in := range k.list.Instances {
@@ -146,13 +146,13 @@
 	return view
 }
 
-func (k *knowledge) revisionNow() tw.Revision {
+func (k *localState) currentRevision() tw.Revision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.revision
 }
 
-func (k *knowledge) generationNow() tw.Generation {
+func (k *localState) currentGeneration() tw.Generation {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.plan == nil {
@@ -161,14 +161,14 @@
 	return k.plan.Generation
 }
 
-func (k *knowledge) documents() (config, plan json.RawMessage) {
+func (k *localState) documents() (config, plan json.RawMessage) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.configBody, k.planBody
 }
 
-func (k *knowledge) instances() (tw.InstanceSnapshot, bool) {
+func (k *localState) instances() (tw.InstanceSnapshot, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.list, k.listed
+	return k.list, k.hasList
 }
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -12,29 +12,29 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// heldLedger is a ledger as read, to be written by compare-and-swap.
-type heldLedger struct {
+// storedLedger is a ledger as read, to be written by compare-and-swap.
+type storedLedger struct {
 	stored platform.Document
 	ledger tw.ServiceDisruptions
 }
 
-// withBudget decides again, with the allowances that the store gives, and
+// decideWithBudget decides again, with the allowances that the store gives, and
 // enters the drains that come of it in the ledgers. Whatever goes wrong, no
 // drain is written that is not in its ledgers.
-func (p *planner) withBudget(ctx context.Context, in fleet.Input, plain fleet.Output) fleet.Output {
+func (p *planner) decideWithBudget(ctx context.Context, in fleet.Input, plain fleet.Output) fleet.Output {
 	now := p.node.cfg.Clock.Now()
-	if now.Before(p.askAt) {
+	if now.Before(p.nextLedgerRead) {
 		return plain
 	}
-	p.askAt = now.Add(p.node.jitter(ledgerPause))
-	ledgers, err := p.readLedgers(ctx, plain.Wants)
+	p.nextLedgerRead = now.Add(p.node.jitter(ledgerRetryInterval))
+	ledgers, err := p.readLedgers(ctx, plain.Deferred)
 	if err != nil {
 		return plain // no store, no planned disruption
 	}
 	in.Allowance = fleet.Allowances(fleet.BudgetInput{
 		Config:  in.Config,
-		Ledgers: plainLedgers(ledgers),
-		Plans:   p.vouchedPlans(ctx, in),
+		Ledgers: ledgerValues(ledgers),
+		Plans:   p.trustedPlans(ctx, in),
 	})
 	for service := range in.Allowance {
 		if _, read := ledgers[service]; !read {
@@ -42,7 +42,7 @@
 		}
 	}
 	out := fleet.Decide(in)
-	if err := p.enter(ctx, ledgers, out.Drains); err != nil {
+	if err := p.recordDrains(ctx, ledgers, out.Drains); err != nil {
 		p.log.Debug("planned moves wait for a ledger", zap.Error(err))
 		return plain
 	}
@@ -50,8 +50,8 @@
 }
 
 // readLedgers reads the ledgers of all services that the wanted drains touch.
-func (p *planner) readLedgers(ctx context.Context, wants []fleet.Drain) (map[tw.ServiceID]heldLedger, error) {
-	out := map[tw.ServiceID]heldLedger{}
+func (p *planner) readLedgers(ctx context.Context, wants []fleet.Drain) (map[tw.ServiceID]storedLedger, error) {
+	out := map[tw.ServiceID]storedLedger{}
 	for _, w := range wants {
 		for _, service := range w.Services {
 			if _, done := out[service]; done {
@@ -67,34 +67,34 @@
 	return out, nil
 }
 
-func (p *planner) readLedger(ctx context.Context, service tw.ServiceID) (heldLedger, error) {
+func (p *planner) readLedger(ctx context.Context, service tw.ServiceID) (storedLedger, error) {
 	stored, err := p.node.cfg.Documents.Read(ctx, tw.BudgetKey(service))
 	if err != nil {
-		return heldLedger{}, err
+		return storedLedger{}, err
 	}
-	held := heldLedger{stored: stored}
+	held := storedLedger{stored: stored}
 	if stored.Body != nil {
 		err = json.Unmarshal(stored.Body, &held.ledger)
 	}
 	return held, err
 }
 
-// vouchedPlans reads the plans of the halls whose planner holds its lease.
+// trustedPlans reads the plans of the halls whose planner holds its lease.
 // It must come after the ledgers were read.
-func (p *planner) vouchedPlans(ctx context.Context, in fleet.Input) map[tw.HallID]tw.Plan {
+func (p *planner) trustedPlans(ctx context.Context, in fleet.Input) map[tw.HallID]tw.Plan {
 	out := map[tw.HallID]tw.Plan{in.Hall: in.Plan}
 	for _, hall := range in.Config.Halls {
 		if hall == in.Hall {
 			continue
 		}
-		if plan, ok := p.vouchedPlan(ctx, hall); ok {
+		if plan, ok := p.trustedPlan(ctx, hall); ok {
 			out[hall] = plan
 		}
 	}
 	return out
 }
 
-func (p *planner) vouchedPlan(ctx context.Context, hall tw.HallID) (tw.Plan, bool) {
+func (p *planner) trustedPlan(ctx context.Context, hall tw.HallID) (tw.Plan, bool) {
 	docs := p.node.cfg.Documents
 	var plan tw.Plan
 	if _, err := docs.Holder(ctx, tw.PlannerLease(hall)); err != nil {
@@ -107,9 +107,9 @@
 	return plan, json.Unmarshal(stored.Body, &plan) == nil
 }
 
-// enter writes the drains into the ledgers, by compare-and-swap on what the
+// recordDrains writes the drains into the ledgers, by compare-and-swap on what the
 // allowances were worked out from.
-func (p *planner) enter(ctx context.Context, ledgers map[tw.ServiceID]heldLedger, drains []fleet.Drain) error {
+func (p *planner) recordDrains(ctx context.Context, ledgers map[tw.ServiceID]storedLedger, drains []fleet.Drain) error {
 	next := map[tw.ServiceID]tw.ServiceDisruptions{}
 	for _, d := range drains {
 		for _, service := range d.Services {
@@ -125,7 +125,7 @@
 		}
 	}
 	for service, ledger := range next {
-		p.owed[service] = true
+		p.ledgersToClear[service] = true
 		if _, err := p.node.cfg.Documents.Write(ctx, tw.BudgetKey(service), ledgers[service].stored, ledger); err != nil {
 			return err
 		}
@@ -133,26 +133,26 @@
 	return nil
 }
 
-// settleLedgers takes this hall's entries out again once their instances have
+// clearLedgerEntries takes this hall's entries out again once their instances have
 // drained: from then on the plan itself shows them as unavailable.
-func (p *planner) settleLedgers(ctx context.Context, config *tw.FleetConfig) {
-	for service := range p.owed {
-		if p.drains(config, service) {
+func (p *planner) clearLedgerEntries(ctx context.Context, config *tw.FleetConfig) {
+	for service := range p.ledgersToClear {
+		if p.hasDraining(config, service) {
 			continue
 		}
 		err := p.node.cfg.Documents.Update(ctx, tw.BudgetKey(service), func(body json.RawMessage) (any, error) {
-			if !p.holds() { // what was read may have a successor's entries
+			if !p.holdsLease() { // what was read may have a successor's entries
 				return nil, ErrLostLease
 			}
-			return p.withoutOwn(body)
+			return p.withoutOwnEntries(body)
 		})
 		if err == nil {
-			delete(p.owed, service)
+			delete(p.ledgersToClear, service)
 		}
 	}
 }
 
-func (p *planner) withoutOwn(body json.RawMessage) (any, error) {
+func (p *planner) withoutOwnEntries(body json.RawMessage) (any, error) {
 	if body == nil {
 		return nil, nil
 	}
@@ -170,8 +170,8 @@
 	return ledger, nil
 }
 
-// drains tells whether an instance of the service is draining here.
-func (p *planner) drains(config *tw.FleetConfig, service tw.ServiceID) bool {
+// hasDraining tells whether an instance of the service is draining here.
+func (p *planner) hasDraining(config *tw.FleetConfig, service tw.ServiceID) bool {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
 		if a.State != tw.InstanceDraining {
@@ -186,7 +186,7 @@
 	return false
 }
 
-func plainLedgers(in map[tw.ServiceID]heldLedger) map[tw.ServiceID]tw.ServiceDisruptions {
+func ledgerValues(in map[tw.ServiceID]storedLedger) map[tw.ServiceID]tw.ServiceDisruptions {
 	out := map[tw.ServiceID]tw.ServiceDisruptions{}
 	for service, held := range in {
 		out[service] = held.ledger
--- a/control/node.go
+++ b/control/node.go
@@ -26,43 +26,43 @@
 		Workers    tw.Workers
 		Peers      tw.Peers
 		Dispatcher tw.Dispatcher
-		// Seeds are peer addresses to ask while the store cannot be reached.
-		Seeds []string
-		Seed  uint64 // of random choices
-		Pace  Pace
+		// SeedAddresses are peer addresses to ask while the store cannot be reached.
+		SeedAddresses []string
+		RandomSeed    uint64 // of random choices
+		Intervals     Intervals
 	}
 
 	// Node runs a daemon's duties.
 	Node struct {
-		cfg     Config
-		log     *zap.Logger
-		know    *knowledge
-		members *members
-		claims  *claims
-		planner *planner
-		rand    *lockedRand
-		acked   atomic.Uint64
-		beat    atomic.Uint64
-		life    atomic.Uint64 // incarnation
-		ctx     context.Context
-		cancel  context.CancelFunc
-		duties  sync.WaitGroup
-		done    chan struct{}
+		cfg         Config
+		log         *zap.Logger
+		state       *localState
+		members     *memberTable
+		claims      *claims
+		planner     *planner
+		rand        *lockedRand
+		acked       atomic.Uint64
+		beat        atomic.Uint64
+		incarnation atomic.Uint64 // incarnation
+		ctx         context.Context
+		cancel      context.CancelFunc
+		loops       sync.WaitGroup
+		done        chan struct{}
 	}
 
-	// Pace is how often the duties run.
-	Pace struct {
-		Sync      time.Duration // heartbeats
-		List      time.Duration // instance list
-		Plan      time.Duration // planning at rest
-		Handover  time.Duration // planning while a handover is on its way
-		Look      time.Duration // at rest: tasks, and reports of the daemons
-		Watch     time.Duration // how long a watch waits
-		Roster    time.Duration // looking whether we are still in it
-		Lease     time.Duration // renewal of the planner's lease
-		LeaseTTL  time.Duration
-		Dead      time.Duration // silence of a peer
-		ClaimKeep time.Duration // idempotency keys
+	// Intervals is how often the duties run.
+	Intervals struct {
+		Sync           time.Duration // heartbeats
+		List           time.Duration // instance list
+		Plan           time.Duration // planning at rest
+		Handover       time.Duration // planning while a handover is on its way
+		StatusPoll     time.Duration // at rest: tasks, and reports of the daemons
+		Watch          time.Duration // how long a watch waits
+		Roster         time.Duration // looking whether we are still in it
+		Lease          time.Duration // renewal of the planner's lease
+		LeaseTTL       time.Duration
+		PeerTimeout    time.Duration // silence of a peer
+		ClaimRetention time.Duration // idempotency keys
 	}
 
 	lockedRand struct {
@@ -76,8 +76,8 @@
 
 var _ tw.PeerHandler = (*Node)(nil)
 
-// Defaults fills what was left out.
-func (p *Pace) Defaults() {
+// SetDefaults fills what was left out.
+func (p *Intervals) SetDefaults() {
 	for _, d := range []struct {
 		at   *time.Duration
 		rest time.Duration
@@ -86,13 +86,13 @@
 		{&p.List, time.Second},
 		{&p.Plan, time.Second},
 		{&p.Handover, 200 * time.Millisecond},
-		{&p.Look, 10 * time.Second},
+		{&p.StatusPoll, 10 * time.Second},
 		{&p.Watch, 25 * time.Second},
 		{&p.Roster, 15 * time.Second},
 		{&p.Lease, 3 * time.Second},
 		{&p.LeaseTTL, 10 * time.Second},
-		{&p.Dead, 3 * time.Second},
-		{&p.ClaimKeep, 10 * time.Minute},
+		{&p.PeerTimeout, 3 * time.Second},
+		{&p.ClaimRetention, 10 * time.Minute},
 	} {
 		if *d.at == 0 {
 			*d.at = d.rest
@@ -102,7 +102,7 @@
 
 // New makes a node and starts its duties; Close ends them.
 func (c Config) New() *Node {
-	c.Pace.Defaults()
+	c.Intervals.SetDefaults()
 	if c.Clock == nil {
 		c.Clock = tw.SystemClock{}
 	}
@@ -115,41 +115,41 @@
 	n := &Node{
 		cfg:     c,
 		log:     c.Log.Named("control"),
-		know:    newKnowledge(),
-		members: newMembers(c.Clock, c.Self.Hall, c.Pace.Dead),
-		rand:    &lockedRand{rand: rand.New(rand.NewPCG(c.Seed, c.Seed))},
+		state:   newLocalState(),
+		members: newMemberTable(c.Clock, c.Self.Hall, c.Intervals.PeerTimeout),
+		rand:    &lockedRand{rand: rand.New(rand.NewPCG(c.RandomSeed, c.RandomSeed))},
 		done:    make(chan struct{}),
 	}
-	n.life.Store(uint64(c.Self.Incarnation))
+	n.incarnation.Store(uint64(c.Self.Incarnation))
 	n.claims = &claims{
-		table:   newClaimTable(c.Clock, c.Pace.ClaimKeep, claimLimit),
-		peers:   c.Peers,
-		self:    c.Self.ID,
-		hall:    n.claimHolders,
-		metrics: c.Metrics,
+		table:      newClaimTable(c.Clock, c.Intervals.ClaimRetention, claimLimit),
+		peers:      c.Peers,
+		self:       c.Self.ID,
+		candidates: n.claimCandidates,
+		metrics:    c.Metrics,
 	}
 	n.planner = newPlanner(n)
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.start(n.registerDuty)
-	n.start(n.configDuty)
-	n.start(n.planDuty)
-	n.start(n.listDuty)
-	n.start(n.syncDuty)
-	n.start(n.remoteDuty)
-	n.start(n.installDuty)
-	n.start(n.planner.duty)
+	n.startLoop(n.registerLoop)
+	n.startLoop(n.configLoop)
+	n.startLoop(n.planLoop)
+	n.startLoop(n.listLoop)
+	n.startLoop(n.syncLoop)
+	n.startLoop(n.remoteLoop)
+	n.startLoop(n.installLoop)
+	n.startLoop(n.planner.loop)
 	go func() {
-		n.duties.Wait()
+		n.loops.Wait()
 		close(n.done)
 	}()
 	return n
 }
 
-// start runs a duty until the node is closed.
-func (n *Node) start(duty func(ctx context.Context)) {
-	n.duties.Add(1)
+// startLoop runs a duty until the node is closed.
+func (n *Node) startLoop(duty func(ctx context.Context)) {
+	n.loops.Add(1)
 	go func() {
-		defer n.duties.Done()
+		defer n.loops.Done()
 		duty(n.ctx)
 	}()
 }
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -18,82 +18,82 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-const patient = "10s" // for what must come, whenever
+const eventualTimeout = "10s" // for what must come, whenever
 
 var _ = Describe("a configuration", func() {
 	It("reaches every daemon and becomes a plan that serves", func() {
-		b := newBed()
+		b := newTestBed()
 		_, one := b.node("d1", b.platform)
 		_, two := b.node("d2", b.platform)
-		b.apply(0)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
-		for _, r := range []*recorder{one, two} {
-			Eventually(func() tw.Revision { return r.seen().Revision }, patient).Should(Equal(tw.Revision(1)))
+		b.applyConfig(0)
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
+		for _, r := range []*recordingDispatcher{one, two} {
+			Eventually(func() tw.Revision { return r.installedView().Revision }, eventualTimeout).Should(Equal(tw.Revision(1)))
 		}
 	})
 
 	It("reaches a daemon that is cut off from the store, through a peer", func() {
-		b := newBed()
-		store := &cutStore{Store: b.platform}
+		b := newTestBed()
+		store := &partitionableStore{Store: b.platform}
 		b.node("d1", b.platform)
 		_, two := b.node("d2", store)
-		b.apply(0)
-		Eventually(func() tw.Revision { return two.seen().Revision }, patient).Should(Equal(tw.Revision(1)))
-		store.set(true)
-		b.apply(1)
-		Eventually(func() tw.Revision { return two.seen().Revision }, patient).Should(Equal(tw.Revision(2)))
+		b.applyConfig(0)
+		Eventually(func() tw.Revision { return two.installedView().Revision }, eventualTimeout).Should(Equal(tw.Revision(1)))
+		store.setUnavailable(true)
+		b.applyConfig(1)
+		Eventually(func() tw.Revision { return two.installedView().Revision }, eventualTimeout).Should(Equal(tw.Revision(2)))
 	})
 
 	It("does not revert when the store comes back older", func() {
-		b := newBed()
+		b := newTestBed()
 		_, one := b.node("d1", b.platform)
-		b.apply(0)
+		b.applyConfig(0)
 		older, err := b.platform.Get(GinkgoT().Context(), tw.ConfigKey)
 		Expect(err).NotTo(HaveOccurred())
-		b.apply(1)
-		Eventually(func() tw.Revision { return one.seen().Revision }, patient).Should(Equal(tw.Revision(2)))
+		b.applyConfig(1)
+		Eventually(func() tw.Revision { return one.installedView().Revision }, eventualTimeout).Should(Equal(tw.Revision(2)))
 		b.platform.Restore(tw.ConfigKey, older)
-		Consistently(func() tw.Revision { return one.seen().Revision }, "300ms").Should(Equal(tw.Revision(2)))
-		Eventually(func() tw.Revision { return b.revision() }, patient).Should(Equal(tw.Revision(2)), "the planner puts it back")
+		Consistently(func() tw.Revision { return one.installedView().Revision }, "300ms").Should(Equal(tw.Revision(2)))
+		Eventually(func() tw.Revision { return b.revision() }, eventualTimeout).Should(Equal(tw.Revision(2)), "the planner puts it back")
 	})
 
 	It("is not accepted over a store that is behind the daemons", func() {
-		b := newBed()
+		b := newTestBed()
 		_, one := b.node("d1", b.platform)
-		b.apply(0)
+		b.applyConfig(0)
 		older, err := b.platform.Get(GinkgoT().Context(), tw.ConfigKey)
 		Expect(err).NotTo(HaveOccurred())
-		b.apply(1)
-		Eventually(func() tw.Revision { return one.seen().Revision }, patient).Should(Equal(tw.Revision(2)))
-		Eventually(func() bool { return one.seen().Registered }, patient).Should(BeTrue())
+		b.applyConfig(1)
+		Eventually(func() tw.Revision { return one.installedView().Revision }, eventualTimeout).Should(Equal(tw.Revision(2)))
+		Eventually(func() bool { return one.installedView().Registered }, eventualTimeout).Should(BeTrue())
 		b.platform.Restore(tw.ConfigKey, older)
-		_, err = b.operator.Apply(GinkgoT().Context(), source+"# late\n", "test", 1)
-		var conflict *Conflict
+		_, err = b.operator.Apply(GinkgoT().Context(), testConfig+"# late\n", "test", 1)
+		var conflict *ConflictError
 		if !errors.As(err, &conflict) { // the planner may have put it back already
 			Expect(err).To(MatchError(ErrStoreBehind))
 		}
 	})
 
 	It("is not lost on a fresh daemon that cannot reach the store", func() {
-		b := newBed()
+		b := newTestBed()
 		b.node("d1", b.platform)
-		b.apply(0)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
-		store := &cutStore{Store: b.platform, cut: true}
+		b.applyConfig(0)
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
+		store := &partitionableStore{Store: b.platform, unavailable: true}
 		_, two := b.node("d2", store)
-		Eventually(func() tw.Revision { return two.seen().Revision }, patient).Should(Equal(tw.Revision(1)))
-		Expect(two.seen().Registered).To(BeFalse())
-		store.set(false)
-		Eventually(func() bool { return two.seen().Registered }, patient).Should(BeTrue())
+		Eventually(func() tw.Revision { return two.installedView().Revision }, eventualTimeout).Should(Equal(tw.Revision(1)))
+		Expect(two.installedView().Registered).To(BeFalse())
+		store.setUnavailable(false)
+		Eventually(func() bool { return two.installedView().Registered }, eventualTimeout).Should(BeTrue())
 	})
 
 	It("is taken from one operator of two, and the other is told", func() {
-		b := newBed()
-		b.apply(0)
+		b := newTestBed()
+		b.applyConfig(0)
 		results := make(chan error, 2)
 		for _, who := range []string{"ama", "salim"} {
 			go func() {
-				_, err := b.operator.Apply(context.Background(), source+"# "+who+"\n", who, 1)
+				_, err := b.operator.Apply(context.Background(), testConfig+"# "+who+"\n", who, 1)
 				results <- err
 			}()
 		}
@@ -102,7 +102,7 @@
 			first, second = second, first
 		}
 		Expect(first).NotTo(HaveOccurred())
-		var conflict *Conflict
+		var conflict *ConflictError
 		Expect(second).To(BeAssignableToTypeOf(conflict))
 		current, err := b.operator.Get(GinkgoT().Context())
 		Expect(err).NotTo(HaveOccurred())
@@ -112,12 +112,12 @@
 
 var _ = Describe("a move", func() {
 	// drained starts two daemons, and takes an instance that serves away.
-	drained := func() (b *bed, one, two *recorder, id tw.InstanceID) {
-		b = newBed()
+	drained := func() (b *testBed, one, two *recordingDispatcher, id tw.InstanceID) {
+		b = newTestBed()
 		_, one = b.node("d1", b.platform)
 		_, two = b.node("d2", b.platform)
-		b.apply(0)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
+		b.applyConfig(0)
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		plan := b.plan()
 		for i := range plan.Instances {
 			if plan.Instances[i].Serves("j") {
@@ -131,24 +131,24 @@
 		b, _, two, id := drained()
 		two.setLoads(tw.Load{Instance: id, Job: "j", InFlight: 1})
 		b.platform.SetPhase(id, tw.PhaseLeaving)
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceDraining))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceDraining))
 		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		two.setLoads()
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceOut))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceOut))
 	})
 
 	It("waits for work in flight on an instance that the list loses for a moment", func() {
 		b, _, two, id := drained()
-		Eventually(func() tw.PlacementState { return b.pendingState() }, patient).Should(BeEmpty())
+		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
 		two.setLoads(tw.Load{Instance: id, Job: "j", InFlight: 1})
 		lost := b.platform.Instance(id)
 		b.platform.RemoveInstance(id)
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).ShouldNot(Equal(tw.InstanceServing))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).ShouldNot(Equal(tw.InstanceServing))
 		Expect(b.state(id)).To(Equal(tw.InstanceDraining))
 		b.platform.SetInstance(lost)
 		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		two.setLoads()
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceSpare))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceSpare))
 	})
 
 	It("waits for a daemon that is cut off, while a spare serves", func() {
@@ -157,69 +157,69 @@
 		if holder, err := b.platform.Holder(GinkgoT().Context(), tw.PlannerLease("h1")); err == nil && holder.Holder == "d1" {
 			planner = "d2"
 		}
-		b.network.setCut(planner, true) // the one that does not plan
+		b.network.setIsolated(planner, true) // the one that does not plan
 		b.platform.SetPhase(id, tw.PhaseLeaving)
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceDraining))
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceDraining))
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
-		b.network.setCut(planner, false)
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceOut))
+		b.network.setIsolated(planner, false)
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceOut))
 	})
 
 	It("waits for work in flight at a daemon that the store's roster has lost", func() {
-		b := newBed()
-		b.pace.Roster = time.Minute // the daemon has not looked yet whether it is still there
+		b := newTestBed()
+		b.intervals.Roster = time.Minute // the daemon has not looked yet whether it is still there
 		b.node("d1", b.platform)
-		b.apply(0)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
+		b.applyConfig(0)
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		older, err := b.platform.Get(GinkgoT().Context(), tw.RosterKey("h1"))
 		Expect(err).NotTo(HaveOccurred())
 		_, two := b.node("d2", b.platform)
-		Eventually(func() bool { return two.seen().Registered }, patient).Should(BeTrue())
+		Eventually(func() bool { return two.installedView().Registered }, eventualTimeout).Should(BeTrue())
 		Expect(b.roster()).To(HaveLen(2))
 		id := firstServing(b)
 		two.setLoads(tw.Load{Instance: id, Job: "j", InFlight: 1})
 		b.platform.Restore(tw.RosterKey("h1"), older)
 		b.platform.SetPhase(id, tw.PhaseLeaving)
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).ShouldNot(Equal(tw.InstanceServing))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).ShouldNot(Equal(tw.InstanceServing))
 		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		two.setLoads()
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceOut))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceOut))
 	})
 
 	It("waits no longer for a daemon that is attested to be gone", func() {
 		b, _, _, id := drained()
-		Expect(b.operator.documents.Update(GinkgoT().Context(), tw.RosterKey("h1"), addGhost)).To(Succeed())
+		Expect(b.operator.documents.Update(GinkgoT().Context(), tw.RosterKey("h1"), addUnreachableDaemon)).To(Succeed())
 		b.platform.SetPhase(id, tw.PhaseLeaving)
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceDraining))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceDraining))
 		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
 		Expect(b.operator.Forget(GinkgoT().Context(), "h1", "ghost")).To(Succeed())
-		Eventually(func() tw.InstanceState { return b.state(id) }, patient).Should(Equal(tw.InstanceOut))
+		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceOut))
 	})
 })
 
 // plannerFault is something that happens to the one that plans.
-var plannerFaults = map[string]func(b *bed, store *cutStore){
-	"loses the answers of its writes": func(b *bed, _ *cutStore) {
+var plannerFaults = map[string]func(b *testBed, store *partitionableStore){
+	"loses the answers of its writes": func(b *testBed, _ *partitionableStore) {
 		b.platform.SetFaults(standin.Faults{LoseAnswers: 30})
 	},
-	"finds the store slow": func(b *bed, _ *cutStore) {
+	"finds the store slow": func(b *testBed, _ *partitionableStore) {
 		b.platform.SetFaults(standin.Faults{Delay: tw.Duration(20 * time.Millisecond)})
 	},
-	"is cut off from the store past its lease": func(_ *bed, store *cutStore) {
-		store.set(true)
+	"is cut off from the store past its lease": func(_ *testBed, store *partitionableStore) {
+		store.setUnavailable(true)
 	},
-	"finds the store down for a while": func(b *bed, _ *cutStore) {
+	"finds the store down for a while": func(b *testBed, _ *partitionableStore) {
 		b.platform.SetFaults(standin.Faults{Down: true})
-		time.Sleep(2 * fast.LeaseTTL)
+		time.Sleep(2 * fastIntervals.LeaseTTL)
 		b.platform.SetFaults(standin.Faults{})
 	},
-	"finds an older plan in the store": func(b *bed, _ *cutStore) {
+	"finds an older plan in the store": func(b *testBed, _ *partitionableStore) {
 		key := tw.PlanKey("h1")
 		item, err := b.platform.Get(context.Background(), key)
 		Expect(err).NotTo(HaveOccurred())
 		b.platform.SetPhase("w3", tw.PhaseLeaving)
-		Eventually(func() tw.InstanceState { return b.state("w3") }, patient).Should(Equal(tw.InstanceOut))
+		Eventually(func() tw.InstanceState { return b.state("w3") }, eventualTimeout).Should(Equal(tw.InstanceOut))
 		b.platform.Restore(key, item)
 	},
 }
@@ -227,45 +227,45 @@
 var _ = Describe("the planner of a hall", func() {
 	for _, name := range slices.Sorted(maps.Keys(plannerFaults)) {
 		It(name+": losses are made good, generations only grow", func() {
-			b := newBed()
-			store := &cutStore{Store: b.platform}
+			b := newTestBed()
+			store := &partitionableStore{Store: b.platform}
 			_, one := b.node("d1", store)
-			b.apply(0)
-			Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
+			b.applyConfig(0)
+			Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 			_, two := b.node("d2", b.platform)
-			Eventually(func() bool { return two.seen().Registered }, patient).Should(BeTrue())
+			Eventually(func() bool { return two.installedView().Registered }, eventualTimeout).Should(BeTrue())
 			grows := watchGenerations(one, two)
 			plannerFaults[name](b, store)
 			b.platform.RemoveInstance(firstServing(b))
-			Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
-			Eventually(func() tw.Generation { return two.seen().Plan.Generation }, patient).
+			Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
+			Eventually(func() tw.Generation { return two.installedView().Plan.Generation }, eventualTimeout).
 				Should(BeNumerically(">=", b.plan().Generation))
 			Expect(grows()).To(BeTrue())
 		})
 	}
 
 	It("takes the lease once, also when the store has forgotten its epochs", func() {
-		b := newBed()
+		b := newTestBed()
 		core, logs := observer.New(zap.InfoLevel)
 		b.log = zap.New(core)
-		b.apply(0)
+		b.applyConfig(0)
 		_, err := b.operator.documents.Write(GinkgoT().Context(), tw.PlanKey("h1"), platform.Document{}, tw.Plan{Hall: "h1", Generation: 5, Epoch: 50})
 		Expect(err).NotTo(HaveOccurred())
 		b.node("d1", b.platform)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		Expect(b.plan().Epoch).To(Equal(tw.Epoch(51)))
 		before := b.platform.Calls().Writes
-		Eventually(func() int { return b.platform.Calls().Writes - before }, patient).Should(BeNumerically(">=", 5)) // renewals
+		Eventually(func() int { return b.platform.Calls().Writes - before }, eventualTimeout).Should(BeNumerically(">=", 5)) // renewals
 		Expect(logs.FilterMessage("planning for the hall").Len()).To(Equal(1))
 	})
 
 	It("plans on when its predecessor's epoch is above its own, though it knew that plan already", func() {
-		b := newBed()
+		b := newTestBed()
 		b.node("d1", b.platform)
 		b.node("d2", b.platform)
-		b.apply(0)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
-		Eventually(func() tw.PlacementState { return b.pendingState() }, patient).Should(BeEmpty())
+		b.applyConfig(0)
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
+		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
 		// As a planner leaves it that took over after the store forgot its leases:
 		// its fence has an epoch above the plan's, and the lease counts from 1 again.
 		Expect(b.operator.documents.Update(GinkgoT().Context(), tw.PlanKey("h1"), func(body json.RawMessage) (any, error) {
@@ -276,36 +276,36 @@
 		})).To(Succeed())
 		lost := firstServing(b)
 		b.platform.RemoveInstance(lost)
-		Eventually(func() tw.InstanceState { return b.state(lost) }, patient).Should(BeEmpty())
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
+		Eventually(func() tw.InstanceState { return b.state(lost) }, eventualTimeout).Should(BeEmpty())
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 	})
 
 	It("fences its predecessor by writing the plan before anything else", func() {
-		b := newBed()
+		b := newTestBed()
 		one, _ := b.node("d1", b.platform)
-		b.apply(0)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
-		Eventually(func() tw.PlacementState { return b.pendingState() }, patient).Should(BeEmpty())
+		b.applyConfig(0)
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
+		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
 		before := b.plan()
 		one.Close() // as a process that is paused for ever
-		b.network.setCut("d1", true)
+		b.network.setIsolated("d1", true)
 		b.node("d2", b.platform)
-		Eventually(func() tw.Epoch { return b.plan().Epoch }, patient).Should(BeNumerically(">", before.Epoch))
+		Eventually(func() tw.Epoch { return b.plan().Epoch }, eventualTimeout).Should(BeNumerically(">", before.Epoch))
 		Expect(b.plan().Generation).To(Equal(before.Generation))
 	})
 
 	It("fences a former life of its own daemon, which had the same epoch", func() {
-		b := newBed()
+		b := newTestBed()
 		one, _ := b.node("d1", b.platform)
-		b.apply(0)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
-		Eventually(func() tw.PlacementState { return b.pendingState() }, patient).Should(BeEmpty())
+		b.applyConfig(0)
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
+		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
 		one.Close() // as a process that was killed, with a write still on its way
 		late, err := b.platform.Get(GinkgoT().Context(), tw.PlanKey("h1"))
 		Expect(err).NotTo(HaveOccurred())
 		two, _ := b.start("d1", 2, b.platform)
 		DeferCleanup(two.Close)
-		Eventually(func() bool { return two.planner.held.Load() }, patient).Should(BeTrue())
+		Eventually(func() bool { return two.planner.leaseHeld.Load() }, eventualTimeout).Should(BeTrue())
 		Eventually(func() tw.Version {
 			item, err := b.platform.Get(context.Background(), tw.PlanKey("h1"))
 			Expect(err).NotTo(HaveOccurred())
@@ -316,19 +316,19 @@
 	})
 
 	It("is one daemon at a time", func() {
-		b := newBed()
+		b := newTestBed()
 		one, _ := b.node("d1", b.platform)
 		two, _ := b.node("d2", b.platform)
-		b.apply(0)
-		Eventually(func() int { return serving(b.plan()) }, patient).Should(Equal(2))
+		b.applyConfig(0)
+		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		for range 50 {
-			Expect(one.planner.held.Load() && two.planner.held.Load()).To(BeFalse())
+			Expect(one.planner.leaseHeld.Load() && two.planner.leaseHeld.Load()).To(BeFalse())
 			time.Sleep(5 * time.Millisecond)
 		}
 	})
 })
 
-func firstServing(b *bed) tw.InstanceID {
+func firstServing(b *testBed) tw.InstanceID {
 	plan := b.plan()
 	for i := range plan.Instances {
 		if plan.Instances[i].Serves("j") {
@@ -340,7 +340,7 @@
 
 // watchGenerations looks on while something happens; the function it returns
 // tells whether no daemon went back.
-func watchGenerations(all ...*recorder) func() bool {
+func watchGenerations(all ...*recordingDispatcher) func() bool {
 	done := make(chan struct{})
 	result := make(chan bool, 1)
 	go func() {
@@ -348,7 +348,7 @@
 		good := true
 		for {
 			for i, r := range all {
-				if plan := r.seen().Plan; plan != nil {
+				if plan := r.installedView().Plan; plan != nil {
 					good = good && plan.Generation >= last[i]
 					last[i] = plan.Generation
 				}
--- a/control/operator.go
+++ b/control/operator.go
@@ -29,9 +29,9 @@
 		clock     tw.Clock
 	}
 
-	// Conflict is an apply that was made from a revision that is no longer
+	// ConflictError is an apply that was made from a revision that is no longer
 	// the newest.
-	Conflict struct {
+	ConflictError struct {
 		Base    tw.Revision
 		Current tw.AcceptedConfig
 	}
@@ -46,8 +46,8 @@
 	}
 )
 
-// lookEvery is how often WaitInForce asks the daemons.
-const lookEvery = 50 * time.Millisecond
+// daemonPollInterval is how often WaitInForce asks the daemons.
+const daemonPollInterval = 50 * time.Millisecond
 
 // New makes an operator.
 func (c OperatorConfig) New() *Operator {
@@ -55,14 +55,14 @@
 }
 
 // Error tells who was first.
-func (c *Conflict) Error() string {
+func (c *ConflictError) Error() string {
 	return fmt.Sprintf("made from revision %d, but revision %d by %s is in force: look at the difference and apply again",
 		c.Base, c.Current.Revision, nameOr(c.Current.Operator, "somebody"))
 }
 
 // Get reads the accepted configuration; revision 0 means none.
 func (o *Operator) Get(ctx context.Context) (tw.AcceptedConfig, error) {
-	current, _, err := o.read(ctx)
+	current, _, err := o.readConfig(ctx)
 	return current, err
 }
 
@@ -72,12 +72,12 @@
 	if _, err := ParseConfig(source); err != nil {
 		return tw.AcceptedConfig{}, err
 	}
-	current, stored, err := o.read(ctx)
+	current, stored, err := o.readConfig(ctx)
 	if err != nil {
 		return tw.AcceptedConfig{}, err
 	}
 	if current.Revision != base {
-		return tw.AcceptedConfig{}, &Conflict{Base: base, Current: current}
+		return tw.AcceptedConfig{}, &ConflictError{Base: base, Current: current}
 	}
 	if err := o.checkStore(ctx, current); err != nil {
 		return tw.AcceptedConfig{}, err
@@ -94,7 +94,7 @@
 		if err != nil {
 			return tw.AcceptedConfig{}, err
 		}
-		return tw.AcceptedConfig{}, &Conflict{Base: base, Current: winner}
+		return tw.AcceptedConfig{}, &ConflictError{Base: base, Current: winner}
 	}
 	return next, err
 }
@@ -135,7 +135,7 @@
 	}
 	var asked sync.WaitGroup
 	for i := range out {
-		asked.Go(func() { o.ask(ctx, &out[i]) })
+		asked.Go(func() { o.queryDaemon(ctx, &out[i]) })
 	}
 	asked.Wait()
 	return out, nil
@@ -178,22 +178,22 @@
 	return err
 }
 
-// WaitInForce waits until every registered daemon has the revision.
-func (o *Operator) WaitInForce(ctx context.Context, halls []tw.HallID, revision tw.Revision) ([]DaemonState, error) {
+// WaitForRevision waits until every registered daemon has the revision.
+func (o *Operator) WaitForRevision(ctx context.Context, halls []tw.HallID, revision tw.Revision) ([]DaemonState, error) {
 	for {
 		daemons, err := o.Daemons(ctx, halls)
-		if err == nil && allAt(daemons, revision) {
+		if err == nil && allAtRevision(daemons, revision) {
 			return daemons, nil
 		}
 		select {
 		case <-ctx.Done():
 			return daemons, errors.Wrapf(ctx.Err(), "waiting for revision %d", revision)
-		case <-o.clock.After(lookEvery):
+		case <-o.clock.After(daemonPollInterval):
 		}
 	}
 }
 
-func allAt(daemons []DaemonState, revision tw.Revision) bool {
+func allAtRevision(daemons []DaemonState, revision tw.Revision) bool {
 	for _, d := range daemons {
 		if !d.Reached || d.Revision < revision {
 			return false
@@ -202,7 +202,7 @@
 	return true
 }
 
-func (o *Operator) ask(ctx context.Context, d *DaemonState) {
+func (o *Operator) queryDaemon(ctx context.Context, d *DaemonState) {
 	resp, err := o.peers.Sync(ctx, d.Address, tw.SyncRequest{Self: tw.Member{Revision: ^tw.Revision(0)}, WantReport: true})
 	if err != nil || resp.Self.ID != d.ID || resp.Self.Report == nil {
 		return
@@ -210,7 +210,7 @@
 	d.Reached, d.Revision, d.Acked = true, resp.Self.Revision, resp.Self.Report.Acked
 }
 
-func (o *Operator) read(ctx context.Context) (tw.AcceptedConfig, platform.Document, error) {
+func (o *Operator) readConfig(ctx context.Context) (tw.AcceptedConfig, platform.Document, error) {
 	var current tw.AcceptedConfig
 	stored, err := o.documents.Read(ctx, tw.ConfigKey)
 	if err != nil || stored.Body == nil {
--- a/control/parts_test.go
+++ b/control/parts_test.go
@@ -17,7 +17,7 @@
 	"github.com/tamarindworks/tamarindworks/internal/fakeclock"
 )
 
-func addGhost(body json.RawMessage) (any, error) {
+func addUnreachableDaemon(body json.RawMessage) (any, error) {
 	var roster tw.Roster
 	if err := json.Unmarshal(body, &roster); err != nil {
 		return nil, err
@@ -27,25 +27,25 @@
 
 var _ = Describe("knowledge", func() {
 	It("never takes anything older, in any order", func() {
-		k := newKnowledge()
+		k := newLocalState()
 		for _, step := range []struct {
 			revision tw.Revision
 			took     bool
 		}{{3, true}, {2, false}, {3, false}, {5, true}, {4, false}} {
-			took, err := k.offerConfig(accepted(step.revision))
+			took, err := k.updateConfig(acceptedConfigJSON(step.revision))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(took).To(Equal(step.took), "revision %d", step.revision)
 		}
-		Expect(k.revisionNow()).To(Equal(tw.Revision(5)))
+		Expect(k.currentRevision()).To(Equal(tw.Revision(5)))
 	})
 
 	It("does not count as registered before the plan was read again", func() {
-		k := newKnowledge()
-		k.refreshed()
-		k.register(true)
+		k := newLocalState()
+		k.markPlanFresh()
+		k.setRegistered(true)
 		view := k.view()
 		Expect(view.Registered).To(BeFalse())
-		k.refreshed()
+		k.markPlanFresh()
 		view = k.view()
 		Expect(view.Registered).To(BeTrue())
 	})
@@ -86,9 +86,9 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
 		It(name, func() {
-			t := newMembers(fakeclock.New(), "", time.Second)
-			t.hear(rows[name].first, true)
-			t.hear(rows[name].second, rows[name].direct)
+			t := newMemberTable(fakeclock.New(), "", time.Second)
+			t.update(rows[name].first, true)
+			t.update(rows[name].second, rows[name].direct)
 			got, ok := t.get("", rows[name].want.Incarnation)
 			Expect(ok).To(BeTrue())
 			Expect(got.Member).To(Equal(rows[name].want))
@@ -97,16 +97,16 @@
 
 	It("takes a life with a lower number once the other is down", func() {
 		clock := fakeclock.New()
-		t := newMembers(clock, "", time.Second)
+		t := newMemberTable(clock, "", time.Second)
 		all := func(tw.Member) bool { return true }
-		t.hear(tw.Member{ID: "a", Incarnation: 9, Beat: 1}, true)
+		t.update(tw.Member{ID: "a", Incarnation: 9, Beat: 1}, true)
 		later := tw.Member{ID: "a", Incarnation: 8, Beat: 1} // its clock went back while it was away
-		t.hear(later, true)
+		t.update(later, true)
 		Expect(t.live(all)[0].Incarnation).To(Equal(tw.Incarnation(9)))
 		clock.Advance(2 * time.Second)
-		t.hear(later, false)
+		t.update(later, false)
 		Expect(t.live(all)).To(BeEmpty(), "hearsay may be of an earlier life")
-		t.hear(later, true)
+		t.update(later, true)
 		Expect(t.live(all)).To(HaveLen(1))
 		Expect(t.live(all)[0].Incarnation).To(Equal(tw.Incarnation(8)))
 	})
@@ -115,22 +115,22 @@
 	It("agrees with another table on a life with a lower number", func() {
 		clock := fakeclock.New()
 		all := func(tw.Member) bool { return true }
-		one, two := newMembers(clock, "", time.Second), newMembers(clock, "", time.Second)
+		one, two := newMemberTable(clock, "", time.Second), newMemberTable(clock, "", time.Second)
 		former := tw.Member{ID: "a", Incarnation: 9, Beat: 1}
-		one.hear(former, true)
+		one.update(former, true)
 		clock.Advance(500 * time.Millisecond)
-		two.hear(former, true)
+		two.update(former, true)
 		beat := uint64(0)
 		exchange := func() {
 			clock.Advance(100 * time.Millisecond)
 			beat++
-			one.hear(tw.Member{ID: "a", Incarnation: 8, Beat: beat}, true)
-			two.hear(tw.Member{ID: "a", Incarnation: 8, Beat: beat}, true)
-			for _, m := range one.freshest(1, all) {
-				two.hear(m, false)
+			one.update(tw.Member{ID: "a", Incarnation: 8, Beat: beat}, true)
+			two.update(tw.Member{ID: "a", Incarnation: 8, Beat: beat}, true)
+			for _, m := range one.mostRecent(1, all) {
+				two.update(m, false)
 			}
-			for _, m := range two.freshest(1, all) {
-				one.hear(m, false)
+			for _, m := range two.mostRecent(1, all) {
+				one.update(m, false)
 			}
 		}
 		for range 50 {
@@ -145,12 +145,12 @@
 
 	It("counts a silent daemon as down", func() {
 		clock := fakeclock.New()
-		t := newMembers(clock, "", time.Second)
-		t.hear(tw.Member{ID: "a", Incarnation: 1, Beat: 1}, true)
+		t := newMemberTable(clock, "", time.Second)
+		t.update(tw.Member{ID: "a", Incarnation: 1, Beat: 1}, true)
 		all := func(tw.Member) bool { return true }
 		Expect(t.live(all)).To(HaveLen(1))
 		clock.Advance(2 * time.Second)
-		t.hear(tw.Member{ID: "a", Incarnation: 1, Beat: 1}, false) // old news
+		t.update(tw.Member{ID: "a", Incarnation: 1, Beat: 1}, false) // old news
 		Expect(t.live(all)).To(BeEmpty())
 	})
 })
@@ -172,15 +172,15 @@
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
 		It(name, func() {
 			clock := fakeclock.New()
-			a := newAbsence(clock)
+			a := newAbsenceTracker(clock)
 			list := tw.InstanceSnapshot{Instances: rows[name].list}
 			daemon := tw.RosterMember{ID: "d1", Instance: "e1", Incarnation: 1}
 			gone := func() bool {
-				a.see(list)
-				return a.gone(daemon, list)
+				a.observeList(list)
+				return a.absentTooLong(daemon, list)
 			}
 			Expect(gone()).To(BeFalse())
-			clock.Advance(absentFor - time.Second)
+			clock.Advance(absenceTimeout - time.Second)
 			Expect(gone()).To(BeFalse())
 			clock.Advance(time.Second)
 			Expect(gone()).To(Equal(rows[name].gone))
@@ -192,7 +192,7 @@
 var peerImplementations = map[string]func(h tw.PeerHandler) (tw.Peers, string){
 	"in memory": func(h tw.PeerHandler) (tw.Peers, string) {
 		n := newNetwork()
-		n.set("peer", h)
+		n.setHandler("peer", h)
 		return n, "peer"
 	},
 	"over connect-go": func(h tw.PeerHandler) (tw.Peers, string) {
@@ -258,13 +258,13 @@
 		}
 		for _, m := range members {
 			c := &claims{
-				table:   newClaimTable(fakeclock.New(), time.Minute, 100),
-				peers:   network,
-				self:    m.ID,
-				hall:    func() []tw.Member { return members },
-				metrics: metrics.NewSet(),
+				table:      newClaimTable(fakeclock.New(), time.Minute, 100),
+				peers:      network,
+				self:       m.ID,
+				candidates: func() []tw.Member { return members },
+				metrics:    metrics.NewSet(),
 			}
-			network.set(m.Address, claimsOnly{c})
+			network.setHandler(m.Address, claimsOnly{c})
 			all = append(all, c)
 		}
 		return network, all
@@ -278,14 +278,14 @@
 				holder := k % n
 				_, first := all[holder].Claim(GinkgoT().Context(), scope, "body")
 				Expect(first.Granted).To(BeTrue())
-				network.setCut(fmt.Sprintf("d%d", holder), true)
+				network.setIsolated(fmt.Sprintf("d%d", holder), true)
 				for i, c := range all {
 					if i != holder {
 						_, again := c.Claim(GinkgoT().Context(), scope, "body")
 						Expect(again.Granted).To(BeFalse(), "%s at d%d", scope, i)
 					}
 				}
-				network.setCut(fmt.Sprintf("d%d", holder), false)
+				network.setIsolated(fmt.Sprintf("d%d", holder), false)
 			}
 		})
 	}
@@ -301,12 +301,12 @@
 				all[1].Settle(again, tw.ClaimReleased)
 			}
 			return result.Granted
-		}, patient).Should(BeTrue())
+		}, eventualTimeout).Should(BeTrue())
 	})
 
 	It("are not granted if nobody else could keep them", func() {
 		network, all := hall(2)
-		network.setCut("d1", true)
+		network.setIsolated("d1", true)
 		_, result := all[0].Claim(GinkgoT().Context(), "key", "body")
 		Expect(result.Granted).To(BeFalse())
 		Expect(result.Existing.Holder).To(BeEmpty())
@@ -314,7 +314,7 @@
 
 	It("are granted by one daemon alone when the other's process is gone", func() {
 		network, all := hall(2)
-		network.set("d1", nil)
+		network.setHandler("d1", nil)
 		_, result := all[0].Claim(GinkgoT().Context(), "key", "body")
 		Expect(result.Granted).To(BeTrue())
 	})
--- a/control/planner.go
+++ b/control/planner.go
@@ -17,49 +17,49 @@
 // planner plans for its hall while it holds the hall's lease. Only its duty
 // touches it.
 type planner struct {
-	node    *Node
-	log     *zap.Logger
-	held    atomic.Bool
-	until   time.Time // the lease surely holds until then, by our own clock
-	renewAt time.Time
-	granted tw.Epoch          // the lease's
-	epoch   tw.Epoch          // the plans'; the same, unless the store has forgotten it
-	stored  platform.Document // the plan as last read or written
-	loaded  bool
-	fenced  bool // nothing that was sent before the lease was taken can replace the plan
-	plan    tw.Plan
-	tasks   []tw.Task
-	known   bool      // tasks are those of the platform
-	lookAt  time.Time // when to look closely though nothing is pending
-	busy    *busyMeter
-	absent  *absence
-	owed    map[tw.ServiceID]bool // ledgers that may have entries of this hall
-	askAt   time.Time             // when to ask the ledgers again
+	node           *Node
+	log            *zap.Logger
+	leaseHeld      atomic.Bool
+	leaseUntil     time.Time // the lease surely holds until then, by our own clock
+	renewAt        time.Time
+	leaseEpoch     tw.Epoch          // the lease's
+	planEpoch      tw.Epoch          // the plans'; the same, unless the store has forgotten it
+	stored         platform.Document // the plan as last read or written
+	loaded         bool
+	fenced         bool // nothing that was sent before the lease was taken can replace the plan
+	plan           tw.Plan
+	tasks          []tw.Task
+	tasksKnown     bool      // tasks are those of the platform
+	nextPoll       time.Time // when to look closely though nothing is pending
+	busy           *busyMeter
+	absences       *absenceTracker
+	ledgersToClear map[tw.ServiceID]bool // ledgers that may have entries of this hall
+	nextLedgerRead time.Time             // when to ask the ledgers again
 }
 
-// ledgerPause is how long to wait before asking again for a budget that was
+// ledgerRetryInterval is how long to wait before asking again for a budget that was
 // used up.
-const ledgerPause = time.Second
+const ledgerRetryInterval = time.Second
 
 func newPlanner(n *Node) *planner {
 	return &planner{
-		node:   n,
-		log:    n.cfg.Log.Named("planner"),
-		busy:   newBusyMeter(n.cfg.Clock),
-		absent: newAbsence(n.cfg.Clock),
-		owed:   map[tw.ServiceID]bool{},
+		node:           n,
+		log:            n.cfg.Log.Named("planner"),
+		busy:           newBusyMeter(n.cfg.Clock),
+		absences:       newAbsenceTracker(n.cfg.Clock),
+		ledgersToClear: map[tw.ServiceID]bool{},
 	}
 }
 
-// duty takes or renews the lease, and plans while it holds it.
-func (p *planner) duty(ctx context.Context) {
-	pace := p.node.cfg.Pace
+// loop takes or renews the lease, and plans while it holds it.
+func (p *planner) loop(ctx context.Context) {
+	pace := p.node.cfg.Intervals
 	for {
 		wait := pace.Lease
-		if p.lease(ctx) {
+		if p.ensureLease(ctx) {
 			wait = pace.Plan
-			if err := p.run(ctx); err != nil {
-				p.failed(err)
+			if err := p.runPass(ctx); err != nil {
+				p.handleError(err)
 			}
 			if p.pending() {
 				wait = pace.Handover
@@ -68,40 +68,40 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.node.know.news:
+		case <-p.node.state.plannerWake:
 		case <-p.node.cfg.Clock.After(p.node.jitter(wait)):
 		}
 	}
 }
 
-// lease makes sure that this daemon may plan now.
-func (p *planner) lease(ctx context.Context) bool {
+// ensureLease makes sure that this daemon may plan now.
+func (p *planner) ensureLease(ctx context.Context) bool {
 	clock := p.node.cfg.Clock
 	asked := clock.Now()
-	if p.held.Load() && asked.Before(p.renewAt) {
+	if p.leaseHeld.Load() && asked.Before(p.renewAt) {
 		return true
 	}
-	if !p.node.ready() || !p.held.Load() && p.anotherPlans() {
+	if !p.node.readyToPlan() || !p.leaseHeld.Load() && p.anotherDaemonPlans() {
 		return false
 	}
-	lease, err := p.node.cfg.Documents.Acquire(ctx, p.request())
+	lease, err := p.node.cfg.Documents.Acquire(ctx, p.leaseRequest())
 	switch {
 	case err == nil:
-		p.until = asked.Add(p.node.cfg.Pace.LeaseTTL)
-		p.renewAt = asked.Add(p.node.cfg.Pace.Lease)
-		if !p.held.Load() || lease.Epoch != p.granted {
-			p.take(lease.Epoch)
+		p.leaseUntil = asked.Add(p.node.cfg.Intervals.LeaseTTL)
+		p.renewAt = asked.Add(p.node.cfg.Intervals.Lease)
+		if !p.leaseHeld.Load() || lease.Epoch != p.leaseEpoch {
+			p.beginTerm(lease.Epoch)
 		}
 	case errors.Is(err, tw.ErrLeaseHeld):
-		p.drop()
+		p.endTerm()
 	}
-	return p.holds()
+	return p.holdsLease()
 }
 
-// anotherPlans tells whether a live daemon of the hall says that it plans. Then
+// anotherDaemonPlans tells whether a live daemon of the hall says that it plans. Then
 // this one need not ask the store for the lease.
-func (p *planner) anotherPlans() bool {
-	for _, m := range p.node.others(p.node.hallMembers()) {
+func (p *planner) anotherDaemonPlans() bool {
+	for _, m := range p.node.withoutSelf(p.node.hallMembers()) {
 		if m.Planning {
 			return true
 		}
@@ -109,58 +109,58 @@
 	return false
 }
 
-// holds tells whether the lease surely holds now: a process that was paused
+// holdsLease tells whether the lease surely holds now: a process that was paused
 // finds out by its own clock before it does anything.
-func (p *planner) holds() bool {
-	if p.held.Load() && !p.node.cfg.Clock.Now().Before(p.until) {
-		p.drop()
+func (p *planner) holdsLease() bool {
+	if p.leaseHeld.Load() && !p.node.cfg.Clock.Now().Before(p.leaseUntil) {
+		p.endTerm()
 	}
-	return p.held.Load()
+	return p.leaseHeld.Load()
 }
 
-func (p *planner) take(epoch tw.Epoch) {
-	p.held.Store(true)
-	p.granted, p.epoch = epoch, epoch
+func (p *planner) beginTerm(epoch tw.Epoch) {
+	p.leaseHeld.Store(true)
+	p.leaseEpoch, p.planEpoch = epoch, epoch
 	p.loaded, p.fenced = false, false
-	p.askAt, p.lookAt = time.Time{}, time.Time{}
+	p.nextLedgerRead, p.nextPoll = time.Time{}, time.Time{}
 	p.log.Info("planning for the hall", zap.Uint64("epoch", uint64(epoch)))
-	view := p.node.know.view()
+	view := p.node.state.view()
 	if view.Config != nil {
 		for _, s := range view.Config.Services {
-			p.owed[s.ID] = true
+			p.ledgersToClear[s.ID] = true
 		}
 	}
 }
 
-func (p *planner) drop() {
-	if p.held.Swap(false) {
+func (p *planner) endTerm() {
+	if p.leaseHeld.Swap(false) {
 		p.log.Info("no longer planning")
 	}
 }
 
-func (p *planner) request() tw.LeaseRequest {
+func (p *planner) leaseRequest() tw.LeaseRequest {
 	self := p.node.cfg.Self
 	return tw.LeaseRequest{
 		Name:   tw.PlannerLease(self.Hall),
 		Holder: string(self.ID),
-		TTL:    p.node.cfg.Pace.LeaseTTL,
+		TTL:    p.node.cfg.Intervals.LeaseTTL,
 	}
 }
 
 // release gives the lease back, for a planned stop.
 func (p *planner) release(ctx context.Context) {
-	if !p.held.Load() {
+	if !p.leaseHeld.Load() {
 		return
 	}
-	if err := p.node.cfg.Documents.Release(ctx, p.request()); err != nil {
+	if err := p.node.cfg.Documents.Release(ctx, p.leaseRequest()); err != nil {
 		p.log.Warn("cannot give the lease back", zap.Error(err))
 	}
 }
 
-func (p *planner) failed(err error) {
+func (p *planner) handleError(err error) {
 	switch {
 	case errors.Is(err, ErrLostLease):
-		p.drop()
+		p.endTerm()
 	case errors.Is(err, tw.ErrConflict):
 		p.loaded = false
 	default:
@@ -168,46 +168,46 @@
 	}
 }
 
-// run is one pass: look, decide, write, then order.
-func (p *planner) run(ctx context.Context) error {
-	if err := p.load(ctx); err != nil {
+// runPass is one pass: look, decide, write, then order.
+func (p *planner) runPass(ctx context.Context) error {
+	if err := p.loadPlan(ctx); err != nil {
 		return err
 	}
 	if err := p.restoreConfig(ctx); err != nil {
 		return err
 	}
-	in, ok, err := p.look(ctx)
+	in, ok, err := p.gatherInput(ctx)
 	if err != nil || !ok {
 		return err
 	}
 	out := fleet.Decide(in)
-	if len(out.Wants) > 0 {
-		out = p.withBudget(ctx, in, out)
+	if len(out.Deferred) > 0 {
+		out = p.decideWithBudget(ctx, in, out)
 	}
 	if out.Changed {
-		if err := p.write(ctx, out.Plan); err != nil {
+		if err := p.writePlan(ctx, out.Plan); err != nil {
 			return err
 		}
 		in.Plan = out.Plan
 		in.Members = nil
 		if p.pending() {
 			// The roster must be read after the plan was written.
-			if in.Members, err = p.roster(ctx); err != nil {
+			if in.Members, err = p.pollRoster(ctx); err != nil {
 				return err
 			}
 		}
 	}
-	p.settleLedgers(ctx, in.Config)
+	p.clearLedgerEntries(ctx, in.Config)
 	// Tasks that were listed after the lease had lapsed may be a successor's.
-	if !p.holds() {
+	if !p.holdsLease() {
 		return ErrLostLease
 	}
-	return p.order(ctx, fleet.Actions(in))
+	return p.sendOrders(ctx, fleet.ComputeOrders(in))
 }
 
-// load reads the stored plan once after the lease was taken. If the store has
+// loadPlan reads the stored plan once after the lease was taken. If the store has
 // come back older than what is in force here, what is in force goes on.
-func (p *planner) load(ctx context.Context) error {
+func (p *planner) loadPlan(ctx context.Context) error {
 	if p.loaded {
 		return nil
 	}
@@ -221,20 +221,20 @@
 			return errors.Wrap(err, "control: stored plan")
 		}
 	}
-	view := p.node.know.view()
+	view := p.node.state.view()
 	older := view.Plan != nil && view.Plan.Generation > plan.Generation
 	if older {
 		plan = view.Plan.Clone()
 	}
-	if plan.Epoch > p.epoch {
+	if plan.Epoch > p.planEpoch {
 		if view.Plan == nil || view.Plan.Epoch < plan.Epoch {
 			return ErrLostLease
 		}
-		p.epoch = plan.Epoch + 1 // the store has forgotten our epochs
+		p.planEpoch = plan.Epoch + 1 // the store has forgotten our epochs
 	}
 	p.stored, p.plan = stored, plan
 	// A former life of this daemon has planned under the same epoch.
-	if older || stored.Body != nil && (plan.Epoch != p.epoch || !p.fenced) {
+	if older || stored.Body != nil && (plan.Epoch != p.planEpoch || !p.fenced) {
 		if err := p.fence(ctx); err != nil {
 			return err
 		}
@@ -247,18 +247,18 @@
 // else: whatever a predecessor that was paused still has in hand, a plan or a
 // drain that it has entered in a ledger, then fails its compare-and-swap.
 func (p *planner) fence(ctx context.Context) error {
-	p.plan.Epoch = p.epoch
-	return p.write(ctx, p.plan)
+	p.plan.Epoch = p.planEpoch
+	return p.writePlan(ctx, p.plan)
 }
 
 // restoreConfig puts the configuration in force back into a store that has
 // come back with an older one.
 func (p *planner) restoreConfig(ctx context.Context) error {
-	if !p.node.know.storeBehind() {
+	if !p.node.state.isStoreBehind() {
 		return nil
 	}
 	err := p.node.cfg.Documents.Update(ctx, tw.ConfigKey, func(body json.RawMessage) (any, error) {
-		ours, _ := p.node.know.documents()
+		ours, _ := p.node.state.documents()
 		if storedRevision(body) >= storedRevision(ours) {
 			return nil, nil
 		}
@@ -266,15 +266,15 @@
 		return ours, nil
 	})
 	if err == nil {
-		p.node.know.seeStored(p.node.know.revisionNow())
+		p.node.state.observeStoredRevision(p.node.state.currentRevision())
 	}
 	return err
 }
 
-// write puts a plan into the store, if the lease still holds, and tells the
+// writePlan puts a plan into the store, if the lease still holds, and tells the
 // hall at once.
-func (p *planner) write(ctx context.Context, plan tw.Plan) error {
-	if !p.holds() {
+func (p *planner) writePlan(ctx context.Context, plan tw.Plan) error {
+	if !p.holdsLease() {
 		return ErrLostLease
 	}
 	stored, err := p.node.cfg.Documents.Write(ctx, tw.PlanKey(p.node.cfg.Self.Hall), p.stored, plan)
@@ -286,7 +286,7 @@
 		p.logChanges(plan)
 	}
 	p.stored, p.plan = stored, plan
-	_, err = p.node.know.offerPlan(stored.Body)
+	_, err = p.node.state.updatePlan(stored.Body)
 	return err
 }
 
@@ -306,8 +306,8 @@
 	return false
 }
 
-// order tells the platform. What fails is told again in the next pass.
-func (p *planner) order(ctx context.Context, orders fleet.Orders) error {
+// sendOrders tells the platform. What fails is told again in the next pass.
+func (p *planner) sendOrders(ctx context.Context, orders fleet.Orders) error {
 	workers := p.node.cfg.Workers
 	var failed error
 	for _, id := range orders.Stop {
--- a/control/planner_look.go
+++ b/control/planner_look.go
@@ -11,33 +11,33 @@
 	"github.com/tamarindworks/tamarindworks/fleet"
 )
 
-// ready tells whether this daemon knows enough to plan.
-func (n *Node) ready() bool {
-	view := n.know.view()
-	_, listed := n.know.instances()
+// readyToPlan tells whether this daemon knows enough to plan.
+func (n *Node) readyToPlan() bool {
+	view := n.state.view()
+	_, listed := n.state.instances()
 	return view.Registered && view.Config != nil && listed
 }
 
-// look gathers what a decision is made from.
-func (p *planner) look(ctx context.Context) (fleet.Input, bool, error) {
+// gatherInput gathers what a decision is made from.
+func (p *planner) gatherInput(ctx context.Context) (fleet.Input, bool, error) {
 	n := p.node
-	view := n.know.view()
-	list, listed := n.know.instances()
+	view := n.state.view()
+	list, listed := n.state.instances()
 	if view.Config == nil || !listed {
 		return fleet.Input{}, false, nil
 	}
-	if p.pending() || !n.cfg.Clock.Now().Before(p.lookAt) {
-		p.lookAt = n.cfg.Clock.Now().Add(n.cfg.Pace.Look)
-		p.lookClosely(ctx)
+	if p.pending() || !n.cfg.Clock.Now().Before(p.nextPoll) {
+		p.nextPoll = n.cfg.Clock.Now().Add(n.cfg.Intervals.StatusPoll)
+		p.pollStatus(ctx)
 	}
 	in := fleet.Input{
 		Hall:       n.cfg.Self.Hall,
 		Config:     view.Config,
 		Revision:   view.Revision,
-		Epoch:      p.epoch,
+		Epoch:      p.planEpoch,
 		Plan:       p.plan,
 		Tasks:      p.tasks,
-		TasksKnown: p.known,
+		TasksKnown: p.tasksKnown,
 	}
 	var err error
 	for _, i := range list.Instances {
@@ -45,30 +45,30 @@
 			in.Instances = append(in.Instances, i)
 		}
 	}
-	in.Health, in.Busy = p.measure()
+	in.Health, in.BusySlots = p.aggregateReports()
 	if p.pending() {
-		in.Members, err = p.roster(ctx)
+		in.Members, err = p.pollRoster(ctx)
 	}
 	return in, true, err
 }
 
-// lookClosely asks for what is costly: the tasks, and, at rest, the daemons'
+// pollStatus asks for what is costly: the tasks, and, at rest, the daemons'
 // reports. While something is pending, roster asks for these.
-func (p *planner) lookClosely(ctx context.Context) {
+func (p *planner) pollStatus(ctx context.Context) {
 	tasks, err := p.node.cfg.Workers.Tasks(ctx, p.node.cfg.Self.Hall)
-	p.tasks, p.known = tasks, err == nil
+	p.tasks, p.tasksKnown = tasks, err == nil
 	if p.pending() {
 		return
 	}
 	var addresses []string
-	for _, m := range p.node.others(p.node.hallMembers()) {
+	for _, m := range p.node.withoutSelf(p.node.hallMembers()) {
 		addresses = append(addresses, m.Address)
 	}
 	p.node.syncWith(ctx, addresses, true)
 }
 
-// roster reads the hall's roster and asks each daemon on it how far it is.
-func (p *planner) roster(ctx context.Context) ([]fleet.Member, error) {
+// pollRoster reads the hall's roster and asks each daemon on it how far it is.
+func (p *planner) pollRoster(ctx context.Context) ([]fleet.Member, error) {
 	n := p.node
 	stored, err := n.cfg.Documents.Read(ctx, tw.RosterKey(n.cfg.Self.Hall))
 	if err != nil {
@@ -86,10 +86,10 @@
 		addresses = append(addresses, m.Address)
 	}
 	n.syncWith(ctx, addresses, true)
-	p.dropGone(ctx, roster)
+	p.removeAbsent(ctx, roster)
 	out := make([]fleet.Member, 0, len(all))
 	for _, m := range all {
-		out = append(out, p.member(m))
+		out = append(out, p.memberStatus(m))
 	}
 	return out, nil
 }
@@ -106,10 +106,10 @@
 	return all
 }
 
-// member is what is known of a registered daemon; one that was not heard in
+// memberStatus is what is known of a registered daemon; one that was not heard in
 // this life has acknowledged nothing.
-func (p *planner) member(m tw.RosterMember) fleet.Member {
-	out := fleet.Member{ID: m.ID, InFlight: map[fleet.Held]int{}}
+func (p *planner) memberStatus(m tw.RosterMember) fleet.Member {
+	out := fleet.Member{ID: m.ID, InFlight: map[fleet.InstanceJob]int{}}
 	report := p.node.report()
 	if m.ID != p.node.cfg.Self.ID {
 		heard, ok := p.node.members.get(m.ID, m.Incarnation)
@@ -120,20 +120,20 @@
 	}
 	out.Acked = report.Acked
 	for _, l := range report.Loads {
-		out.InFlight[fleet.Held{Instance: l.Instance, Job: l.Job}] = l.InFlight
+		out.InFlight[fleet.InstanceJob{Instance: l.Instance, Job: l.Job}] = l.InFlight
 	}
 	return out
 }
 
-// dropGone takes daemons out of the roster whose instance the platform no
+// removeAbsent takes daemons out of the roster whose instance the platform no
 // longer lists and that nobody has heard for long.
-func (p *planner) dropGone(ctx context.Context, roster tw.Roster) {
-	list, ok := p.node.know.instances()
+func (p *planner) removeAbsent(ctx context.Context, roster tw.Roster) {
+	list, ok := p.node.state.instances()
 	if !ok {
 		return
 	}
 	for _, m := range roster.Members {
-		if !p.absent.gone(m, list) || !p.node.members.silent(m.ID, absentFor) {
+		if !p.absences.absentTooLong(m, list) || !p.node.members.silentFor(m.ID, absenceTimeout) {
 			continue
 		}
 		p.log.Info("daemon is gone with its instance", zap.String("daemon", string(m.ID)))
@@ -146,12 +146,12 @@
 	}
 }
 
-// measure adds up what the hall's daemons report.
-func (p *planner) measure() (map[tw.InstanceID]fleet.Health, map[tw.JobID]float64) {
+// aggregateReports adds up what the hall's daemons report.
+func (p *planner) aggregateReports() (map[tw.InstanceID]fleet.Health, map[tw.JobID]float64) {
 	health := map[tw.InstanceID]fleet.Health{}
 	inFlight := map[tw.JobID]float64{}
 	reports := []*tw.Report{p.node.report()}
-	for _, m := range p.node.others(p.node.hallMembers()) {
+	for _, m := range p.node.withoutSelf(p.node.hallMembers()) {
 		if m.Report != nil {
 			reports = append(reports, m.Report)
 		}
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -44,23 +44,23 @@
 	return w.Workers.Stop(ctx, id)
 }
 
-// TestPlannerPastItsLease: a planner that is cut off from the store, and whose look at
+// TestPlannerAfterLeaseExpiry: a planner that is cut off from the store, and whose look at
 // the tasks outlasts its lease, sees those of its successor; it must not stop them.
-func TestPlannerPastItsLease(t *testing.T) {
+func TestPlannerAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		b := newBed()
-		b.pace = Pace{}
-		_, err := b.operator.Apply(t.Context(), source, "test", 0)
+		b := newTestBed()
+		b.intervals = Intervals{}
+		_, err := b.operator.Apply(t.Context(), testConfig, "test", 0)
 		g.Expect(err).NotTo(HaveOccurred())
-		store := &cutStore{Store: b.platform}
-		list := &cutList{InstanceList: b.platform}
+		store := &partitionableStore{Store: b.platform}
+		list := &partitionableList{InstanceList: b.platform}
 		workers := &slowWorkers{Workers: b.platform}
 		b.list, b.workers = list, workers
 		one, _ := b.start("d1", 1, store)
 		defer one.Close()
 		time.Sleep(10 * time.Second)
-		g.Expect(one.planner.held.Load()).To(BeTrue())
+		g.Expect(one.planner.leaseHeld.Load()).To(BeTrue())
 		b.list, b.workers = b.platform, b.platform
 		two, _ := b.start("d2", 1, b.platform)
 		defer two.Close()
@@ -68,17 +68,17 @@
 
 		workers.setDelay(40 * time.Second) // as in a process that is paused
 		time.Sleep(10 * time.Second)       // until it looks
-		store.set(true)
-		list.cut.Store(true)
-		b.network.setCut("d1", true)
-		more := strings.Replace(source, "replicas = 2", "replicas = 3", 1)
+		store.setUnavailable(true)
+		list.unavailable.Store(true)
+		b.network.setIsolated("d1", true)
+		more := strings.Replace(testConfig, "replicas = 2", "replicas = 3", 1)
 		_, err = b.operator.Apply(t.Context(), more, "test", 1)
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(time.Minute)
-		g.Expect(two.planner.held.Load()).To(BeTrue())
+		g.Expect(two.planner.leaseHeld.Load()).To(BeTrue())
 		plan, err := b.operator.Plan(t.Context(), "h1")
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(serving(plan)).To(Equal(3))
+		g.Expect(servingCount(plan)).To(Equal(3))
 		workers.mu.Lock()
 		defer workers.mu.Unlock()
 		g.Expect(workers.stopped).To(BeEmpty())
@@ -87,19 +87,19 @@
 
 var _ = Describe("a planner whose lease has lapsed", func() {
 	It("leaves its successor's drains in the ledgers", func() {
-		b := newBed()
+		b := newTestBed()
 		n, _ := b.node("d1", b.platform)
 		entry := tw.Disruption{Instance: "w0", Hall: "h1"}
 		_, err := b.operator.documents.Write(GinkgoT().Context(), tw.BudgetKey("s"), platform.Document{},
 			tw.ServiceDisruptions{Disruptions: []tw.Disruption{entry}})
 		Expect(err).NotTo(HaveOccurred())
 		late := newPlanner(n)
-		late.take(1)
-		late.until = time.Now().Add(-time.Second)
-		late.owed["s"] = true
-		config, err := ParseConfig(source)
+		late.beginTerm(1)
+		late.leaseUntil = time.Now().Add(-time.Second)
+		late.ledgersToClear["s"] = true
+		config, err := ParseConfig(testConfig)
 		Expect(err).NotTo(HaveOccurred())
-		late.settleLedgers(GinkgoT().Context(), config)
+		late.clearLedgerEntries(GinkgoT().Context(), config)
 		held, err := late.readLedger(GinkgoT().Context(), "s")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(held.ledger.Has("w0")).To(BeTrue())
--- a/control/register.go
+++ b/control/register.go
@@ -9,14 +9,14 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// registerDuty puts this daemon into its hall's roster, then reads the plan,
+// registerLoop puts this daemon into its hall's roster, then reads the plan,
 // and looks now and then whether it is still there.
-func (n *Node) registerDuty(ctx context.Context) {
+func (n *Node) registerLoop(ctx context.Context) {
 	for {
-		wait := n.cfg.Pace.Roster
+		wait := n.cfg.Intervals.Roster
 		if err := n.register(ctx); err != nil {
 			n.log.Debug("cannot register yet", zap.Error(err))
-			wait = n.cfg.Pace.Sync
+			wait = n.cfg.Intervals.Sync
 		}
 		if !n.sleep(ctx, n.jitter(wait)) {
 			return
@@ -32,16 +32,16 @@
 		added = false
 		for _, m := range roster.Members {
 			if m.ID != n.cfg.Self.ID {
-				n.learnAddress(m)
+				n.addRosterMember(m)
 				continue
 			}
-			life := tw.Incarnation(n.life.Load())
+			life := tw.Incarnation(n.incarnation.Load())
 			if m.Incarnation == life {
 				return roster, false
 			}
 			if m.Incarnation > life {
 				// The wall clock, which incarnations start from, went back.
-				n.life.Store(uint64(m.Incarnation) + 1)
+				n.incarnation.Store(uint64(m.Incarnation) + 1)
 			}
 		}
 		added = true
@@ -50,11 +50,11 @@
 	if err != nil {
 		return err
 	}
-	view := n.know.view()
+	view := n.state.view()
 	if view.Registered && !added {
 		return nil
 	}
-	n.know.register(true)
+	n.state.setRegistered(true)
 	n.log.Info("registered", zap.String("hall", string(n.cfg.Self.Hall)))
 	return n.readPlan(ctx)
 }
@@ -66,11 +66,11 @@
 		return err
 	}
 	if stored.Body != nil {
-		if _, err := n.know.offerPlan(stored.Body); err != nil {
+		if _, err := n.state.updatePlan(stored.Body); err != nil {
 			return err
 		}
 	}
-	n.know.refreshed()
+	n.state.markPlanFresh()
 	return nil
 }
 
@@ -78,7 +78,7 @@
 	return tw.RosterMember{
 		ID:          n.cfg.Self.ID,
 		Instance:    n.cfg.Self.Instance,
-		Incarnation: tw.Incarnation(n.life.Load()),
+		Incarnation: tw.Incarnation(n.incarnation.Load()),
 		Address:     n.cfg.Self.Address,
 		Gateway:     n.cfg.Self.Gateway,
 	}
--- a/control/rosters.go
+++ b/control/rosters.go
@@ -10,40 +10,40 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// learnAddress notes a registered daemon that was not heard yet, so that the
+// addRosterMember notes a registered daemon that was not heard yet, so that the
 // next heartbeat may reach it. It does not count as live before it answers.
-func (n *Node) learnAddress(m tw.RosterMember) {
+func (n *Node) addRosterMember(m tw.RosterMember) {
 	var learned time.Time
-	if !n.know.view().Registered {
+	if !n.state.view().Registered {
 		learned = n.cfg.Clock.Now()
 	}
-	n.learn(m, n.cfg.Self.Hall, learned)
+	n.addUnheard(m, n.cfg.Self.Hall, learned)
 }
 
-// learn notes a daemon of a roster; learned is zero if it is not to be asked for
+// addUnheard notes a daemon of a roster; learned is zero if it is not to be asked for
 // claims before it is heard.
-func (n *Node) learn(m tw.RosterMember, hall tw.HallID, learned time.Time) {
+func (n *Node) addUnheard(m tw.RosterMember, hall tw.HallID, learned time.Time) {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
 	if _, known := n.members.table[m.ID]; known || m.ID == n.cfg.Self.ID {
 		return
 	}
-	n.members.table[m.ID] = heardMember{
-		Member:  tw.Member{ID: m.ID, Hall: hall, Instance: m.Instance, Address: m.Address, Gateway: m.Gateway},
-		heard:   n.cfg.Clock.Now().Add(-forgetAfter / 2), // not live
-		learned: learned,
+	n.members.table[m.ID] = memberState{
+		Member:    tw.Member{ID: m.ID, Hall: hall, Instance: m.Instance, Address: m.Address, Gateway: m.Gateway},
+		lastHeard: n.cfg.Clock.Now().Add(-memberRetention / 2), // not live
+		learnedAt: learned,
 	}
 }
 
-// learnRosters reads the rosters of halls of which no daemon is known, own
+// discoverHalls reads the rosters of halls of which no daemon is known, own
 // hall included, so that the halls find each other.
-func (n *Node) learnRosters(ctx context.Context) {
-	view := n.know.view()
+func (n *Node) discoverHalls(ctx context.Context) {
+	view := n.state.view()
 	if view.Config == nil {
 		return
 	}
 	for _, hall := range view.Config.Halls {
-		known := n.known(func(m tw.Member) bool { return m.Hall == hall && m.ID != n.cfg.Self.ID })
+		known := n.knownMembers(func(m tw.Member) bool { return m.Hall == hall && m.ID != n.cfg.Self.ID })
 		if len(known) > 0 {
 			continue
 		}
@@ -57,7 +57,7 @@
 			continue
 		}
 		for _, m := range roster.Members {
-			n.learn(m, hall, time.Time{})
+			n.addUnheard(m, hall, time.Time{})
 		}
 	}
 }
--- a/control/self.go
+++ b/control/self.go
@@ -7,11 +7,11 @@
 // self is this daemon's heartbeat.
 func (n *Node) self() tw.Member {
 	m := n.cfg.Self
-	m.Incarnation = tw.Incarnation(n.life.Load())
+	m.Incarnation = tw.Incarnation(n.incarnation.Load())
 	m.Beat = n.beat.Load()
-	m.Revision = n.know.revisionNow()
+	m.Revision = n.state.currentRevision()
 	m.Demand = n.cfg.Dispatcher.Demand()
-	m.Planning = n.planner.held.Load()
+	m.Planning = n.planner.leaseHeld.Load()
 	return m
 }
 
@@ -25,14 +25,14 @@
 // hallMembers lists the hall's live daemons, this one included.
 func (n *Node) hallMembers() []tw.Member {
 	n.beat.Add(1)
-	n.members.hear(n.self(), true)
+	n.members.update(n.self(), true)
 	return n.members.live(func(m tw.Member) bool { return m.Hall == n.cfg.Self.Hall })
 }
 
-// claimHolders lists the hall's daemons that may hold claims, this one included.
-func (n *Node) claimHolders() []tw.Member {
+// claimCandidates lists the hall's daemons that may hold claims, this one included.
+func (n *Node) claimCandidates() []tw.Member {
 	n.hallMembers() // hears this daemon itself
-	return n.members.holders(func(m tw.Member) bool { return m.Hall == n.cfg.Self.Hall })
+	return n.members.claimCandidates(func(m tw.Member) bool { return m.Hall == n.cfg.Self.Hall })
 }
 
 // remoteMembers lists the live daemons of other halls.
--- a/control/status.go
+++ b/control/status.go
@@ -27,12 +27,12 @@
 
 // Status tells what the node knows now.
 func (n *Node) Status() Status {
-	view := n.know.view()
+	view := n.state.view()
 	s := Status{
 		Self:       n.cfg.Self.ID,
 		Hall:       n.cfg.Self.Hall,
 		Registered: view.Registered,
-		Planning:   n.planner.held.Load(),
+		Planning:   n.planner.leaseHeld.Load(),
 		Revision:   view.Revision,
 		Acked:      n.acked.Load(),
 		Plan:       view.Plan,
--- a/control/suite_test.go
+++ b/control/suite_test.go
@@ -24,7 +24,7 @@
 	RunSpecs(t, "control", suite, reporter)
 }
 
-const source = `halls = ["h1"]
+const testConfig = `halls = ["h1"]
 [[pools]]
 id = "p"
 instances = "kind=general"
@@ -40,23 +40,23 @@
 
 // network joins nodes in memory; it can be cut.
 type network struct {
-	mu    sync.Mutex
-	nodes map[string]tw.PeerHandler
-	cut   map[string]bool
+	mu       sync.Mutex
+	nodes    map[string]tw.PeerHandler
+	isolated map[string]bool
 }
 
 func newNetwork() *network {
-	return &network{nodes: map[string]tw.PeerHandler{}, cut: map[string]bool{}}
+	return &network{nodes: map[string]tw.PeerHandler{}, isolated: map[string]bool{}}
 }
 
-// reach finds a node; a node that is cut off neither hears nor is heard. Nodes
+// lookup finds a node; a node that is cut off neither hears nor is heard. Nodes
 // have their ids for addresses.
-func (n *network) reach(from tw.DaemonID, address string) (tw.PeerHandler, error) {
+func (n *network) lookup(from tw.DaemonID, address string) (tw.PeerHandler, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	handler := n.nodes[address]
 	switch {
-	case n.cut[address] || n.cut[string(from)]:
+	case n.isolated[address] || n.isolated[string(from)]:
 		return nil, tw.ErrUnavailable
 	case handler == nil:
 		return nil, tw.ErrNotListening
@@ -64,21 +64,21 @@
 	return handler, nil
 }
 
-func (n *network) set(address string, handler tw.PeerHandler) {
+func (n *network) setHandler(address string, handler tw.PeerHandler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[address] = handler
 }
 
-func (n *network) setCut(address string, cut bool) {
+func (n *network) setIsolated(address string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[address] = cut
+	n.isolated[address] = cut
 }
 
 // Sync implements tw.Peers.
 func (n *network) Sync(_ context.Context, address string, req tw.SyncRequest) (tw.SyncResponse, error) {
-	handler, err := n.reach(req.Self.ID, address)
+	handler, err := n.lookup(req.Self.ID, address)
 	if err != nil {
 		return tw.SyncResponse{}, err
 	}
@@ -87,61 +87,61 @@
 
 // Claim implements tw.Peers.
 func (n *network) Claim(_ context.Context, address string, claim tw.Claim) (tw.Claim, error) {
-	handler, err := n.reach(claim.Holder, address)
+	handler, err := n.lookup(claim.Holder, address)
 	if err != nil {
 		return tw.Claim{}, err
 	}
 	return handler.HandleClaim(claim), nil
 }
 
-// recorder is a dispatcher that notes the views it was given.
-type recorder struct {
+// recordingDispatcher is a dispatcher that notes the views it was given.
+type recordingDispatcher struct {
 	mu    sync.Mutex
 	view  tw.View
 	loads []tw.Load
 }
 
-func (r *recorder) Install(view tw.View) {
+func (r *recordingDispatcher) Install(view tw.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.view = view
 }
 
-func (r *recorder) Loads() []tw.Load {
+func (r *recordingDispatcher) Loads() []tw.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loads
 }
 
-func (r *recorder) setLoads(loads ...tw.Load) {
+func (r *recordingDispatcher) setLoads(loads ...tw.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.loads = loads
 }
 
-func (*recorder) Demand() int { return 0 }
+func (*recordingDispatcher) Demand() int { return 0 }
 
-func (*recorder) Jobs() []tw.JobID { return nil }
+func (*recordingDispatcher) Jobs() []tw.JobID { return nil }
 
-func (r *recorder) seen() tw.View {
+func (r *recordingDispatcher) installedView() tw.View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view
 }
 
-// bed is one or more nodes over a stand-in platform, in memory.
-type bed struct {
-	platform *standin.Platform
-	list     tw.InstanceList // the platform's, as the nodes reach it
-	workers  tw.Workers      // likewise
-	network  *network
-	operator *Operator
-	log      *zap.Logger // of the nodes; nil for none
-	pace     Pace
+// testBed is one or more nodes over a stand-in platform, in memory.
+type testBed struct {
+	platform  *standin.Platform
+	list      tw.InstanceList // the platform's, as the nodes reach it
+	workers   tw.Workers      // likewise
+	network   *network
+	operator  *Operator
+	log       *zap.Logger // of the nodes; nil for none
+	intervals Intervals
 }
 
-func newBed() *bed {
-	b := &bed{platform: standin.PlatformConfig{AutoRun: true}.New(), network: newNetwork(), pace: fast}
+func newTestBed() *testBed {
+	b := &testBed{platform: standin.PlatformConfig{AutoRun: true}.New(), network: newNetwork(), intervals: fastIntervals}
 	b.list, b.workers = b.platform, b.platform
 	b.operator = OperatorConfig{Documents: b.documents(b.platform), Peers: b.network, Clock: tw.SystemClock{}}.New()
 	for i := range 4 {
@@ -159,34 +159,34 @@
 	return b
 }
 
-func (*bed) documents(store tw.Store) *platform.Documents {
+func (*testBed) documents(store tw.Store) *platform.Documents {
 	return platform.DocumentsConfig{Store: store, Clock: tw.SystemClock{}, CallsPerSecond: 10_000, Burst: 1000}.New()
 }
 
-// fast is a pace for tests: what waits, waits little.
-var fast = Pace{
-	Sync:     20 * time.Millisecond,
-	List:     20 * time.Millisecond,
-	Plan:     20 * time.Millisecond,
-	Handover: 10 * time.Millisecond,
-	Look:     50 * time.Millisecond,
-	Watch:    time.Second,
-	Roster:   50 * time.Millisecond,
-	Lease:    50 * time.Millisecond,
-	LeaseTTL: 300 * time.Millisecond,
-	Dead:     time.Second,
+// fastIntervals is a pace for tests: what waits, waits little.
+var fastIntervals = Intervals{
+	Sync:        20 * time.Millisecond,
+	List:        20 * time.Millisecond,
+	Plan:        20 * time.Millisecond,
+	Handover:    10 * time.Millisecond,
+	StatusPoll:  50 * time.Millisecond,
+	Watch:       time.Second,
+	Roster:      50 * time.Millisecond,
+	Lease:       50 * time.Millisecond,
+	LeaseTTL:    300 * time.Millisecond,
+	PeerTimeout: time.Second,
 }
 
 // node starts a daemon's control over a store, for the time of a spec.
-func (b *bed) node(id tw.DaemonID, store tw.Store) (*Node, *recorder) {
+func (b *testBed) node(id tw.DaemonID, store tw.Store) (*Node, *recordingDispatcher) {
 	n, r := b.start(id, 1, store)
 	DeferCleanup(n.Close)
 	return n, r
 }
 
 // start starts a life of a daemon's control over a store.
-func (b *bed) start(id tw.DaemonID, life tw.Incarnation, store tw.Store) (*Node, *recorder) {
-	r := &recorder{}
+func (b *testBed) start(id tw.DaemonID, life tw.Incarnation, store tw.Store) (*Node, *recordingDispatcher) {
+	r := &recordingDispatcher{}
 	n := Config{
 		Self: tw.Member{
 			ID:          id,
@@ -196,44 +196,44 @@
 			Gateway:     "gateway of " + string(id),
 			Incarnation: life,
 		},
-		Documents:  b.documents(store),
-		Instances:  b.list,
-		Workers:    b.workers,
-		Peers:      b.network,
-		Dispatcher: r,
-		Seeds:      []string{"d1", "d2"},
-		Pace:       b.pace,
-		Log:        b.log,
+		Documents:     b.documents(store),
+		Instances:     b.list,
+		Workers:       b.workers,
+		Peers:         b.network,
+		Dispatcher:    r,
+		SeedAddresses: []string{"d1", "d2"},
+		Intervals:     b.intervals,
+		Log:           b.log,
 	}.New()
-	b.network.set(string(id), n)
+	b.network.setHandler(string(id), n)
 	return n, r
 }
 
-func (b *bed) apply(base tw.Revision) {
+func (b *testBed) applyConfig(base tw.Revision) {
 	GinkgoHelper()
-	_, err := b.operator.Apply(GinkgoT().Context(), source, "test", base)
+	_, err := b.operator.Apply(GinkgoT().Context(), testConfig, "test", base)
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func (b *bed) plan() tw.Plan {
+func (b *testBed) plan() tw.Plan {
 	plan, err := b.operator.Plan(context.Background(), "h1")
 	Expect(err).NotTo(HaveOccurred())
 	return plan
 }
 
-func (b *bed) revision() tw.Revision {
+func (b *testBed) revision() tw.Revision {
 	current, err := b.operator.Get(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	return current.Revision
 }
 
-func (b *bed) roster() []tw.RosterMember {
+func (b *testBed) roster() []tw.RosterMember {
 	roster, err := b.operator.Roster(context.Background(), "h1")
 	Expect(err).NotTo(HaveOccurred())
 	return roster.Members
 }
 
-func (b *bed) state(id tw.InstanceID) tw.InstanceState {
+func (b *testBed) state(id tw.InstanceID) tw.InstanceState {
 	plan := b.plan()
 	if a := plan.Find(id); a != nil {
 		return a.State
@@ -242,7 +242,7 @@
 }
 
 // pendingState is that of a placement that is on its way, or "".
-func (b *bed) pendingState() tw.PlacementState {
+func (b *testBed) pendingState() tw.PlacementState {
 	plan := b.plan()
 	for i := range plan.Instances {
 		for _, at := range plan.Instances[i].Jobs {
@@ -254,7 +254,7 @@
 	return ""
 }
 
-func serving(plan tw.Plan) int {
+func servingCount(plan tw.Plan) int {
 	n := 0
 	for i := range plan.Instances {
 		if plan.Instances[i].Serves("j") {
@@ -264,8 +264,8 @@
 	return n
 }
 
-func accepted(revision tw.Revision) json.RawMessage {
-	body, err := json.Marshal(tw.AcceptedConfig{Revision: revision, Source: source})
+func acceptedConfigJSON(revision tw.Revision) json.RawMessage {
+	body, err := json.Marshal(tw.AcceptedConfig{Revision: revision, Source: testConfig})
 	Expect(err).NotTo(HaveOccurred())
 	return body
 }
--- a/control/sync.go
+++ b/control/sync.go
@@ -12,61 +12,61 @@
 )
 
 const (
-	// eagerRounds is how long a new daemon looks for others in each round;
+	// eagerDiscoveryRounds is how long a new daemon looks for others in each round;
 	// after that it does so in one of lookOneIn.
-	eagerRounds = 10
-	lookOneIn   = 4
-	// syncPeers is how many daemons of the hall get each heartbeat.
-	syncPeers = 2
-	// remoteOneIn is in how many rounds a daemon of another hall gets one.
-	remoteOneIn = 4
-	// unheardOneIn is in how many rounds a hall that is not heard is tried.
-	unheardOneIn = 2
+	eagerDiscoveryRounds = 10
+	discoveryOneIn       = 4
+	// syncFanout is how many daemons of the hall get each heartbeat.
+	syncFanout = 2
+	// remoteSyncOneIn is in how many rounds a daemon of another hall gets one.
+	remoteSyncOneIn = 4
+	// silentHallOneIn is in how many rounds a hall that is not heard is tried.
+	silentHallOneIn = 2
 	// jobsOneIn is in how many messages within the hall the jobs are told;
 	// between halls they always are.
 	jobsOneIn = 8
-	// gossipHall and gossipRemote bound the daemons that a message tells of.
-	gossipHall   = 4
-	gossipRemote = 1
+	// maxGossipHall and gossipRemote bound the daemons that a message tells of.
+	maxGossipHall   = 4
+	maxGossipRemote = 1
 )
 
-// syncDuty sends heartbeats to a few daemons of the hall each time.
-func (n *Node) syncDuty(ctx context.Context) {
-	for n.sleep(ctx, n.jitter(n.cfg.Pace.Sync)) {
+// syncLoop sends heartbeats to a few daemons of the hall each time.
+func (n *Node) syncLoop(ctx context.Context) {
+	for n.sleep(ctx, n.jitter(n.cfg.Intervals.Sync)) {
 		n.beat.Add(1)
-		n.syncWith(ctx, n.pickHall(), false)
+		n.syncWith(ctx, n.pickHallPeers(), false)
 	}
 }
 
-// remoteDuty finds the daemons of other halls and sends one of them a
+// remoteLoop finds the daemons of other halls and sends one of them a
 // heartbeat now and then. It is a duty of its own, so that a hall that is cut
 // off does not hold up the heartbeats within this one.
-func (n *Node) remoteDuty(ctx context.Context) {
-	for round := 0; n.sleep(ctx, n.jitter(n.cfg.Pace.Sync)); round++ {
-		if round < eagerRounds || n.oneIn(lookOneIn) {
-			n.learnRosters(ctx)
+func (n *Node) remoteLoop(ctx context.Context) {
+	for round := 0; n.sleep(ctx, n.jitter(n.cfg.Intervals.Sync)); round++ {
+		if round < eagerDiscoveryRounds || n.oneIn(discoveryOneIn) {
+			n.discoverHalls(ctx)
 		}
-		n.syncWith(ctx, n.pickRemote(), false)
+		n.syncWith(ctx, n.pickRemotePeers(), false)
 	}
 }
 
-// pickHall chooses whom of the hall to tell this time.
-func (n *Node) pickHall() []string {
-	hall := n.others(n.known(func(m tw.Member) bool { return m.Hall == n.cfg.Self.Hall }))
+// pickHallPeers chooses whom of the hall to tell this time.
+func (n *Node) pickHallPeers() []string {
+	hall := n.withoutSelf(n.knownMembers(func(m tw.Member) bool { return m.Hall == n.cfg.Self.Hall }))
 	if len(hall) == 0 {
-		return n.cfg.Seeds
+		return n.cfg.SeedAddresses
 	}
 	n.shuffle(hall)
 	var out []string
-	for _, m := range hall[:min(len(hall), syncPeers)] {
+	for _, m := range hall[:min(len(hall), syncFanout)] {
 		out = append(out, m.Address)
 	}
 	return out
 }
 
-// pickRemote chooses a daemon of another hall now and then.
-func (n *Node) pickRemote() []string {
-	remote := n.known(func(m tw.Member) bool { return m.Hall != n.cfg.Self.Hall })
+// pickRemotePeers chooses a daemon of another hall now and then.
+func (n *Node) pickRemotePeers() []string {
+	remote := n.knownMembers(func(m tw.Member) bool { return m.Hall != n.cfg.Self.Hall })
 	n.shuffle(remote)
 	heard := map[tw.HallID]bool{n.cfg.Self.Hall: true}
 	for _, m := range n.remoteMembers() {
@@ -75,19 +75,19 @@
 	for _, m := range remote {
 		// A hall that is not known goes first, but not always: it may be
 		// cut off for long, and the others must not be forgotten for it.
-		if !heard[m.Hall] && n.oneIn(unheardOneIn) {
+		if !heard[m.Hall] && n.oneIn(silentHallOneIn) {
 			return []string{m.Address}
 		}
 	}
-	if len(remote) == 0 || !n.oneIn(remoteOneIn) {
+	if len(remote) == 0 || !n.oneIn(remoteSyncOneIn) {
 		return nil
 	}
 	return []string{remote[0].Address}
 }
 
-// known lists the daemons ever heard of, also those that are silent now: a
+// knownMembers lists the daemons ever heard of, also those that are silent now: a
 // cut must be noticed to end.
-func (n *Node) known(keep func(tw.Member) bool) []tw.Member {
+func (n *Node) knownMembers(keep func(tw.Member) bool) []tw.Member {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
 	var out []tw.Member
@@ -99,7 +99,7 @@
 	return out
 }
 
-func (n *Node) others(in []tw.Member) []tw.Member {
+func (n *Node) withoutSelf(in []tw.Member) []tw.Member {
 	var out []tw.Member
 	for _, m := range in {
 		if m.ID != n.cfg.Self.ID {
@@ -118,7 +118,7 @@
 		WantReport: wantReport,
 		Self:       n.self(),
 		Others:     n.gossip(),
-		Generation: n.know.generationNow(),
+		Generation: n.state.currentGeneration(),
 	}
 	req.Self.Jobs = n.jobsFor(addresses[0])
 	var calls sync.WaitGroup
@@ -137,25 +137,25 @@
 		n.cfg.Metrics.GetOrCreateCounter("tamarind_peer_failures_total").Inc()
 		return
 	}
-	n.hear(resp.Self, resp.Others)
-	n.offer(resp.Config, resp.Plan)
+	n.updateMembers(resp.Self, resp.Others)
+	n.updateDocuments(resp.Config, resp.Plan)
 }
 
 // HandleSync implements tw.PeerHandler.
 func (n *Node) HandleSync(req tw.SyncRequest) tw.SyncResponse {
 	if req.Self.ID != "" { // an operator's command has no id
-		n.hear(req.Self, req.Others)
+		n.updateMembers(req.Self, req.Others)
 	}
 	resp := tw.SyncResponse{Self: n.self(), Others: n.gossip()}
 	resp.Self.Jobs = n.jobsFor(req.Self.Address)
 	if req.WantReport {
 		resp.Self.Report = n.report()
 	}
-	config, plan := n.know.documents()
-	if req.Self.Revision < n.know.revisionNow() {
+	config, plan := n.state.documents()
+	if req.Self.Revision < n.state.currentRevision() {
 		resp.Config = config
 	}
-	if req.Self.Hall == n.cfg.Self.Hall && req.Generation < n.know.generationNow() {
+	if req.Self.Hall == n.cfg.Self.Hall && req.Generation < n.state.currentGeneration() {
 		resp.Plan = plan
 	}
 	return resp
@@ -164,23 +164,23 @@
 // HandleClaim implements tw.PeerHandler.
 func (n *Node) HandleClaim(claim tw.Claim) tw.Claim { return n.claims.table.put(claim) }
 
-func (n *Node) hear(from tw.Member, others []tw.Member) {
-	n.members.hear(from, true)
+func (n *Node) updateMembers(from tw.Member, others []tw.Member) {
+	n.members.update(from, true)
 	for _, m := range others {
 		if m.ID != n.cfg.Self.ID {
-			n.members.hear(m, false)
+			n.members.update(m, false)
 		}
 	}
 }
 
-func (n *Node) offer(config, plan json.RawMessage) {
+func (n *Node) updateDocuments(config, plan json.RawMessage) {
 	if len(config) > 0 {
-		if _, err := n.know.offerConfig(config); err != nil {
+		if _, err := n.state.updateConfig(config); err != nil {
 			n.log.Error("peer's configuration is unreadable", zap.Error(err))
 		}
 	}
 	if len(plan) > 0 {
-		if _, err := n.know.offerPlan(plan); err != nil {
+		if _, err := n.state.updatePlan(plan); err != nil {
 			n.log.Error("peer's plan is unreadable", zap.Error(err))
 		}
 	}
@@ -189,7 +189,7 @@
 // jobsFor lists the jobs, if it is time to tell them to the daemon at an
 // address.
 func (n *Node) jobsFor(address string) []tw.JobID {
-	remote := n.known(func(m tw.Member) bool { return m.Address == address && m.Hall != n.cfg.Self.Hall })
+	remote := n.knownMembers(func(m tw.Member) bool { return m.Address == address && m.Hall != n.cfg.Self.Hall })
 	if len(remote) > 0 || n.oneIn(jobsOneIn) {
 		return n.cfg.Dispatcher.Jobs()
 	}
@@ -200,8 +200,8 @@
 // reports and jobs, which each hears from them directly.
 func (n *Node) gossip() []tw.Member {
 	own := n.cfg.Self.Hall
-	hall := n.members.freshest(gossipHall, func(m tw.Member) bool { return m.Hall == own && m.ID != n.cfg.Self.ID })
-	remote := n.members.freshest(gossipRemote, func(m tw.Member) bool { return m.Hall != own })
+	hall := n.members.mostRecent(maxGossipHall, func(m tw.Member) bool { return m.Hall == own && m.ID != n.cfg.Self.ID })
+	remote := n.members.mostRecent(maxGossipRemote, func(m tw.Member) bool { return m.Hall != own })
 	out := slices.Concat(hall, remote)
 	for i := range out {
 		out[i].Report = nil
--- a/control/watch.go
+++ b/control/watch.go
@@ -10,16 +10,16 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// configDuty follows the configuration in the store.
-func (n *Node) configDuty(ctx context.Context) {
-	n.follow(ctx, tw.ConfigKey, func(body json.RawMessage) {
-		took, err := n.know.offerConfig(body)
-		n.know.seeStored(storedRevision(body))
+// configLoop follows the configuration in the store.
+func (n *Node) configLoop(ctx context.Context) {
+	n.watchKey(ctx, tw.ConfigKey, func(body json.RawMessage) {
+		took, err := n.state.updateConfig(body)
+		n.state.observeStoredRevision(storedRevision(body))
 		switch {
 		case err != nil:
 			n.log.Error("stored configuration is unreadable", zap.Error(err))
 		case took:
-			n.log.Info("configuration in force", zap.Uint64("revision", uint64(n.know.revisionNow())))
+			n.log.Info("configuration in force", zap.Uint64("revision", uint64(n.state.currentRevision())))
 		}
 	})
 }
@@ -33,44 +33,44 @@
 	return accepted.Revision
 }
 
-// planDuty follows the hall's plan in the store, from the moment that this
+// planLoop follows the hall's plan in the store, from the moment that this
 // daemon is registered.
-func (n *Node) planDuty(ctx context.Context) {
-	n.follow(ctx, tw.PlanKey(n.cfg.Self.Hall), func(body json.RawMessage) {
-		if _, err := n.know.offerPlan(body); err != nil {
+func (n *Node) planLoop(ctx context.Context) {
+	n.watchKey(ctx, tw.PlanKey(n.cfg.Self.Hall), func(body json.RawMessage) {
+		if _, err := n.state.updatePlan(body); err != nil {
 			n.log.Error("stored plan is unreadable", zap.Error(err))
 		}
 	})
 }
 
-// follow watches a key for ever and passes each new value on.
-func (n *Node) follow(ctx context.Context, key tw.Key, take func(json.RawMessage)) {
+// watchKey watches a key for ever and passes each new value on.
+func (n *Node) watchKey(ctx context.Context, key tw.Key, take func(json.RawMessage)) {
 	var seen tw.Version
 	for ctx.Err() == nil {
-		stored, err := n.cfg.Documents.Watch(ctx, key, seen, n.jitter(n.cfg.Pace.Watch))
+		stored, err := n.cfg.Documents.Watch(ctx, key, seen, n.jitter(n.cfg.Intervals.Watch))
 		switch {
 		case err == nil:
 			seen = stored.Version
 			take(stored.Body)
 		case errors.Is(err, tw.ErrNoChange):
 		default:
-			n.sleep(ctx, n.jitter(n.cfg.Pace.Sync))
+			n.sleep(ctx, n.jitter(n.cfg.Intervals.Sync))
 		}
 	}
 }
 
-// listDuty polls the platform's instance list.
-func (n *Node) listDuty(ctx context.Context) {
+// listLoop polls the platform's instance list.
+func (n *Node) listLoop(ctx context.Context) {
 	for {
-		seen, _ := n.know.instances()
+		seen, _ := n.state.instances()
 		list, err := n.cfg.Instances.List(ctx, n.cfg.Self.Hall, seen.Version)
 		switch {
-		case err == nil && n.know.offerList(list):
-			n.planner.absent.see(list)
+		case err == nil && n.state.updateList(list):
+			n.planner.absences.observeList(list)
 		case errors.Is(err, tw.ErrNoChange):
-			n.planner.absent.see(seen)
+			n.planner.absences.observeList(seen)
 		}
-		if !n.sleep(ctx, n.jitter(n.cfg.Pace.List)) {
+		if !n.sleep(ctx, n.jitter(n.cfg.Intervals.List)) {
 			return
 		}
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -28,7 +28,7 @@
 		Instances tw.InstanceList
 		Workers   tw.Workers
 		Peers     tw.Peers
-		Pace      control.Pace
+		Pace      control.Intervals
 	}
 
 	// Daemon is a running entry daemon.
@@ -91,7 +91,7 @@
 		Seed:             uint64(d.member.Incarnation),
 		MaxHeader:        c.Settings.Limits.Header,
 		MaxBody:          c.Settings.Limits.Body,
-		MaxHeldBody:      c.Settings.Limits.HeldBody,
+		MaxBufferedBody:  c.Settings.Limits.HeldBody,
 		DialTimeout:      c.Settings.Limits.DialTimeout.Std(),
 		ConnsPerInstance: c.Settings.Limits.Connections,
 		IdlePerInstance:  c.Settings.Limits.Connections,
@@ -122,7 +122,7 @@
 	if c.Peers == nil {
 		c.Peers = control.PeerClientConfig{}.New()
 	}
-	c.Pace.ClaimKeep = c.Settings.Limits.KeyLifetime.Std()
+	c.Pace.ClaimRetention = c.Settings.Limits.KeyLifetime.Std()
 }
 
 func (c *Config) node(d *Daemon) *control.Node {
@@ -133,18 +133,18 @@
 		CallsPerSecond: c.Settings.Platform.CallsPerSecond,
 	}.New()
 	return control.Config{
-		Self:       d.member,
-		Clock:      c.Clock,
-		Log:        c.Log,
-		Metrics:    d.metrics,
-		Documents:  documents,
-		Instances:  c.Instances,
-		Workers:    c.Workers,
-		Peers:      c.Peers,
-		Dispatcher: d.gateway,
-		Seeds:      c.Settings.Peers,
-		Seed:       uint64(d.member.Incarnation),
-		Pace:       c.Pace,
+		Self:          d.member,
+		Clock:         c.Clock,
+		Log:           c.Log,
+		Metrics:       d.metrics,
+		Documents:     documents,
+		Instances:     c.Instances,
+		Workers:       c.Workers,
+		Peers:         c.Peers,
+		Dispatcher:    d.gateway,
+		SeedAddresses: c.Settings.Peers,
+		RandomSeed:    uint64(d.member.Incarnation),
+		Intervals:     c.Pace,
 	}.New()
 }
 
--- a/daemon/owners.go
+++ b/daemon/owners.go
@@ -166,7 +166,7 @@
 		Book: book, Loaded: loaded, Self: self, KV: d.kv, Orders: d.orders, Advisor: d.advisor, MachineCache: d.machineCache,
 		Clock: d.clock, Log: d.log, Metrics: d.metrics, Bounds: d.bounds(),
 		Cores: d.settings.Limits.Cores, Link: d.settings.link(),
-		RefreshWorkers: d.directory.refreshWorkers, Configuration: d.directory.Config,
+		RefreshWorkers: d.directory.refreshWorkers, QueueConfig: d.directory.Config,
 		Evacuations:     d.directory.Evacuations,
 		OnOwnershipLost: func() { go o.closeOwner(pool, owned) },
 	}.New()
--- a/daemon/peer_calls.go
+++ b/daemon/peer_calls.go
@@ -21,8 +21,8 @@
 	_ tw.Relays      = relayPeers{}
 )
 
-// Near implements tw.Relays.
-func (r relayPeers) Near(hall tw.HallID) []string { return r.members.RelayCandidates(hall) }
+// Candidates implements tw.Relays.
+func (r relayPeers) Candidates(hall tw.HallID) []string { return r.members.RelayCandidates(hall) }
 
 // Start implements tw.Relays.
 func (r relayPeers) Start(ctx context.Context, address string, batch []tw.RelayedStart, answer func(tw.RelayedAnswer)) error {
--- a/fleet/actions.go
+++ b/fleet/actions.go
@@ -19,9 +19,9 @@
 	}
 )
 
-// Actions compares a written plan with the platform's tasks. in.Plan must be
+// ComputeOrders compares a written plan with the platform's tasks. in.Plan must be
 // in the store already: an order must never run ahead of its fence.
-func Actions(in Input) Orders {
+func ComputeOrders(in Input) Orders {
 	var orders Orders
 	running := map[tw.TaskID]bool{}
 	for _, t := range in.Tasks {
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -32,7 +32,7 @@
 	for _, hall := range in.Config.Halls {
 		plan, vouched := in.Plans[hall]
 		if vouched {
-			in.count(&plan, wanted, available)
+			in.addHallReplicas(&plan, wanted, available)
 		}
 	}
 	out := map[tw.ServiceID]int{}
@@ -43,9 +43,9 @@
 	return out
 }
 
-// count adds a hall's running replicas. Jobs that can never run there are not
+// addHallReplicas adds a hall's running replicas. Jobs that can never run there are not
 // missed; those set aside for a loss or for failing are.
-func (in *BudgetInput) count(plan *tw.Plan, wanted, available map[tw.ServiceID]int) {
+func (in *BudgetInput) addHallReplicas(plan *tw.Plan, wanted, available map[tw.ServiceID]int) {
 	for _, s := range plan.Unplaced {
 		never := s.Reason.Code == tw.ReasonNoPool || s.Reason.Code == tw.ReasonTooLarge
 		if job := in.Config.Job(s.Job); job != nil && never {
--- a/fleet/decide.go
+++ b/fleet/decide.go
@@ -15,15 +15,15 @@
 	gen       tw.Generation // what the plan will have if anything changes
 	listed    map[tw.InstanceID]tw.Instance
 	tasks     map[tw.TaskID]tw.Task
-	onTask    map[tw.InstanceID]int // tasks by instance
+	taskCount map[tw.InstanceID]int // tasks by instance
 	allowance map[tw.ServiceID]int
 	pools     []*poolNeed
-	doomed    map[tw.InstanceID]tw.Reason // will leave their pool when allowed
+	toDrain   map[tw.InstanceID]tw.Reason // will leave their pool when allowed
 	jobs      map[tw.JobID]*tw.Job
 	jobPool   map[tw.JobID]*tw.Pool
-	// matches has the pools whose selector takes an instance.
-	matches map[tw.InstanceID]map[tw.PoolID]bool
-	out     Output
+	// matchingPools has the pools whose selector takes an instance.
+	matchingPools map[tw.InstanceID]map[tw.PoolID]bool
+	out           Output
 }
 
 // Decide makes the next plan. The same input always gives the same output.
@@ -33,12 +33,12 @@
 	p.observeTasks()
 	p.advanceHandovers()
 	p.quarantine()
-	p.chargeLosses()
-	p.needs()
-	p.findMisplaced()
-	p.findWaves()
-	p.fill()
-	p.drainDoomed()
+	p.deductLosses()
+	p.computePoolNeeds()
+	p.markMisplaced()
+	p.scheduleWaves()
+	p.fillPools()
+	p.startPlannedDrains()
 	p.placeJobs()
 	p.plan.SparesNeeded = sparesNeeded(&p.plan, in.Config)
 	return p.finish()
@@ -46,17 +46,17 @@
 
 func newPass(in Input) *pass {
 	p := &pass{
-		in:        in,
-		plan:      in.Plan.Clone(),
-		gen:       in.Plan.Generation + 1,
-		listed:    map[tw.InstanceID]tw.Instance{},
-		tasks:     map[tw.TaskID]tw.Task{},
-		onTask:    map[tw.InstanceID]int{},
-		allowance: map[tw.ServiceID]int{},
-		doomed:    map[tw.InstanceID]tw.Reason{},
-		jobs:      map[tw.JobID]*tw.Job{},
-		jobPool:   map[tw.JobID]*tw.Pool{},
-		matches:   map[tw.InstanceID]map[tw.PoolID]bool{},
+		in:            in,
+		plan:          in.Plan.Clone(),
+		gen:           in.Plan.Generation + 1,
+		listed:        map[tw.InstanceID]tw.Instance{},
+		tasks:         map[tw.TaskID]tw.Task{},
+		taskCount:     map[tw.InstanceID]int{},
+		allowance:     map[tw.ServiceID]int{},
+		toDrain:       map[tw.InstanceID]tw.Reason{},
+		jobs:          map[tw.JobID]*tw.Job{},
+		jobPool:       map[tw.JobID]*tw.Pool{},
+		matchingPools: map[tw.InstanceID]map[tw.PoolID]bool{},
 	}
 	p.plan.Hall = in.Hall
 	p.plan.Unplaced = nil
@@ -65,7 +65,7 @@
 	}
 	for _, t := range in.Tasks {
 		p.tasks[t.ID] = t
-		p.onTask[t.Instance]++
+		p.taskCount[t.Instance]++
 	}
 	for s, n := range in.Allowance {
 		p.allowance[s] = n
@@ -90,7 +90,7 @@
 				pools[config.Pools[i].ID] = true
 			}
 		}
-		p.matches[in.ID] = pools
+		p.matchingPools[in.ID] = pools
 	}
 }
 
@@ -108,21 +108,21 @@
 	return p.out
 }
 
-// set moves an instance to a state.
-func (p *pass) set(a *tw.Assignment, state tw.InstanceState, code tw.ReasonCode, detail string) {
+// setState moves an instance to a state.
+func (p *pass) setState(a *tw.Assignment, state tw.InstanceState, code tw.ReasonCode, detail string) {
 	a.State = state
 	a.Generation = p.gen
 	a.Reason = tw.Reason{Code: code, Detail: detail}
 }
 
-// drain begins a handover; next is where the instance goes, or "".
-func (p *pass) drain(a *tw.Assignment, next tw.PoolID, reason tw.Reason) {
-	a.Next = next
-	p.set(a, tw.InstanceDraining, reason.Code, reason.Detail)
+// startDrain begins a handover; next is where the instance goes, or "".
+func (p *pass) startDrain(a *tw.Assignment, next tw.PoolID, reason tw.Reason) {
+	a.NextPool = next
+	p.setState(a, tw.InstanceDraining, reason.Code, reason.Detail)
 }
 
-// setPlacement moves a placement to a state.
-func (p *pass) setPlacement(at *tw.Placement, state tw.PlacementState) {
+// setPlacementState moves a placement to a state.
+func (p *pass) setPlacementState(at *tw.Placement, state tw.PlacementState) {
 	at.State = state
 	at.Generation = p.gen
 }
--- a/fleet/hall_test.go
+++ b/fleet/hall_test.go
@@ -19,26 +19,26 @@
 	RunSpecs(t, "fleet decisions", suite, reporter)
 }
 
-// hall is a data hall in which every order is carried out at once, and every
+// fakeHall is a data hall in which every order is carried out at once, and every
 // daemon that is not paused acknowledges at once.
-type hall struct {
-	in     Input
-	tasks  map[tw.TaskID]tw.Task
-	paused map[tw.DaemonID]bool
-	fails  map[tw.InstanceID]bool // tasks that start there fail
-	deaf   map[tw.InstanceID]bool // orders to stop do not reach it
-	acked  map[tw.DaemonID]tw.Generation
-	moves  int // placements started
-}
-
-// newHall has racks of four instances and two daemons.
-func newHall(config *tw.FleetConfig, instances int) *hall {
-	h := &hall{
-		tasks:  map[tw.TaskID]tw.Task{},
-		paused: map[tw.DaemonID]bool{},
-		fails:  map[tw.InstanceID]bool{},
-		deaf:   map[tw.InstanceID]bool{},
-		acked:  map[tw.DaemonID]tw.Generation{"d1": 0, "d2": 0},
+type fakeHall struct {
+	in          Input
+	tasks       map[tw.TaskID]tw.Task
+	paused      map[tw.DaemonID]bool
+	failsTasks  map[tw.InstanceID]bool // tasks that start there fail
+	ignoresStop map[tw.InstanceID]bool // orders to stop do not reach it
+	acked       map[tw.DaemonID]tw.Generation
+	starts      int // placements started
+}
+
+// newFakeHall has racks of four instances and two daemons.
+func newFakeHall(config *tw.FleetConfig, instances int) *fakeHall {
+	h := &fakeHall{
+		tasks:       map[tw.TaskID]tw.Task{},
+		paused:      map[tw.DaemonID]bool{},
+		failsTasks:  map[tw.InstanceID]bool{},
+		ignoresStop: map[tw.InstanceID]bool{},
+		acked:       map[tw.DaemonID]tw.Generation{"d1": 0, "d2": 0},
 	}
 	h.in = Input{Hall: "h1", Revision: 1, Epoch: 1, TasksKnown: true}
 	h.configure(config)
@@ -92,7 +92,7 @@
 	return s
 }
 
-func (h *hall) configure(config *tw.FleetConfig) {
+func (h *fakeHall) configure(config *tw.FleetConfig) {
 	if err := config.Validate(); err != nil {
 		panic(err)
 	}
@@ -102,18 +102,18 @@
 
 // pass decides once, with the budget as the ledgers would allow, and carries
 // the orders out.
-func (h *hall) pass() Output {
-	h.see()
+func (h *fakeHall) pass() Output {
+	h.refreshInput()
 	h.in.Allowance = Allowances(BudgetInput{Config: h.in.Config, Plans: map[tw.HallID]tw.Plan{"h1": h.in.Plan}})
 	out := Decide(h.in)
 	h.in.Plan = out.Plan
-	h.see()
-	h.carryOut(Actions(h.in))
+	h.refreshInput()
+	h.executeOrders(ComputeOrders(h.in))
 	return out
 }
 
-// see lets the daemons acknowledge, and lists the tasks.
-func (h *hall) see() {
+// refreshInput lets the daemons acknowledge, and lists the tasks.
+func (h *fakeHall) refreshInput() {
 	h.in.Members = nil
 	for _, id := range slices.Sorted(maps.Keys(h.acked)) {
 		if !h.paused[id] {
@@ -126,19 +126,19 @@
 	})
 }
 
-func (h *hall) carryOut(orders Orders) {
+func (h *fakeHall) executeOrders(orders Orders) {
 	for _, id := range orders.Stop {
-		if !h.deaf[h.tasks[id].Instance] {
+		if !h.ignoresStop[h.tasks[id].Instance] {
 			delete(h.tasks, id)
 		}
 	}
 	for _, t := range orders.Start {
 		t.State = tw.TaskRunning
-		if h.fails[t.Instance] {
+		if h.failsTasks[t.Instance] {
 			t.State = tw.TaskFailed
 		}
 		h.tasks[t.ID] = t
-		h.moves++
+		h.starts++
 	}
 	for _, r := range orders.Reboot {
 		if in := h.find(r.Instance); in != nil && in.Boots == r.Boots {
@@ -147,9 +147,9 @@
 	}
 }
 
-// settle passes until nothing changes any more, and returns how many passes
+// runUntilStable passes until nothing changes any more, and returns how many passes
 // changed something. An order takes effect one pass later.
-func (h *hall) settle() int {
+func (h *fakeHall) runUntilStable() int {
 	changes, quiet := 0, 0
 	for range 1000 {
 		if h.pass().Changed {
@@ -162,7 +162,7 @@
 	panic("the plan does not settle")
 }
 
-func (h *hall) find(id tw.InstanceID) *tw.Instance {
+func (h *fakeHall) find(id tw.InstanceID) *tw.Instance {
 	for i := range h.in.Instances {
 		if h.in.Instances[i].ID == id {
 			return &h.in.Instances[i]
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// lose removes instances, with their tasks.
-func (h *hall) lose(gone func(tw.Instance) bool) {
+// removeInstances removes instances, with their tasks.
+func (h *fakeHall) removeInstances(gone func(tw.Instance) bool) {
 	h.in.Instances = slices.DeleteFunc(h.in.Instances, func(in tw.Instance) bool {
 		if !gone(in) {
 			return false
@@ -183,7 +183,7 @@
 }
 
 // serving lists the instances that run a job for requests.
-func (h *hall) serving(job tw.JobID) []tw.InstanceID {
+func (h *fakeHall) serving(job tw.JobID) []tw.InstanceID {
 	var out []tw.InstanceID
 	for i := range h.in.Plan.Instances {
 		if a := &h.in.Plan.Instances[i]; a.Serves(job) {
@@ -193,14 +193,14 @@
 	return out
 }
 
-func (h *hall) state(id tw.InstanceID) tw.InstanceState {
+func (h *fakeHall) state(id tw.InstanceID) tw.InstanceState {
 	if a := h.in.Plan.Find(id); a != nil {
 		return a.State
 	}
 	return ""
 }
 
-func (h *hall) setAside(job tw.JobID) tw.ReasonCode {
+func (h *fakeHall) unplacedReason(job tw.JobID) tw.ReasonCode {
 	for _, s := range h.in.Plan.Unplaced {
 		if s.Job == job {
 			return s.Reason.Code
--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -39,41 +39,41 @@
 	if !listed {
 		return false
 	}
-	if !p.in.TasksKnown || p.onTask[a.Instance] > 0 {
+	if !p.in.TasksKnown || p.taskCount[a.Instance] > 0 {
 		return true
 	}
 	a.Jobs = nil
-	p.settle(a)
+	p.completeDrain(a)
 	return true
 }
 
-// settle is the one write that gives a drained instance its next pool.
-func (p *pass) settle(a *tw.Assignment) {
+// completeDrain is the one write that gives a drained instance its next pool.
+func (p *pass) completeDrain(a *tw.Assignment) {
 	in := p.listed[a.Instance]
 	detail := string(a.Reason.Code)
 	code := a.Reason.Code
-	next := a.Next
-	a.Pool, a.Next = tw.SparePool, ""
+	next := a.NextPool
+	a.Pool, a.NextPool = tw.SparePool, ""
 	switch {
 	case in.Phase == tw.PhaseLeaving:
-		p.set(a, tw.InstanceOut, tw.ReasonLeaving, "")
+		p.setState(a, tw.InstanceOut, tw.ReasonLeaving, "")
 	case a.Wave != "":
 		a.Boots = in.Boots
-		p.set(a, tw.InstanceOut, tw.ReasonWave, string(a.Wave))
+		p.setState(a, tw.InstanceOut, tw.ReasonWave, string(a.Wave))
 	case code == tw.ReasonFailing:
 		a.Boots = in.Boots
 		a.QuarantineCount++
-		p.set(a, tw.InstanceQuarantined, tw.ReasonFailing, "")
+		p.setState(a, tw.InstanceQuarantined, tw.ReasonFailing, "")
 	case next != "" && p.in.Config.Pool(next) != nil:
 		a.Pool = next
-		p.set(a, tw.InstanceJoining, tw.ReasonDrained, detail)
+		p.setState(a, tw.InstanceJoining, tw.ReasonDrained, detail)
 	default:
-		p.set(a, tw.InstanceSpare, tw.ReasonDrained, detail)
+		p.setState(a, tw.InstanceSpare, tw.ReasonDrained, detail)
 	}
 }
 
-// maxStrikes is how often an instance comes back from quarantine.
-const maxStrikes = 2
+// maxQuarantines is how often an instance comes back from quarantine.
+const maxQuarantines = 2
 
 // advanceOut takes back an instance that was rebooted, or that the platform
 // wanted back and has left to us after all.
@@ -83,17 +83,17 @@
 		return
 	}
 	if a.Reason.Code == tw.ReasonLeaving {
-		p.set(a, tw.InstanceSpare, tw.ReasonNew, "not leaving after all")
+		p.setState(a, tw.InstanceSpare, tw.ReasonNew, "not leaving after all")
 		return
 	}
-	if in.Boots <= a.Boots || a.QuarantineCount >= maxStrikes {
+	if in.Boots <= a.Boots || a.QuarantineCount >= maxQuarantines {
 		return
 	}
 	if a.Wave != "" {
 		a.Waves = append(a.Waves, a.Wave)
 	}
 	a.Wave = ""
-	p.set(a, tw.InstanceSpare, tw.ReasonMaintained, "")
+	p.setState(a, tw.InstanceSpare, tw.ReasonMaintained, "")
 }
 
 // advanceStopping takes away placements that nobody uses any more.
--- a/fleet/input.go
+++ b/fleet/input.go
@@ -24,8 +24,8 @@
 		Members []Member
 		// Health is what came of the requests of late, by instance.
 		Health map[tw.InstanceID]Health
-		// Busy is the measured number of busy slots by job.
-		Busy map[tw.JobID]float64
+		// BusySlots is the measured number of busy slots by job.
+		BusySlots map[tw.JobID]float64
 		// Allowance says how many more replicas of a service planned work may
 		// take now. A service that is not in it allows none.
 		Allowance map[tw.ServiceID]int
@@ -36,11 +36,11 @@
 		ID tw.DaemonID
 		// Acked is 0 for a daemon that was not heard since it registered.
 		Acked    tw.Generation
-		InFlight map[Held]int
+		InFlight map[InstanceJob]int
 	}
 
-	// Held names the requests of a job on an instance.
-	Held struct {
+	// InstanceJob names the requests of a job on an instance.
+	InstanceJob struct {
 		Instance tw.InstanceID
 		Job      tw.JobID
 	}
@@ -58,8 +58,8 @@
 		// Drains are the planned disruptions in Plan that were not in the
 		// last one. They must be in the ledgers before Plan is written.
 		Drains []Drain
-		// Wants lists planned disruptions that lacked an allowance.
-		Wants []Drain
+		// Deferred lists planned disruptions that lacked an allowance.
+		Deferred []Drain
 	}
 
 	// Drain is a planned disruption.
--- a/fleet/jobs.go
+++ b/fleet/jobs.go
@@ -11,10 +11,10 @@
 // keeping what stands, and stops what is no longer wanted.
 func (p *pass) placeJobs() {
 	if p.in.Revision != p.in.Plan.Revision {
-		p.forgetFailures()
+		p.clearFailures()
 	}
 	for _, n := range p.pools {
-		members := p.members(n.pool.ID)
+		members := p.poolInstances(n.pool.ID)
 		jobs := slices.Clone(n.jobs)
 		// Large jobs first, so that small ones don't crowd them out.
 		slices.SortStableFunc(jobs, func(a, b *tw.Job) int { return cmp.Compare(b.Cores, a.Cores) })
@@ -25,16 +25,16 @@
 	p.stopUnwanted()
 }
 
-// forgetFailures gives failed placements another try under a new
+// clearFailures gives failed placements another try under a new
 // configuration.
-func (p *pass) forgetFailures() {
+func (p *pass) clearFailures() {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
 		a.Jobs = slices.DeleteFunc(a.Jobs, func(at tw.Placement) bool { return at.State == tw.PlacementFailed })
 	}
 }
 
-func (p *pass) members(pool tw.PoolID) []*tw.Assignment {
+func (p *pass) poolInstances(pool tw.PoolID) []*tw.Assignment {
 	var out []*tw.Assignment
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
@@ -49,12 +49,12 @@
 	have := 0
 	for _, a := range members {
 		at := a.Placement(job.ID)
-		if at != nil && (at.State == tw.PlacementRunning || at.State == tw.PlacementStarting) && p.doomed[a.Instance].Code == "" {
+		if at != nil && (at.State == tw.PlacementRunning || at.State == tw.PlacementStarting) && p.toDrain[a.Instance].Code == "" {
 			have++
 		}
 	}
 	for ; have < job.Replicas; have++ {
-		a := p.bestHost(job, members)
+		a := p.chooseInstance(job, members)
 		if a == nil {
 			return
 		}
@@ -65,18 +65,18 @@
 			Generation: p.gen,
 		})
 	}
-	p.trim(job, members, have)
+	p.stopExcess(job, members, have)
 }
 
-// bestHost is the member with the most cores left that lacks the job.
-func (p *pass) bestHost(job *tw.Job, members []*tw.Assignment) *tw.Assignment {
+// chooseInstance is the member with the most cores left that lacks the job.
+func (p *pass) chooseInstance(job *tw.Job, members []*tw.Assignment) *tw.Assignment {
 	var best *tw.Assignment
 	var most tw.Cores
 	for _, a := range members {
-		if a.Placement(job.ID) != nil || p.doomed[a.Instance].Code != "" {
+		if a.Placement(job.ID) != nil || p.toDrain[a.Instance].Code != "" {
 			continue
 		}
-		cores, memory := p.left(a)
+		cores, memory := p.freeCapacity(a)
 		if cores < job.Cores || memory < job.Memory {
 			continue
 		}
@@ -87,8 +87,8 @@
 	return best
 }
 
-// left is what the declared sizes leave free on an instance.
-func (p *pass) left(a *tw.Assignment) (tw.Cores, tw.Megabytes) {
+// freeCapacity is what the declared sizes leave free on an instance.
+func (p *pass) freeCapacity(a *tw.Assignment) (tw.Cores, tw.Megabytes) {
 	in := p.listed[a.Instance]
 	cores, memory := in.Cores, in.Memory
 	for _, at := range a.Jobs {
@@ -100,16 +100,16 @@
 	return cores, memory
 }
 
-// trim stops the replicas that are too many, those not yet running first.
-func (p *pass) trim(job *tw.Job, members []*tw.Assignment, have int) {
+// stopExcess stops the replicas that are too many, those not yet running first.
+func (p *pass) stopExcess(job *tw.Job, members []*tw.Assignment, have int) {
 	for _, state := range []tw.PlacementState{tw.PlacementStarting, tw.PlacementRunning} {
 		for _, a := range slices.Backward(members) {
 			at := a.Placement(job.ID)
 			if have <= job.Replicas {
 				return
 			}
-			if at != nil && at.State == state && p.doomed[a.Instance].Code == "" {
-				p.setPlacement(at, tw.PlacementStopping)
+			if at != nil && at.State == state && p.toDrain[a.Instance].Code == "" {
+				p.setPlacementState(at, tw.PlacementStopping)
 				have--
 			}
 		}
@@ -127,7 +127,7 @@
 		for j := range a.Jobs {
 			at := &a.Jobs[j]
 			if at.State != tw.PlacementStopping && p.unwanted(a, at) {
-				p.setPlacement(at, tw.PlacementStopping)
+				p.setPlacementState(at, tw.PlacementStopping)
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 		return pool == nil
 	}
 	running := 0
-	for _, m := range p.members(pool.ID) {
+	for _, m := range p.poolInstances(pool.ID) {
 		if m.Serves(job.ID) {
 			running++
 		}
--- a/fleet/ledger_property_test.go
+++ b/fleet/ledger_property_test.go
@@ -9,10 +9,10 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// ledgerWorld is one service in three halls. Each hall's planner goes through
+// ledgerSim is one service in three halls. Each hall's planner goes through
 // the steps of a drain; any planner may do its next step at any time, or be
 // paused and replaced between two of them.
-type ledgerWorld struct {
+type ledgerSim struct {
 	config   *tw.FleetConfig
 	plans    map[tw.HallID]tw.Plan
 	versions map[tw.HallID]int // of the plans
@@ -38,16 +38,16 @@
 const (
 	readingLedger ledgerStage = iota
 	readingPlans
-	entering
-	writing
+	recordingDrain
+	writingPlan
 )
 
 const ledgerReplicas = 3
 
 var ledgerHalls = []tw.HallID{"h1", "h2", "h3"}
 
-func newLedgerWorld() *ledgerWorld {
-	w := &ledgerWorld{
+func newLedgerSim() *ledgerSim {
+	w := &ledgerSim{
 		config:   pools(1, ledgerReplicas),
 		plans:    map[tw.HallID]tw.Plan{},
 		versions: map[tw.HallID]int{},
@@ -69,20 +69,20 @@
 	return w
 }
 
-func (w *ledgerWorld) draw(t *rapid.T) *ledgerPlanner {
+func (w *ledgerSim) drawPlanner(t *rapid.T) *ledgerPlanner {
 	return w.planners[rapid.SampledFrom(ledgerHalls).Draw(t, "hall")]
 }
 
-func (w *ledgerWorld) advance(t *rapid.T) { w.step(t, w.draw(t)) }
+func (w *ledgerSim) advance(t *rapid.T) { w.step(t, w.drawPlanner(t)) }
 
-// wake lets a paused planner, whose lease has gone, do its next step.
-func (w *ledgerWorld) wake(t *rapid.T) {
+// stepPaused lets a paused planner, whose lease has gone, do its next step.
+func (w *ledgerSim) stepPaused(t *rapid.T) {
 	if len(w.paused) > 0 {
 		w.step(t, rapid.SampledFrom(w.paused).Draw(t, "paused"))
 	}
 }
 
-func (w *ledgerWorld) step(t *rapid.T, p *ledgerPlanner) {
+func (w *ledgerSim) step(t *rapid.T, p *ledgerPlanner) {
 	switch p.stage {
 	case readingLedger:
 		p.ledger, p.ledgerVersion = w.ledger, w.version
@@ -97,17 +97,17 @@
 				return
 			}
 		}
-		p.stage = entering
-	case entering:
-		w.enter(p)
-	case writing:
+		p.stage = recordingDrain
+	case recordingDrain:
+		w.recordDrain(p)
+	case writingPlan:
 		w.write(t, p)
 	}
 }
 
-// enter puts a drain into the ledger, if the allowance and the
+// recordDrain puts a drain into the ledger, if the allowance and the
 // compare-and-swap let it.
-func (w *ledgerWorld) enter(p *ledgerPlanner) {
+func (w *ledgerSim) recordDrain(p *ledgerPlanner) {
 	p.stage = readingLedger
 	allowed := Allowances(BudgetInput{Config: w.config, Plans: p.plans, Ledgers: map[tw.ServiceID]tw.ServiceDisruptions{"sp0": p.ledger}})
 	plan := p.plans[p.hall]
@@ -116,14 +116,14 @@
 		if a.Serves("jp0") && allowed["sp0"] > 0 && w.version == p.ledgerVersion {
 			w.ledger = w.ledger.With(tw.Disruption{Instance: a.Instance, Hall: p.hall})
 			w.version++
-			p.pick, p.stage = a.Instance, writing
+			p.pick, p.stage = a.Instance, writingPlan
 			return
 		}
 	}
 }
 
 // write drains in the plan, if nobody has written it since it was read.
-func (w *ledgerWorld) write(t *rapid.T, p *ledgerPlanner) {
+func (w *ledgerSim) write(t *rapid.T, p *ledgerPlanner) {
 	p.stage = readingLedger
 	if w.versions[p.hall] != p.planVersion {
 		return
@@ -146,10 +146,10 @@
 	}
 }
 
-// drained ends a drain, and later the instance is back.
-func (w *ledgerWorld) drained(t *rapid.T) {
-	p := w.draw(t)
-	if p.stage == writing {
+// finishDrain ends a drain, and later the instance is back.
+func (w *ledgerSim) finishDrain(t *rapid.T) {
+	p := w.drawPlanner(t)
+	if p.stage == writingPlan {
 		return
 	}
 	plan := w.plans[p.hall]
@@ -166,12 +166,12 @@
 	w.versions[p.hall]++
 }
 
-// settle takes a hall's entries out once nothing of it drains.
-func (w *ledgerWorld) settle(t *rapid.T) {
-	p := w.draw(t)
+// clearEntries takes a hall's entries out once nothing of it drains.
+func (w *ledgerSim) clearEntries(t *rapid.T) {
+	p := w.drawPlanner(t)
 	plan := w.plans[p.hall]
 	for i := range plan.Instances {
-		if plan.Instances[i].State == tw.InstanceDraining || p.stage == writing {
+		if plan.Instances[i].State == tw.InstanceDraining || p.stage == writingPlan {
 			return
 		}
 	}
@@ -186,23 +186,23 @@
 // takeOver pauses a planner for ever; its successor first writes the plan as it
 // is, under its own epoch, so that whatever the other one still has in hand
 // fails.
-func (w *ledgerWorld) takeOver(t *rapid.T) {
-	p := w.draw(t)
+func (w *ledgerSim) takeOver(t *rapid.T) {
+	p := w.drawPlanner(t)
 	w.paused = append(w.paused, p)
 	w.planners[p.hall] = &ledgerPlanner{hall: p.hall}
 	w.versions[p.hall]++
 }
 
-// TestLedgerInAnyOrder lets the planners of three halls use one budget.
-func TestLedgerInAnyOrder(t *testing.T) {
+// TestLedgerRandomEventOrder lets the planners of three halls use one budget.
+func TestLedgerRandomEventOrder(t *testing.T) {
 	setRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newLedgerWorld()
+		w := newLedgerSim()
 		t.Repeat(map[string]func(*rapid.T){
 			"advance": w.advance, "advance again": w.advance, "and again": w.advance,
-			"wake":      w.wake,
-			"drained":   w.drained,
-			"settle":    w.settle,
+			"wake":      w.stepPaused,
+			"drained":   w.finishDrain,
+			"settle":    w.clearEntries,
 			"take over": w.takeOver,
 		})
 	})
--- a/fleet/moves.go
+++ b/fleet/moves.go
@@ -6,10 +6,10 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// findMisplaced marks the instances whose pool is gone or whose labels no
+// markMisplaced marks the instances whose pool is gone or whose labels no
 // longer match it. They no longer count, so that fill brings their
 // replacements first; they drain when the budgets allow.
-func (p *pass) findMisplaced() {
+func (p *pass) markMisplaced() {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
 		if !a.Active() {
@@ -18,19 +18,19 @@
 		pool := p.in.Config.Pool(a.Pool)
 		switch {
 		case pool == nil:
-			p.doom(a, tw.Reason{Code: tw.ReasonPoolGone, Detail: string(a.Pool)})
+			p.markForDrain(a, tw.Reason{Code: tw.ReasonPoolGone, Detail: string(a.Pool)})
 		case !p.eligible(a, pool):
-			p.doom(a, tw.Reason{Code: tw.ReasonLabels, Detail: string(a.Pool)})
+			p.markForDrain(a, tw.Reason{Code: tw.ReasonLabels, Detail: string(a.Pool)})
 		}
 	}
 }
 
-// doom marks an instance that will leave its pool when allowed.
-func (p *pass) doom(a *tw.Assignment, reason tw.Reason) {
-	if p.doomed[a.Instance].Code != "" {
+// markForDrain marks an instance that will leave its pool when allowed.
+func (p *pass) markForDrain(a *tw.Assignment, reason tw.Reason) {
+	if p.toDrain[a.Instance].Code != "" {
 		return
 	}
-	p.doomed[a.Instance] = reason
+	p.toDrain[a.Instance] = reason
 	for _, n := range p.pools {
 		if n.pool.ID == a.Pool && a.Active() {
 			n.active--
@@ -38,19 +38,19 @@
 	}
 }
 
-// drainDoomed begins the planned moves that the budgets and the bound on
+// startPlannedDrains begins the planned moves that the budgets and the bound on
 // moves allow now.
-func (p *pass) drainDoomed() {
-	moving := p.moving()
+func (p *pass) startPlannedDrains() {
+	moving := p.plannedMoves()
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		reason := p.doomed[a.Instance]
-		if reason.Code == "" || !a.Active() || p.replacing(a.Pool) {
+		reason := p.toDrain[a.Instance]
+		if reason.Code == "" || !a.Active() || p.awaitingReplacement(a.Pool) {
 			continue
 		}
-		drain := Drain{Instance: a.Instance, Services: p.services(a), Reason: reason}
-		if moving >= p.in.Config.Spares.MaxMoves || !p.allow(a) {
-			p.out.Wants = append(p.out.Wants, drain)
+		drain := Drain{Instance: a.Instance, Services: p.runningServices(a), Reason: reason}
+		if moving >= p.in.Config.Spares.MaxMoves || !p.takeAllowance(a) {
+			p.out.Deferred = append(p.out.Deferred, drain)
 			continue
 		}
 		next := tw.PoolID("")
@@ -60,17 +60,17 @@
 		if reason.Code == tw.ReasonWave {
 			a.Wave = tw.WaveID(reason.Detail)
 		}
-		p.drain(a, next, reason)
+		p.startDrain(a, next, reason)
 		p.out.Drains = append(p.out.Drains, drain)
 		moving++
 	}
 }
 
-// replacing tells whether a pool has an instance that is still joining or a
+// awaitingReplacement tells whether a pool has an instance that is still joining or a
 // job that is still starting. Planned drains wait for it: the budget is for
 // when there is no replacement.
-func (p *pass) replacing(pool tw.PoolID) bool {
-	for _, a := range p.members(pool) {
+func (p *pass) awaitingReplacement(pool tw.PoolID) bool {
+	for _, a := range p.poolInstances(pool) {
 		starting := slices.ContainsFunc(a.Jobs, func(at tw.Placement) bool { return at.State == tw.PlacementStarting })
 		if a.State == tw.InstanceJoining || starting {
 			return true
@@ -79,17 +79,17 @@
 	return false
 }
 
-// chargeLosses takes out of the allowance what this pass itself found lost:
+// deductLosses takes out of the allowance what this pass itself found lost:
 // the allowance was worked out from the plan before it.
-func (p *pass) chargeLosses() {
+func (p *pass) deductLosses() {
 	was := map[tw.ServiceID]int{}
 	for i := range p.in.Plan.Instances {
-		for service, n := range p.replicas(&p.in.Plan.Instances[i]) {
+		for service, n := range p.runningReplicas(&p.in.Plan.Instances[i]) {
 			was[service] += n
 		}
 	}
 	for i := range p.plan.Instances {
-		for service, n := range p.replicas(&p.plan.Instances[i]) {
+		for service, n := range p.runningReplicas(&p.plan.Instances[i]) {
 			was[service] -= n
 		}
 	}
@@ -98,8 +98,8 @@
 	}
 }
 
-// moving counts the instances on a planned way out.
-func (p *pass) moving() int {
+// plannedMoves counts the instances on a planned way out.
+func (p *pass) plannedMoves() int {
 	n := 0
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
@@ -111,10 +111,10 @@
 	return n
 }
 
-// allow takes the replicas that an instance carries out of the allowance, all
+// takeAllowance takes the replicas that an instance carries out of the allowance, all
 // or none of them.
-func (p *pass) allow(a *tw.Assignment) bool {
-	taken := p.replicas(a)
+func (p *pass) takeAllowance(a *tw.Assignment) bool {
+	taken := p.runningReplicas(a)
 	for service, n := range taken {
 		if p.allowance[service] < n {
 			return false
@@ -126,8 +126,8 @@
 	return true
 }
 
-// replicas counts the running replicas of each service on an instance.
-func (p *pass) replicas(a *tw.Assignment) map[tw.ServiceID]int {
+// runningReplicas counts the running replicas of each service on an instance.
+func (p *pass) runningReplicas(a *tw.Assignment) map[tw.ServiceID]int {
 	n := map[tw.ServiceID]int{}
 	for _, at := range a.Jobs {
 		if job := p.jobs[at.Job]; job != nil && a.Serves(at.Job) {
@@ -137,8 +137,8 @@
 	return n
 }
 
-// services lists whose replicas run on an instance, in the plan's order.
-func (p *pass) services(a *tw.Assignment) []tw.ServiceID {
+// runningServices lists whose replicas run on an instance, in the plan's order.
+func (p *pass) runningServices(a *tw.Assignment) []tw.ServiceID {
 	var out []tw.ServiceID
 	seen := map[tw.ServiceID]bool{}
 	for _, at := range a.Jobs {
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -42,7 +42,7 @@
 		Conns:    in.Connections,
 		Pool:     tw.SparePool,
 	}
-	p.set(&a, tw.InstanceSpare, tw.ReasonNew, "")
+	p.setState(&a, tw.InstanceSpare, tw.ReasonNew, "")
 	p.plan.Instances = append(p.plan.Instances, a)
 }
 
@@ -53,15 +53,15 @@
 	if a.State == tw.InstanceDraining && a.Reason.Code == tw.ReasonLost {
 		return
 	}
-	p.drain(a, "", tw.Reason{Code: tw.ReasonLost})
+	p.startDrain(a, "", tw.Reason{Code: tw.ReasonLost})
 }
 
 func (p *pass) observeLeaving(a *tw.Assignment) {
 	switch a.State {
 	case tw.InstanceJoining, tw.InstanceServing:
-		p.drain(a, "", tw.Reason{Code: tw.ReasonLeaving})
+		p.startDrain(a, "", tw.Reason{Code: tw.ReasonLeaving})
 	case tw.InstanceSpare:
-		p.set(a, tw.InstanceOut, tw.ReasonLeaving, "")
+		p.setState(a, tw.InstanceOut, tw.ReasonLeaving, "")
 	}
 }
 
@@ -80,7 +80,7 @@
 		}
 		ready := slices.ContainsFunc(a.Jobs, func(at tw.Placement) bool { return at.State == tw.PlacementRunning })
 		if a.State == tw.InstanceJoining && ready {
-			p.set(a, tw.InstanceServing, tw.ReasonTasksRunning, a.Reason.Detail)
+			p.setState(a, tw.InstanceServing, tw.ReasonTasksRunning, a.Reason.Detail)
 		}
 	}
 }
@@ -89,14 +89,14 @@
 	task, ok := p.tasks[tw.NewTaskID(at.Job, a.Instance, at.Placed)]
 	switch {
 	case at.State == tw.PlacementStarting && ok && task.State == tw.TaskRunning:
-		p.setPlacement(at, tw.PlacementRunning)
+		p.setPlacementState(at, tw.PlacementRunning)
 	case at.State == tw.PlacementStarting && ok && task.State == tw.TaskFailed:
-		p.setPlacement(at, tw.PlacementFailed)
+		p.setPlacementState(at, tw.PlacementFailed)
 	case at.State == tw.PlacementRunning && ok && task.State == tw.TaskFailed:
-		p.setPlacement(at, tw.PlacementFailed)
+		p.setPlacementState(at, tw.PlacementFailed)
 	case at.State == tw.PlacementRunning && !ok:
 		// The platform lost the task; a new generation makes a new task id.
-		p.setPlacement(at, tw.PlacementStarting)
+		p.setPlacementState(at, tw.PlacementStarting)
 		at.Placed = p.gen
 	}
 }
--- a/fleet/property_test.go
+++ b/fleet/property_test.go
@@ -9,26 +9,26 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// TestAnyOrder lets pauses, crashes, losses, lost answers, racing planners and
+// TestRandomEventOrder lets pauses, crashes, losses, lost answers, racing planners and
 // operators come in any order.
-func TestAnyOrder(t *testing.T) {
+func TestRandomEventOrder(t *testing.T) {
 	setRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newSimHall()
 		var generation tw.Generation
 		// Common steps come more often, so that plans get somewhere.
 		t.Repeat(map[string]func(*rapid.T){
-			"look": w.look, "look again": w.look,
+			"look": w.readInput, "look again": w.readInput,
 			"decide": w.decide, "decide again": w.decide,
-			"orders": w.carryOut, "orders again": w.carryOut,
+			"orders": w.executeOrders, "orders again": w.executeOrders,
 			"heartbeat": w.heartbeat, "heartbeat again": w.heartbeat,
 			"fetch": w.fetch, "fetch again": w.fetch,
 			"dispatch": w.dispatch, "dispatch again": w.dispatch,
 			"finish":    w.finish,
 			"crash":     w.crash,
 			"register":  w.register,
-			"lose":      w.lose,
-			"come":      w.come,
+			"lose":      w.removeInstance,
+			"come":      w.addInstance,
 			"phase":     w.phase,
 			"configure": w.configure,
 			"task runs": w.taskRuns,
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -8,15 +8,15 @@
 	// minFailures is how many failures condemn an instance that had no
 	// success.
 	minFailures = 5
-	// quarantineShare bounds the part of a hall in quarantine.
-	quarantineShare = 0.1
+	// maxQuarantinedFraction bounds the part of a hall in quarantine.
+	maxQuarantinedFraction = 0.1
 )
 
 // quarantine takes out instances that fail everything they are given, as an
 // idle one that fails fast would draw ever more work. It only blames the
 // instance if the same jobs succeed elsewhere, and never takes a pool's last.
 func (p *pass) quarantine() {
-	room := max(1, int(quarantineShare*float64(len(p.plan.Instances))))
+	room := max(1, int(maxQuarantinedFraction*float64(len(p.plan.Instances))))
 	for i := range p.plan.Instances {
 		if p.inQuarantine(&p.plan.Instances[i]) {
 			room--
@@ -27,8 +27,8 @@
 		if room <= 0 {
 			return
 		}
-		if a.Active() && p.failsAll(a) && p.worksElsewhere(a) {
-			p.drain(a, "", tw.Reason{Code: tw.ReasonFailing})
+		if a.Active() && p.failsAll(a) && p.jobsRunElsewhere(a) {
+			p.startDrain(a, "", tw.Reason{Code: tw.ReasonFailing})
 			room--
 		}
 	}
@@ -52,9 +52,9 @@
 	return len(a.Jobs) > 0
 }
 
-// worksElsewhere tells whether some other serving instance runs one of the
+// jobsRunElsewhere tells whether some other serving instance runs one of the
 // same jobs and has not failed all of late.
-func (p *pass) worksElsewhere(a *tw.Assignment) bool {
+func (p *pass) jobsRunElsewhere(a *tw.Assignment) bool {
 	for i := range p.plan.Instances {
 		b := &p.plan.Instances[i]
 		if b.Instance == a.Instance || b.State != tw.InstanceServing || p.failsAll(b) {
--- a/fleet/waves.go
+++ b/fleet/waves.go
@@ -6,20 +6,20 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// findWaves marks the next instances of each maintenance wave. Losses that
+// scheduleWaves marks the next instances of each maintenance wave. Losses that
 // leave a pool short pause the waves.
-func (p *pass) findWaves() {
-	p.forgetWaves()
+func (p *pass) scheduleWaves() {
+	p.pruneWaves()
 	if p.anyShort() {
 		return
 	}
 	for i := range p.in.Config.Waves {
-		p.findWave(&p.in.Config.Waves[i])
+		p.scheduleWave(&p.in.Config.Waves[i])
 	}
 }
 
-// forgetWaves drops waves that are no longer configured.
-func (p *pass) forgetWaves() {
+// pruneWaves drops waves that are no longer configured.
+func (p *pass) pruneWaves() {
 	known := map[tw.WaveID]bool{}
 	for _, w := range p.in.Config.Waves {
 		known[w.ID] = true
@@ -33,11 +33,11 @@
 	}
 }
 
-// findWave sends the spares that are due out first, as they carry nothing. One
+// scheduleWave sends the spares that are due out first, as they carry nothing. One
 // that serves follows when a spare can take its place; without any, the budget
 // decides, but not while an instance of the wave will be back as a spare.
-func (p *pass) findWave(w *tw.Wave) {
-	room := w.AtOnce
+func (p *pass) scheduleWave(w *tw.Wave) {
+	room := w.MaxConcurrent
 	for i := range p.plan.Instances {
 		if p.plan.Instances[i].Wave == w.ID {
 			room--
@@ -45,17 +45,17 @@
 	}
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State == tw.InstanceSpare && room > 0 && p.due(a, w) {
+		if a.State == tw.InstanceSpare && room > 0 && p.dueForWave(a, w) {
 			a.Wave, a.Boots = w.ID, p.listed[a.Instance].Boots
-			p.set(a, tw.InstanceOut, tw.ReasonWave, string(w.ID))
+			p.setState(a, tw.InstanceOut, tw.ReasonWave, string(w.ID))
 			room--
 		}
 	}
-	away := room < w.AtOnce
+	away := room < w.MaxConcurrent
 	taken := map[tw.InstanceID]bool{}
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State != tw.InstanceServing || room <= 0 || !p.due(a, w) {
+		if a.State != tw.InstanceServing || room <= 0 || !p.dueForWave(a, w) {
 			continue
 		}
 		replacement := p.freeSpare(a.Pool, taken)
@@ -65,14 +65,14 @@
 		if replacement != nil {
 			taken[replacement.Instance] = true
 		}
-		p.doom(a, tw.Reason{Code: tw.ReasonWave, Detail: string(w.ID)})
+		p.markForDrain(a, tw.Reason{Code: tw.ReasonWave, Detail: string(w.ID)})
 		away = true
 		room--
 	}
 }
 
-// due tells whether a wave still has to maintain an instance.
-func (p *pass) due(a *tw.Assignment, w *tw.Wave) bool {
+// dueForWave tells whether a wave still has to maintain an instance.
+func (p *pass) dueForWave(a *tw.Assignment, w *tw.Wave) bool {
 	in, listed := p.listed[a.Instance]
 	return listed && in.Phase == tw.PhaseLive && a.Wave == "" && !a.Maintained(w.ID) &&
 		w.Instances.Matches(p.in.Config.LabelsOf(in))
@@ -93,7 +93,7 @@
 // anyShort tells whether a pool has less than it needs.
 func (p *pass) anyShort() bool {
 	for _, n := range p.pools {
-		if n.short() {
+		if n.isShort() {
 			return true
 		}
 	}
--- a/fleet/world_test.go
+++ b/fleet/world_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// world is a hall in which everything may be late: planners act on what they
+// simHall is a hall in which everything may be late: planners act on what they
 // saw some time ago, daemons on the plan they last fetched, and heartbeats
 // arrive whenever they like. Its methods are the steps that may come in any
 // order; each checks what must hold.
-type world struct {
+type simHall struct {
 	config    *tw.FleetConfig
 	revision  tw.Revision
 	stored    tw.Plan
@@ -23,7 +23,7 @@
 	tasks     map[tw.TaskID]tw.Task
 	daemons   map[tw.DaemonID]*simDaemon
 	planners  []*simPlanner
-	flights   []flight
+	requests  []simRequest
 }
 
 // simDaemon is what one daemon knows.
@@ -36,32 +36,32 @@
 
 // simPlanner is what one planner saw, and what it heard.
 type simPlanner struct {
-	version int
-	in      Input
-	order   *Orders
-	heard   map[tw.DaemonID]heard
+	version    int
+	in         Input
+	order      *Orders
+	heartbeats map[tw.DaemonID]simHeartbeat
 }
 
-type heard struct {
-	life   tw.Incarnation
-	member Member
+type simHeartbeat struct {
+	incarnation tw.Incarnation
+	member      Member
 }
 
-// flight is a request that runs.
-type flight struct {
+// simRequest is a request that runs.
+type simRequest struct {
 	daemon tw.DaemonID
 	life   tw.Incarnation
-	held   Held
+	held   InstanceJob
 	pool   tw.PoolID
 }
 
 const (
-	worldInstances = 8
-	worldDaemons   = 3
+	simInstanceCount = 8
+	simDaemonCount   = 3
 )
 
-func newWorld() *world {
-	w := &world{
+func newSimHall() *simHall {
+	w := &simHall{
 		config:    pools(2, 2),
 		revision:  1,
 		roster:    map[tw.DaemonID]tw.Incarnation{},
@@ -70,23 +70,23 @@
 		daemons:   map[tw.DaemonID]*simDaemon{},
 	}
 	w.stored.Hall = "h1"
-	for i := range worldInstances {
+	for i := range simInstanceCount {
 		in := worker(i)
 		w.instances[in.ID] = &in
 	}
-	for i := range worldDaemons {
+	for i := range simDaemonCount {
 		id := tw.DaemonID(fmt.Sprintf("d%d", i))
 		w.daemons[id] = &simDaemon{life: 1}
 		w.registerDaemon(id)
 	}
 	for range 2 {
-		w.planners = append(w.planners, &simPlanner{heard: map[tw.DaemonID]heard{}})
+		w.planners = append(w.planners, &simPlanner{heartbeats: map[tw.DaemonID]simHeartbeat{}})
 	}
 	return w
 }
 
 // registerDaemon enters the roster, then reads the plan.
-func (w *world) registerDaemon(id tw.DaemonID) {
+func (w *simHall) registerDaemon(id tw.DaemonID) {
 	d := w.daemons[id]
 	w.roster[id] = d.life
 	d.registered = true
@@ -95,7 +95,7 @@
 }
 
 // fetch brings some daemons up to the store's plan, or to another daemon's.
-func (w *world) fetch(t *rapid.T) {
+func (w *simHall) fetch(t *rapid.T) {
 	for _, id := range slices.Sorted(maps.Keys(w.daemons)) {
 		if rapid.Bool().Draw(t, "fetches") {
 			w.fetchOne(t, w.daemons[id])
@@ -103,7 +103,7 @@
 	}
 }
 
-func (w *world) fetchOne(t *rapid.T, d *simDaemon) {
+func (w *simHall) fetchOne(t *rapid.T, d *simDaemon) {
 	from := w.stored
 	if rapid.Bool().Draw(t, "from a peer") {
 		from = w.daemons[w.drawDaemon(t)].plan
@@ -115,17 +115,17 @@
 }
 
 // crash ends a daemon with its requests; its next life registers anew.
-func (w *world) crash(t *rapid.T) {
+func (w *simHall) crash(t *rapid.T) {
 	id := w.drawDaemon(t)
 	d := w.daemons[id]
-	w.flights = slices.DeleteFunc(w.flights, func(f flight) bool { return f.daemon == id })
+	w.requests = slices.DeleteFunc(w.requests, func(f simRequest) bool { return f.daemon == id })
 	*d = simDaemon{life: d.life + 1}
 	if rapid.Bool().Draw(t, "back at once") {
 		w.registerDaemon(id)
 	}
 }
 
-func (w *world) register(t *rapid.T) {
+func (w *simHall) register(t *rapid.T) {
 	id := w.drawDaemon(t)
 	if !w.daemons[id].registered {
 		w.registerDaemon(id)
@@ -133,7 +133,7 @@
 }
 
 // dispatch sends a request as a daemon's own view allows.
-func (w *world) dispatch(t *rapid.T) {
+func (w *simHall) dispatch(t *rapid.T) {
 	id := w.drawDaemon(t)
 	d := w.daemons[id]
 	if !d.registered {
@@ -146,14 +146,14 @@
 				continue
 			}
 			w.checkPool(t, id, a)
-			w.flights = append(w.flights, flight{daemon: id, life: d.life, held: Held{a.Instance, at.Job}, pool: a.Pool})
+			w.requests = append(w.requests, simRequest{daemon: id, life: d.life, held: InstanceJob{a.Instance, at.Job}, pool: a.Pool})
 			return
 		}
 	}
 }
 
 // checkPool: an instance is in one pool at any moment, whoever asks.
-func (w *world) checkPool(t *rapid.T, id tw.DaemonID, a *tw.Assignment) {
+func (w *simHall) checkPool(t *rapid.T, id tw.DaemonID, a *tw.Assignment) {
 	now := w.stored.Find(a.Instance)
 	if now != nil && now.Pool != a.Pool {
 		t.Fatalf("%s sends to %s in pool %s (plan %d), but the store has it in %s (plan %d)",
@@ -161,37 +161,37 @@
 	}
 }
 
-func (w *world) finish(t *rapid.T) {
-	if len(w.flights) > 0 {
-		i := rapid.IntRange(0, len(w.flights)-1).Draw(t, "flight")
-		w.flights = slices.Delete(w.flights, i, i+1)
+func (w *simHall) finish(t *rapid.T) {
+	if len(w.requests) > 0 {
+		i := rapid.IntRange(0, len(w.requests)-1).Draw(t, "flight")
+		w.requests = slices.Delete(w.requests, i, i+1)
 	}
 }
 
 // heartbeat tells a planner how far some daemons are; one may be held up by
 // not being drawn for long.
-func (w *world) heartbeat(t *rapid.T) {
+func (w *simHall) heartbeat(t *rapid.T) {
 	p := w.drawPlanner(t)
 	for _, id := range slices.Sorted(maps.Keys(w.daemons)) {
 		if rapid.Bool().Draw(t, "is heard") {
-			p.heard[id] = w.beat(id)
+			p.heartbeats[id] = w.heartbeatOf(id)
 		}
 	}
 }
 
-func (w *world) beat(id tw.DaemonID) heard {
+func (w *simHall) heartbeatOf(id tw.DaemonID) simHeartbeat {
 	d := w.daemons[id]
-	m := Member{ID: id, Acked: d.plan.Generation, InFlight: map[Held]int{}}
-	for _, f := range w.flights {
+	m := Member{ID: id, Acked: d.plan.Generation, InFlight: map[InstanceJob]int{}}
+	for _, f := range w.requests {
 		if f.daemon == id {
 			m.InFlight[f.held]++
 		}
 	}
-	return heard{life: d.life, member: m}
+	return simHeartbeat{incarnation: d.life, member: m}
 }
 
-// look is a planner reading everything: the plan, then the roster.
-func (w *world) look(t *rapid.T) {
+// readInput is a planner reading everything: the plan, then the roster.
+func (w *simHall) readInput(t *rapid.T) {
 	p := w.drawPlanner(t)
 	p.version = w.version
 	p.in = Input{
@@ -218,7 +218,7 @@
 	var out []Member
 	for _, id := range slices.Sorted(maps.Keys(roster)) {
 		m := Member{ID: id}
-		if h := p.heard[id]; h.life == roster[id] {
+		if h := p.heartbeats[id]; h.incarnation == roster[id] {
 			m = h.member
 		}
 		out = append(out, m)
@@ -228,7 +228,7 @@
 
 // decide is a planner acting on what it saw, however long ago. The answer of
 // its write may be lost, so that it does not go on to give orders.
-func (w *world) decide(t *rapid.T) {
+func (w *simHall) decide(t *rapid.T) {
 	p := w.drawPlanner(t)
 	if p.in.Config == nil {
 		return
@@ -249,14 +249,14 @@
 	}
 	p.in.Plan = out.Plan
 	p.in.Members = p.members(w.roster)
-	orders := Actions(p.in)
+	orders := ComputeOrders(p.in)
 	p.order = &orders
 	p.in.Config = nil
 }
 
 // checkBudget: no planned drain takes a service below the budget of the
 // configuration that it was decided under.
-func (w *world) checkBudget(t *rapid.T, config *tw.FleetConfig, out Output) {
+func (w *simHall) checkBudget(t *rapid.T, config *tw.FleetConfig, out Output) {
 	if len(out.Drains) == 0 {
 		return
 	}
@@ -273,18 +273,18 @@
 			}
 		}
 		most := config.Service(job.Service).MaxUnavailable
-		if after < before && w.drains(out, job.Service) && after < job.Replicas-most {
+		if after < before && w.hasDrainOf(out, job.Service) && after < job.Replicas-most {
 			t.Fatalf("a planned drain leaves %d of %d replicas of %s", after, job.Replicas, job.ID)
 		}
 	}
 }
 
-func (*world) drains(out Output, service tw.ServiceID) bool {
+func (*simHall) hasDrainOf(out Output, service tw.ServiceID) bool {
 	return slices.ContainsFunc(out.Drains, func(d Drain) bool { return slices.Contains(d.Services, service) })
 }
 
-// carryOut gives a planner's orders to the platform, however late.
-func (w *world) carryOut(t *rapid.T) {
+// executeOrders gives a planner's orders to the platform, however late.
+func (w *simHall) executeOrders(t *rapid.T) {
 	p := w.drawPlanner(t)
 	if p.order == nil {
 		return
@@ -311,12 +311,12 @@
 }
 
 // checkStop: no task that works is stopped under a request.
-func (w *world) checkStop(t *rapid.T, id tw.TaskID) {
+func (w *simHall) checkStop(t *rapid.T, id tw.TaskID) {
 	task, runs := w.tasks[id]
 	if !runs || task.State == tw.TaskFailed || w.instances[task.Instance] == nil {
 		return
 	}
-	for _, f := range w.flights {
+	for _, f := range w.requests {
 		a := w.stored.Find(f.held.Instance)
 		if f.held.Instance != task.Instance || f.held.Job != task.Job || a == nil {
 			continue
@@ -329,7 +329,7 @@
 	}
 }
 
-func (w *world) taskRuns(t *rapid.T) {
+func (w *simHall) taskRuns(t *rapid.T) {
 	for _, id := range slices.Sorted(maps.Keys(w.tasks)) {
 		if task := w.tasks[id]; task.State == tw.TaskStarting && rapid.Bool().Draw(t, "runs") {
 			task.State = tw.TaskRunning
@@ -338,16 +338,16 @@
 	}
 }
 
-// lose takes an instance away with its tasks and requests.
-func (w *world) lose(t *rapid.T) {
+// removeInstance takes an instance away with its tasks and requests.
+func (w *simHall) removeInstance(t *rapid.T) {
 	id := w.drawInstance(t)
 	delete(w.instances, id)
 	maps.DeleteFunc(w.tasks, func(_ tw.TaskID, task tw.Task) bool { return task.Instance == id })
-	w.flights = slices.DeleteFunc(w.flights, func(f flight) bool { return f.held.Instance == id })
+	w.requests = slices.DeleteFunc(w.requests, func(f simRequest) bool { return f.held.Instance == id })
 }
 
-// come brings an instance back, or lists it again.
-func (w *world) come(t *rapid.T) {
+// addInstance brings an instance back, or lists it again.
+func (w *simHall) addInstance(t *rapid.T) {
 	id := w.drawInstance(t)
 	if w.instances[id] == nil {
 		in := worker(0)
@@ -356,18 +356,18 @@
 	}
 }
 
-func (w *world) phase(t *rapid.T) {
+func (w *simHall) phase(t *rapid.T) {
 	if in := w.instances[w.drawInstance(t)]; in != nil {
 		in.Phase = rapid.SampledFrom([]tw.InstancePhase{tw.PhaseLive, tw.PhaseLive, tw.PhaseLeaving}).Draw(t, "phase")
 	}
 }
 
 // configure is an operator: waves, labels, replicas, pools.
-func (w *world) configure(t *rapid.T) {
+func (w *simHall) configure(t *rapid.T) {
 	c := pools(rapid.IntRange(1, 2).Draw(t, "pools"), rapid.IntRange(1, 3).Draw(t, "replicas"))
 	if rapid.Bool().Draw(t, "wave") {
 		id := tw.WaveID(fmt.Sprintf("wave%d", rapid.IntRange(0, 1).Draw(t, "which")))
-		c.Waves = []tw.Wave{{ID: id, Instances: selector("kind=general"), AtOnce: 2}}
+		c.Waves = []tw.Wave{{ID: id, Instances: selector("kind=general"), MaxConcurrent: 2}}
 	}
 	if rapid.Bool().Draw(t, "label") {
 		c.Labels = map[tw.InstanceID]map[string]string{w.drawInstance(t): {"kind": "special"}}
@@ -376,14 +376,14 @@
 	w.revision++
 }
 
-func (w *world) drawDaemon(t *rapid.T) tw.DaemonID {
+func (w *simHall) drawDaemon(t *rapid.T) tw.DaemonID {
 	return rapid.SampledFrom(slices.Sorted(maps.Keys(w.daemons))).Draw(t, "daemon")
 }
 
-func (w *world) drawPlanner(t *rapid.T) *simPlanner {
+func (w *simHall) drawPlanner(t *rapid.T) *simPlanner {
 	return w.planners[rapid.IntRange(0, len(w.planners)-1).Draw(t, "planner")]
 }
 
-func (*world) drawInstance(t *rapid.T) tw.InstanceID {
-	return instance(rapid.IntRange(0, worldInstances-1).Draw(t, "instance"))
+func (*simHall) drawInstance(t *rapid.T) tw.InstanceID {
+	return instance(rapid.IntRange(0, simInstanceCount-1).Draw(t, "instance"))
 }
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -8,53 +8,53 @@
 )
 
 type (
-	// answerState says how passing an answer on ended.
-	answerState int
+	// forwardResult says how passing an answer on ended.
+	forwardResult int
 
-	// watchedReader remembers that reading failed, to tell a lost upstream
+	// errorTrackingReader remembers that reading failed, to tell a lost upstream
 	// from a caller that has gone.
-	watchedReader struct {
+	errorTrackingReader struct {
 		io.Reader
 		failed bool
 	}
 )
 
 const (
-	answerPassed  answerState = iota // all of it, or its caller has gone
-	answerNothing                    // cut before anything was passed on
-	answerCut                        // cut after a part was passed on
+	forwardDone      forwardResult = iota // all of it, or its caller has gone
+	forwardNothing                        // cut before anything was passed on
+	forwardTruncated                      // cut after a part was passed on
 )
 
-// smallAnswer is read whole before any of it is passed on, so that a slow
+// maxBufferedResponse is read whole before any of it is passed on, so that a slow
 // caller does not hold a slot, and a cut small answer can still be refused.
-const smallAnswer = 64 << 10
+const maxBufferedResponse = 64 << 10
 
-// passOn copies a response to the caller. It calls free when the upstream has
+// forwardResponse copies a response to the caller. It calls free when the upstream has
 // nothing more to say.
-func passOn(w http.ResponseWriter, resp *http.Response, free func()) answerState {
+func forwardResponse(w http.ResponseWriter, resp *http.Response, free func()) forwardResult {
 	defer resp.Body.Close()
-	body := &watchedReader{Reader: resp.Body}
-	head, err := io.ReadAll(io.LimitReader(body, smallAnswer))
+	body := &errorTrackingReader{Reader: resp.Body}
+	head, err := io.ReadAll(io.LimitReader(body, maxBufferedResponse))
 	if err != nil {
-		return answerNothing
+		return forwardNothing
 	}
-	whole := len(head) < smallAnswer
+	whole := len(head) < maxBufferedResponse
 	if whole {
 		free()
 	}
 	copyHeader(w.Header(), resp)
 	w.WriteHeader(resp.StatusCode)
 	if _, err := w.Write(head); err != nil || whole {
-		return answerPassed
+		return forwardDone
 	}
 	if _, err := io.Copy(w, body); err != nil && body.failed {
-		return answerCut
+		return forwardTruncated
 	}
-	return answerPassed
+	return forwardDone
 }
 
 // Read reads and remembers a failure.
-func (r *watchedReader) Read(b []byte) (int, error) {
+func (r *errorTrackingReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
 	if err != nil && !errors.Is(err, io.EOF) {
 		r.failed = true
@@ -63,7 +63,7 @@
 }
 
 func copyHeader(out http.Header, resp *http.Response) {
-	for name, values := range forwarded(resp.Header) {
+	for name, values := range forwardableHeader(resp.Header) {
 		out[name] = values
 	}
 	if out.Get(HeaderOutcome) == "" {
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -16,7 +16,7 @@
 	}))
 	defer upstream.Close()
 	g := Config{}.New()
-	g.Install(viewOf(8, strings.TrimPrefix(upstream.URL, "http://")))
+	g.Install(newView(8, strings.TrimPrefix(upstream.URL, "http://")))
 	through := httptest.NewServer(g)
 	defer through.Close()
 	for name, url := range map[string]string{"direct": upstream.URL, "gateway": through.URL} {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -15,14 +15,14 @@
 	releaseUnused                    // nothing was asked of the instance
 )
 
-// choose picks two instances with room at random and takes the less loaded.
+// pickWorker picks two instances with room at random and takes the less loaded.
 // The lock is held.
-func (s *scheduler) choose(line *jobLine, a ask, now time.Time) *worker {
+func (s *scheduler) pickWorker(line *jobState, a slotRequest, now time.Time) *worker {
 	var first, second *worker
-	keep := line.reserve(now)
+	keep := line.computeReserve(now)
 	seen := 0
 	for _, w := range line.workers {
-		if a.tried[w.id] || !w.room(a.class, keep, now) {
+		if a.tried[w.id] || !w.hasRoom(a.class, keep, now) {
 			continue
 		}
 		// Reservoir sampling: both picks are uniform over those with room.
@@ -46,11 +46,11 @@
 	return first
 }
 
-func (s *scheduler) grant(w *worker, a ask, now time.Time) *grant {
+func (s *scheduler) grant(w *worker, a slotRequest, now time.Time) *grant {
 	w.begin(a.job, a.class)
 	s.running++
-	s.teams[a.team]++
-	return &grant{worker: w, address: w.address, ask: a, start: now}
+	s.teamRequests[a.team]++
+	return &grant{worker: w, address: w.address, req: a, start: now}
 }
 
 // release gives a slot back, once, and passes it to whoever waits for it.
@@ -67,29 +67,29 @@
 	now := s.clock.Now()
 	w := g.worker
 	s.running--
-	s.leaveTeam(g.ask.team)
+	s.releaseTeam(g.req.team)
 	if mode == releaseUnused {
-		w.total--
-		w.byClass[g.ask.class]--
-		w.tally(g.ask.job).inFlight--
+		w.inFlight--
+		w.byClass[g.req.class]--
+		w.jobStats(g.req.job).inFlight--
 		return
 	}
-	w.finish(g.ask.job, g.ask.class, mode == releaseFailed, now)
-	line := s.line(g.ask.job)
+	w.finish(g.req.job, g.req.class, mode == releaseFailed, now)
+	line := s.jobStateFor(g.req.job)
 	if mode == releaseOK {
-		line.observe(g.ask.class, now.Sub(g.start))
+		line.recordServiceTime(g.req.class, now.Sub(g.start))
 	}
-	if w.failures >= ejectAfter && s.mayEject(line, now) {
+	if w.consecutiveFailures >= ejectAfter && s.mayEject(line, now) {
 		w.ejectNow(now)
 	}
 }
 
 // mayEject keeps ejections under a ceiling: when most instances of a job fail,
 // it is not the instances. One of two may go, the only one may not.
-func (s *scheduler) mayEject(line *jobLine, now time.Time) bool {
+func (s *scheduler) mayEject(line *jobState, now time.Time) bool {
 	out := 1
 	for _, w := range line.workers {
-		if now.Before(w.ejected) {
+		if now.Before(w.ejectedUntil) {
 			out++
 		}
 	}
@@ -97,10 +97,10 @@
 	return n > 1 && out <= max(1, int(maxEjectedShare*float64(n)))
 }
 
-func (s *scheduler) leaveTeam(team tw.TeamID) {
-	s.teams[team]--
-	if s.teams[team] <= 0 {
-		delete(s.teams, team)
+func (s *scheduler) releaseTeam(team tw.TeamID) {
+	s.teamRequests[team]--
+	if s.teamRequests[team] <= 0 {
+		delete(s.teamRequests, team)
 	}
 }
 
@@ -108,38 +108,38 @@
 func (s *scheduler) dispatch(w *worker) {
 	now := s.clock.Now()
 	for {
-		next, line := s.nextFor(w, now)
+		next, line := s.nextWaiter(w, now)
 		if next == nil {
 			return
 		}
-		s.leave(line, next)
-		line.queues[next.ask.class].charge(next)
-		s.paid = s.pass[next.ask.class]
-		s.pass[next.ask.class] += line.mean(next.ask.class) / classWeight[next.ask.class]
-		next.ready <- outcome{grant: s.grant(w, next.ask, now)}
+		s.dequeue(line, next)
+		line.queues[next.req.class].charge(next)
+		s.virtualTime = s.classPass[next.req.class]
+		s.classPass[next.req.class] += line.meanServiceSeconds(next.req.class) / classWeight[next.req.class]
+		next.ready <- waitResult{grant: s.grant(w, next.req, now)}
 	}
 }
 
-// nextFor finds who has the next turn at an instance: the class that is most
+// nextWaiter finds who has the next turn at an instance: the class that is most
 // behind its weight, then the team likewise, then the first to come.
-func (s *scheduler) nextFor(w *worker, now time.Time) (*waiter, *jobLine) {
+func (s *scheduler) nextWaiter(w *worker, now time.Time) (*waiter, *jobState) {
 	var best *waiter
-	var of *jobLine
+	var of *jobState
 	for job := range w.jobs {
 		line := s.jobs[job]
 		if line.waiting() == 0 {
 			continue // by far the most releases: don't work out a reserve
 		}
-		keep := line.reserve(now)
+		keep := line.computeReserve(now)
 		for _, class := range tw.Classes {
-			if line.queues[class].size == 0 || !w.room(class, keep, now) {
+			if line.queues[class].size == 0 || !w.hasRoom(class, keep, now) {
 				continue
 			}
 			head := line.queues[class].head()
-			if head == nil || head.ask.tried[w.id] {
+			if head == nil || head.req.tried[w.id] {
 				continue
 			}
-			if best == nil || s.before(head, best) {
+			if best == nil || s.precedes(head, best) {
 				best, of = head, line
 			}
 		}
@@ -147,18 +147,18 @@
 	return best, of
 }
 
-func (s *scheduler) before(a, b *waiter) bool {
-	if a.ask.class != b.ask.class {
-		return s.pass[a.ask.class] < s.pass[b.ask.class]
+func (s *scheduler) precedes(a, b *waiter) bool {
+	if a.req.class != b.req.class {
+		return s.classPass[a.req.class] < s.classPass[b.req.class]
 	}
-	return a.order < b.order
+	return a.seq < b.seq
 }
 
-// joinTurns brings a class that nobody waited in up to the last turn, so that
+// catchUpPass brings a class that nobody waited in up to the last turn, so that
 // it neither claims the turns it did not need nor pays for turns that nobody
 // else wanted (start-time fair queueing).
-func (s *scheduler) joinTurns(class tw.Class) {
-	s.pass[class] = max(s.pass[class], s.paid)
+func (s *scheduler) catchUpPass(class tw.Class) {
+	s.classPass[class] = max(s.classPass[class], s.virtualTime)
 }
 
 // dispatchAll serves all who wait after the view has changed, and refuses
@@ -173,26 +173,26 @@
 		}
 		for _, q := range line.queues {
 			for w := q.head(); w != nil; w = q.head() {
-				s.refuse(line, w, notRunFor(ReasonNoInstance, retryAfterPromotion, "the job's last instance has gone"))
+				s.refuse(line, w, notRunRetryAfter(ReasonNoInstance, retryAfterPromotion, "the job's last instance has gone"))
 			}
 		}
 	}
 }
 
 // refuse ends a wait with a refusal.
-func (s *scheduler) refuse(line *jobLine, w *waiter, refusal *Refusal) {
-	s.leave(line, w)
-	w.ready <- outcome{refusal: refusal}
+func (s *scheduler) refuse(line *jobState, w *waiter, refusal *Refusal) {
+	s.dequeue(line, w)
+	w.ready <- waitResult{refusal: refusal}
 }
 
-func (s *scheduler) leave(line *jobLine, w *waiter) {
-	line.queues[w.ask.class].end(w)
-	s.leaveTeam(w.ask.team)
+func (s *scheduler) dequeue(line *jobState, w *waiter) {
+	line.queues[w.req.class].remove(w)
+	s.releaseTeam(w.req.team)
 }
 
-// end takes a waiter out if it still waits.
-func (s *scheduler) end(w *waiter) {
-	if !w.ended {
-		s.leave(s.line(w.ask.job), w)
+// removeWaiter takes a waiter out if it still waits.
+func (s *scheduler) removeWaiter(w *waiter) {
+	if !w.done {
+		s.dequeue(s.jobStateFor(w.req.job), w)
 	}
 }
--- a/gateway/claimed.go
+++ b/gateway/claimed.go
@@ -11,7 +11,7 @@
 // once: first the key is claimed with several daemons of the hall.
 func (g *Gateway) serveClaimed(ctx context.Context, w http.ResponseWriter, ex *exchange) *Refusal {
 	if ex.body.rest != nil {
-		return notRun(ReasonBodyTooLarge, "a request under "+HeaderKey+" must fit in memory")
+		return notRunRefusal(ReasonBodyTooLarge, "a request under "+HeaderKey+" must fit in memory")
 	}
 	claim, result := g.cfg.Claims.Claim(ctx, ex.scope(ex.job), ex.digest())
 	if !result.Granted {
@@ -19,7 +19,7 @@
 	}
 	state := tw.ClaimPending // also if the answer is cut and this panics
 	defer func() { g.cfg.Claims.Settle(claim, state) }()
-	refusal := g.serveHere(ctx, w, ex)
+	refusal := g.serveLocally(ctx, w, ex)
 	switch {
 	case refusal == nil:
 		state = tw.ClaimAnswered
@@ -33,9 +33,9 @@
 func claimRefusal(claim, standing tw.Claim) *Refusal {
 	switch {
 	case standing.Holder == "":
-		return notRunFor(ReasonKeyUnavailable, retryAfterRestart, "too few daemons could keep the key")
+		return notRunRetryAfter(ReasonKeyUnavailable, retryAfterRestart, "too few daemons could keep the key")
 	case standing.Body != claim.Body:
-		return notRun(ReasonKeyMismatch, "the key was used for another request")
+		return notRunRefusal(ReasonKeyMismatch, "the key was used for another request")
 	case standing.State == tw.ClaimAnswered:
 		return &Refusal{Reason: ReasonKeyAnswered, Outcome: Answered, Detail: "the request under this key was run and answered"}
 	}
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -29,8 +29,8 @@
 	return c.Conn.Write(b)
 }
 
-// count tells how many writes were begun.
-func (c *trackedConn) count() uint64 {
+// writeCount tells how many writes were begun.
+func (c *trackedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
