--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -24,22 +24,22 @@
 	tried      map[tw.InstanceID]bool
 }
 
-// accept routes a request and checks what its caller asked for.
-func (g *Gateway) accept(r *http.Request) (*exchange, *Refusal) {
+// newExchange routes a request and checks what its caller asked for.
+func (g *Gateway) newExchange(r *http.Request) (*exchange, *Refusal) {
 	ex := &exchange{id: requestID(r), in: r, tried: map[tw.InstanceID]bool{}}
 	if refusal := checkProtocol(r); refusal != nil {
 		return ex, refusal
 	}
 	if headerSize(r) > g.cfg.MaxHeader {
-		return ex, notRun(ReasonHeaderTooLarge, "the header is over the limit")
+		return ex, notRunRefusal(ReasonHeaderTooLarge, "the header is over the limit")
 	}
 	config := g.config()
 	if config == nil {
-		return ex, notRunFor(ReasonNoConfiguration, retryAfterPromotion, "this daemon has no configuration yet")
+		return ex, notRunRetryAfter(ReasonNoConfiguration, retryAfterPromotion, "this daemon has no configuration yet")
 	}
 	route := findRoute(config, hostOf(r), r.URL.Path)
 	if route == nil {
-		return ex, notRun(ReasonUnknownRoute, "no service has a route for this host and path")
+		return ex, notRunRefusal(ReasonUnknownRoute, "no service has a route for this host and path")
 	}
 	ex.job, ex.class, ex.timeout = route.Job, route.Class, route.Timeout.Std()
 	ex.repeatable = route.MayRepeat(r.Method)
@@ -51,24 +51,24 @@
 	h := ex.in.Header
 	if class := tw.Class(h.Get(HeaderClass)); class != "" {
 		if !class.Valid() {
-			return notRun(ReasonBadClass, HeaderClass+" must be quick, normal or long")
+			return notRunRefusal(ReasonBadClass, HeaderClass+" must be quick, normal or long")
 		}
-		ex.class = slower(ex.class, class)
+		ex.class = lessUrgent(ex.class, class)
 	}
 	if text := h.Get(HeaderTimeout); text != "" {
 		timeout, err := time.ParseDuration(text)
 		if err != nil || timeout <= 0 {
-			return notRun(ReasonBadTimeout, HeaderTimeout+` must be a positive duration such as "800ms"`)
+			return notRunRefusal(ReasonBadTimeout, HeaderTimeout+` must be a positive duration such as "800ms"`)
 		}
 		ex.timeout = min(ex.timeout, timeout)
 	}
 	ex.team = tw.TeamID(h.Get(HeaderTeam))
 	if ex.team != "" && findTeam(config, ex.team) == nil {
-		return notRun(ReasonBadTeam, "there is no such team")
+		return notRunRefusal(ReasonBadTeam, "there is no such team")
 	}
 	keys := h.Values(HeaderKey)
 	if len(keys) > 1 || len(keys) == 1 && (keys[0] == "" || len(keys[0]) > maxKey) {
-		return notRun(ReasonBadKey, HeaderKey+" must be there once, with 1 to 255 bytes")
+		return notRunRefusal(ReasonBadKey, HeaderKey+" must be there once, with 1 to 255 bytes")
 	}
 	if len(keys) == 1 {
 		ex.key = keys[0]
@@ -79,10 +79,10 @@
 func checkProtocol(r *http.Request) *Refusal {
 	switch {
 	case r.Method == http.MethodConnect || r.Method == http.MethodTrace || r.Header.Get("Upgrade") != "":
-		return notRun(ReasonBadMethod, "CONNECT, TRACE and upgrades are not served")
+		return notRunRefusal(ReasonBadMethod, "CONNECT, TRACE and upgrades are not served")
 	case !r.ProtoAtLeast(1, 1):
 		// An HTTP/1.0 caller could not tell a cut answer from a whole one.
-		return notRun(ReasonBadVersion, "HTTP/1.1 is needed")
+		return notRunRefusal(ReasonBadVersion, "HTTP/1.1 is needed")
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 	for i := range config.Services {
 		for j := range config.Services[i].Routes {
 			r := &config.Services[i].Routes[j]
-			if r.Matches(host, path) && (best == nil || closer(r, best)) {
+			if r.Matches(host, path) && (best == nil || moreSpecific(r, best)) {
 				best = r
 			}
 		}
@@ -114,7 +114,7 @@
 	return best
 }
 
-func closer(a, b *tw.Route) bool {
+func moreSpecific(a, b *tw.Route) bool {
 	if (a.Host != "") != (b.Host != "") {
 		return a.Host != ""
 	}
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// slower keeps a caller from taking a more urgent class than the route's.
-func slower(a, b tw.Class) tw.Class {
+// lessUrgent keeps a caller from taking a more urgent class than the route's.
+func lessUrgent(a, b tw.Class) tw.Class {
 	if rank(a) > rank(b) {
 		return a
 	}
--- a/gateway/failure_test.go
+++ b/gateway/failure_test.go
@@ -17,136 +17,136 @@
 // upstreamFault is one way in which an upstream fails, what the caller is
 // told, and how often the request may have been run.
 type upstreamFault struct {
-	play    func(conn net.Conn, request int) bool
-	method  string
-	path    string
-	body    string
-	headers []string
-	second  bool // a good upstream stands beside
+	play          func(conn net.Conn, request int) bool
+	method        string
+	path          string
+	body          string
+	headers       []string
+	healthySecond bool // a good upstream stands beside
 
-	cut     bool // the caller's connection ends without a whole answer
-	status  int
-	reason  Reason
-	outcome Outcome
-	most    int // runs at most, on both upstreams
+	truncated bool // the caller's connection ends without a whole answer
+	status    int
+	reason    Reason
+	outcome   Outcome
+	maxRuns   int // runs at most, on both upstreams
 }
 
-func goodbye(net.Conn, int) bool { return false }
+func closeConn(net.Conn, int) bool { return false }
 
 var upstreamFaults = map[string]upstreamFault{
 	"closes on a POST: unknown, run once": {
-		play: goodbye, method: "POST", path: "/", body: "x",
-		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, most: 1,
+		play: closeConn, method: "POST", path: "/", body: "x",
+		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
 	"closes on a POST with a key: unknown, run once": {
-		play: goodbye, method: "POST", path: "/", body: "x", headers: []string{HeaderKey, "k"},
-		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, most: 1,
+		play: closeConn, method: "POST", path: "/", body: "x", headers: []string{HeaderKey, "k"},
+		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
 	"closes on a POST without a body: unknown, run once": {
-		play: goodbye, method: "POST", path: "/", headers: []string{HeaderKey, "k"},
-		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, most: 1,
+		play: closeConn, method: "POST", path: "/", headers: []string{HeaderKey, "k"},
+		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
 	"closes on a GET that may not be repeated: unknown, run once": {
-		play: goodbye, method: "GET", path: "/once",
-		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, most: 1,
+		play: closeConn, method: "GET", path: "/once",
+		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
 	"closes on a GET, another instance is there: answered": {
-		play: goodbye, method: "GET", path: "/", second: true,
-		status: 200, outcome: Answered, most: 2,
+		play: closeConn, method: "GET", path: "/", healthySecond: true,
+		status: 200, outcome: Answered, maxRuns: 2,
 	},
 	"says not run to a POST, another instance is there: answered once": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 503 Busy\r\nTamarind-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")
+			writeRaw(conn, "HTTP/1.1 503 Busy\r\nTamarind-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")
 			return true
 		},
-		method: "POST", path: "/", body: "x", second: true,
-		status: 200, outcome: Answered, most: 2,
+		method: "POST", path: "/", body: "x", healthySecond: true,
+		status: 200, outcome: Answered, maxRuns: 2,
 	},
 	"says 503 to a POST: its answer is passed on, run once": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy")
+			writeRaw(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy")
 			return true
 		},
-		method: "POST", path: "/", body: "x", second: true,
-		status: 503, outcome: Answered, most: 1,
+		method: "POST", path: "/", body: "x", healthySecond: true,
+		status: 503, outcome: Answered, maxRuns: 1,
 	},
 	"says 503 to a GET, and no other instance is there: its answer is passed on": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy")
+			writeRaw(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy")
 			return true
 		},
 		method: "GET", path: "/",
-		status: 503, outcome: Answered, most: 1,
+		status: 503, outcome: Answered, maxRuns: 1,
 	},
 	"is lost in a small answer to a POST: unknown": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
+			writeRaw(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 			return false
 		},
 		method: "POST", path: "/", body: "x",
-		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, most: 1,
+		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
 	"is lost in a chunked answer to a POST: unknown": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
+			writeRaw(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 			return false
 		},
 		method: "POST", path: "/", body: "x",
-		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, most: 1,
+		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
 	"is lost in a large answer: the caller's connection is cut": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 200_000))
+			writeRaw(conn, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 200_000))
 			return false
 		},
-		method: "POST", path: "/", body: "x", cut: true, most: 1,
+		method: "POST", path: "/", body: "x", truncated: true, maxRuns: 1,
 	},
 	"is lost in a large chunked answer: the caller's connection is cut": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n"+strings.Repeat("x", 200_000)+"\r\n")
+			writeRaw(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n"+strings.Repeat("x", 200_000)+"\r\n")
 			return false
 		},
-		method: "POST", path: "/", body: "x", cut: true, most: 1,
+		method: "POST", path: "/", body: "x", truncated: true, maxRuns: 1,
 	},
 	"ends its answer with the connection: not passed as whole": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.0 200 OK\r\n\r\nmaybe all")
+			writeRaw(conn, "HTTP/1.0 200 OK\r\n\r\nmaybe all")
 			return false
 		},
 		method: "POST", path: "/", body: "x",
-		status: 502, reason: ReasonUnframed, outcome: Unknown, most: 1,
+		status: 502, reason: ReasonUnframed, outcome: Unknown, maxRuns: 1,
 	},
 	"answers nothing until the deadline: unknown": {
 		play:   func(net.Conn, int) bool { time.Sleep(time.Second); return false },
 		method: "POST", path: "/short", body: "x",
-		status: 504, reason: ReasonDeadline, outcome: Unknown, most: 1,
+		status: 504, reason: ReasonDeadline, outcome: Unknown, maxRuns: 1,
 	},
 	"answers, and claims that it did not run: its answer is an answer": {
 		play: func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 200 OK\r\nTamarind-Outcome: not-run\r\nTamarind-Reason: x\r\nContent-Length: 2\r\n\r\nok")
+			writeRaw(conn, "HTTP/1.1 200 OK\r\nTamarind-Outcome: not-run\r\nTamarind-Reason: x\r\nContent-Length: 2\r\n\r\nok")
 			return true
 		},
 		method: "POST", path: "/", body: "x",
-		status: 200, outcome: Answered, most: 1,
+		status: 200, outcome: Answered, maxRuns: 1,
 	},
 	"talks no HTTP: unknown": {
-		play:   func(conn net.Conn, _ int) bool { say(conn, "what?\r\n\r\n"); return false },
+		play:   func(conn net.Conn, _ int) bool { writeRaw(conn, "what?\r\n\r\n"); return false },
 		method: "POST", path: "/", body: "x",
-		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, most: 1,
+		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
 }
 
 var _ = Describe("an upstream that fails", func() {
 	for _, name := range slices.Sorted(maps.Keys(upstreamFaults)) {
 		for _, reused := range []bool{false, true} {
-			It(name+onConnection(reused), func() {
+			It(name+connSuffix(reused), func() {
 				upstreamFaults[name].run(reused)
 			})
 		}
 	}
 })
 
-func onConnection(reused bool) string {
+func connSuffix(reused bool) string {
 	if reused {
 		return " (reused connection)"
 	}
@@ -158,20 +158,20 @@
 	if reused {
 		warmups = 1
 	}
-	bad := script(func(conn net.Conn, request int) bool {
+	bad := newScriptedUpstream(func(conn net.Conn, request int) bool {
 		if request <= warmups {
-			say(conn, ok("warm"))
+			writeRaw(conn, okResponse("warm"))
 			return true
 		}
 		return f.play(conn, request)
 	})
-	g := serve(Config{}, viewOf(8, bad.address))
+	g := serve(Config{}, newView(8, bad.address))
 	if reused {
-		Expect(g.ask("GET", "/", "").status).To(Equal(200))
+		Expect(g.do("GET", "/", "").status).To(Equal(200))
 	}
-	good := script(func(conn net.Conn, _ int) bool { say(conn, ok("good")); return true })
-	got, tries := f.ask(g, bad, good, warmups)
-	if f.cut {
+	good := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("good")); return true })
+	got, tries := f.send(g, bad, good, warmups)
+	if f.truncated {
 		Expect(got.err).To(HaveOccurred())
 	} else {
 		Expect(got.err).NotTo(HaveOccurred())
@@ -179,19 +179,19 @@
 		Expect(got.reason).To(Equal(f.reason))
 		Expect(got.outcome).To(Equal(f.outcome))
 	}
-	Expect(bad.ran() - warmups + good.ran()).To(BeNumerically("<=", f.most*tries))
+	Expect(bad.requestCount() - warmups + good.requestCount()).To(BeNumerically("<=", f.maxRuns*tries))
 }
 
-// ask sends the request until the bad upstream has had it, as the choice
+// send sends the request until the bad upstream has had it, as the choice
 // between two is random; it returns how often it asked.
-func (f upstreamFault) ask(g *served, bad, good *scripted, warmups int) (reply, int) {
-	if !f.second {
-		return g.ask(f.method, f.path, f.body, f.headers...), 1
+func (f upstreamFault) send(g *testGateway, bad, good *scriptedUpstream, warmups int) (testResponse, int) {
+	if !f.healthySecond {
+		return g.do(f.method, f.path, f.body, f.headers...), 1
 	}
-	g.Install(viewOf(8, bad.address, good.address))
+	g.Install(newView(8, bad.address, good.address))
 	for tries := 1; ; tries++ {
-		got := g.ask(f.method, f.path, f.body, f.headers...)
-		if bad.ran() > warmups || tries == 50 {
+		got := g.do(f.method, f.path, f.body, f.headers...)
+		if bad.requestCount() > warmups || tries == 50 {
 			return got, tries
 		}
 	}
@@ -199,8 +199,8 @@
 
 var _ = Describe("an instance that cannot be reached", func() {
 	It("is proved not run, for a POST too", func() {
-		g := serve(Config{}, viewOf(8, closedAddress()))
-		got := g.ask("POST", "/", "x")
+		g := serve(Config{}, newView(8, closedAddress()))
+		got := g.do("POST", "/", "x")
 		Expect(got.status).To(Equal(http.StatusBadGateway))
 		Expect(got.reason).To(Equal(ReasonUnreachable))
 		Expect(got.outcome).To(Equal(NotRun))
@@ -208,69 +208,69 @@
 	})
 
 	It("is passed by when there is another", func() {
-		good := script(func(conn net.Conn, _ int) bool { say(conn, ok("good")); return true })
-		g := serve(Config{}, viewOf(8, closedAddress(), good.address))
+		good := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("good")); return true })
+		g := serve(Config{}, newView(8, closedAddress(), good.address))
 		for range 20 {
-			Expect(g.ask("POST", "/", "x").status).To(Equal(200))
+			Expect(g.do("POST", "/", "x").status).To(Equal(200))
 		}
 	})
 
 	It("is retried only from a budget", func() {
-		good := script(func(conn net.Conn, _ int) bool {
-			say(conn, "HTTP/1.1 503 Busy\r\nTamarind-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")
+		good := newScriptedUpstream(func(conn net.Conn, _ int) bool {
+			writeRaw(conn, "HTTP/1.1 503 Busy\r\nTamarind-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
-		g := serve(Config{}, viewOf(8, good.address, good.address, good.address, good.address))
+		g := serve(Config{}, newView(8, good.address, good.address, good.address, good.address))
 		const asked = 100
 		for range asked {
-			Expect(g.ask("POST", "/", "x").reason).To(Equal(ReasonUpstreamRefused))
+			Expect(g.do("POST", "/", "x").reason).To(Equal(ReasonUpstreamRefused))
 		}
-		Expect(good.ran()).To(BeNumerically("<=", asked+retryReserve+int(asked*retryShare)))
+		Expect(good.requestCount()).To(BeNumerically("<=", asked+maxRetryTokens+int(asked*retryRatio)))
 	})
 })
 
 var _ = Describe("whole answers", func() {
 	It("reach their own caller, whatever comes late on the connection", func() {
-		u := script(func(conn net.Conn, request int) bool {
+		u := newScriptedUpstream(func(conn net.Conn, request int) bool {
 			if request == 1 {
 				time.Sleep(400 * time.Millisecond) // after the deadline
-				say(conn, ok("late"))
+				writeRaw(conn, okResponse("late"))
 				return true
 			}
-			say(conn, ok("own"))
+			writeRaw(conn, okResponse("own"))
 			return true
 		})
-		g := serve(Config{}, viewOf(1, u.address))
-		Expect(g.ask("POST", "/short", "x").reason).To(Equal(ReasonDeadline))
+		g := serve(Config{}, newView(1, u.address))
+		Expect(g.do("POST", "/short", "x").reason).To(Equal(ReasonDeadline))
 		for range 5 {
-			Expect(g.ask("POST", "/", "x").body).To(Equal("own"))
+			Expect(g.do("POST", "/", "x").body).To(Equal("own"))
 		}
 	})
 
 	It("do not wait for a caller that has gone", func() {
-		g := serve(Config{}, viewOf(1, script(func(conn net.Conn, request int) bool {
+		g := serve(Config{}, newView(1, newScriptedUpstream(func(conn net.Conn, request int) bool {
 			if request == 1 {
 				time.Sleep(300 * time.Millisecond)
 			}
-			say(conn, ok("x"))
+			writeRaw(conn, okResponse("x"))
 			return true
 		}).address))
 		conn, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 		Expect(err).NotTo(HaveOccurred())
-		say(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+		writeRaw(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		time.Sleep(50 * time.Millisecond)
 		conn.Close()
 		Eventually(g.Demand).Should(BeZero())
-		Expect(g.ask("GET", "/", "").body).To(Equal("x"))
+		Expect(g.do("GET", "/", "").body).To(Equal("x"))
 	})
 
 	It("come from the same connection in large numbers", func() {
-		u := script(func(conn net.Conn, _ int) bool { say(conn, ok("own")); return true })
-		g := serve(Config{}, viewOf(8, u.address))
+		u := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("own")); return true })
+		g := serve(Config{}, newView(8, u.address))
 		for range 200 {
-			Expect(g.ask("POST", "/", "x", HeaderKey, "k").body).To(Equal("own"))
+			Expect(g.do("POST", "/", "x", HeaderKey, "k").body).To(Equal("own"))
 		}
-		Expect(u.ran()).To(Equal(200))
+		Expect(u.requestCount()).To(Equal(200))
 	})
 })
 
@@ -292,40 +292,40 @@
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
 		It(name, func() {
 			r := rows[name]
-			u := script(func(conn net.Conn, _ int) bool { say(conn, ok("own")); return true })
+			u := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("own")); return true })
 			claims := &fixedClaims{result: r.result}
-			g := serve(Config{Claims: claims}, viewOf(8, u.address))
+			g := serve(Config{Claims: claims}, newView(8, u.address))
 			if r.result.Existing.Holder != "" && r.result.Existing.Body == "" {
-				ex := exchange{in: mustRequest("POST", g.url+"/"), body: payload{held: []byte("x")}}
+				ex := exchange{in: mustRequest("POST", g.url+"/"), body: payload{buffered: []byte("x")}}
 				claims.result.Existing.Body = ex.digest()
 			}
-			got := g.ask("POST", "/", "x", HeaderKey, "k")
+			got := g.do("POST", "/", "x", HeaderKey, "k")
 			Expect(got.status).To(Equal(r.status), got.body)
 			Expect(got.reason).To(Equal(r.reason))
 			Expect(got.outcome).To(Equal(r.outcome))
-			Expect(u.ran()).To(Equal(r.runs))
+			Expect(u.requestCount()).To(Equal(r.runs))
 		})
 	}
 
 	It("goes on to the upstream unchanged", func() {
 		seen := make(chan string, 1)
 		server := newUpstream(func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header.Get(HeaderKey) })
-		g := serve(Config{}, viewOf(8, server))
-		Expect(g.ask("POST", "/", "x", HeaderKey, "Ke y-1").status).To(Equal(200))
+		g := serve(Config{}, newView(8, server))
+		Expect(g.do("POST", "/", "x", HeaderKey, "Ke y-1").status).To(Equal(200))
 		Expect(<-seen).To(Equal("Ke y-1"))
 	})
 
 	It("is free again after a refusal that proves that nothing ran", func() {
 		claims := &fixedClaims{result: tw.ClaimResult{Granted: true}}
-		g := serve(Config{Claims: claims}, viewOf(8, closedAddress()))
-		Expect(g.ask("POST", "/", "x", HeaderKey, "k").outcome).To(Equal(NotRun))
+		g := serve(Config{Claims: claims}, newView(8, closedAddress()))
+		Expect(g.do("POST", "/", "x", HeaderKey, "k").outcome).To(Equal(NotRun))
 		Expect(claims.states).To(Equal([]tw.ClaimState{tw.ClaimReleased}))
 	})
 
 	It("stays taken when the outcome is unknown", func() {
 		claims := &fixedClaims{result: tw.ClaimResult{Granted: true}}
-		g := serve(Config{Claims: claims}, viewOf(8, script(goodbye).address))
-		Expect(g.ask("POST", "/", "x", HeaderKey, "k").outcome).To(Equal(Unknown))
+		g := serve(Config{Claims: claims}, newView(8, newScriptedUpstream(closeConn).address))
+		Expect(g.do("POST", "/", "x", HeaderKey, "k").outcome).To(Equal(Unknown))
 		Expect(claims.states).To(Equal([]tw.ClaimState{tw.ClaimPending}))
 	})
 })
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -23,7 +23,7 @@
 
 		MaxHeader        tw.Bytes // of a request, its first line included
 		MaxBody          tw.Bytes // of a request
-		MaxHeldBody      tw.Bytes // that can be sent again
+		MaxBufferedBody  tw.Bytes // that can be sent again
 		DialTimeout      time.Duration
 		IdlePerInstance  int // idle connections kept
 		ConnsPerInstance int // connections at most
@@ -31,26 +31,26 @@
 
 	// Gateway serves callers. It implements http.Handler and tw.Dispatcher.
 	Gateway struct {
-		cfg       Config
-		log       *zap.Logger
-		transport *http.Transport
-		scheduler *scheduler
-		retries   *retryBudget
-		stats     *stats
-		view      atomic.Pointer[tw.View]
-		stopping  atomic.Bool
-		active    activity
-		relays    atomic.Int64
-		turns     atomic.Uint64
+		cfg            Config
+		log            *zap.Logger
+		transport      *http.Transport
+		scheduler      *scheduler
+		retries        *retryBudget
+		stats          *stats
+		view           atomic.Pointer[tw.View]
+		stopping       atomic.Bool
+		requests       requestTracker
+		relaysInFlight atomic.Int64
+		relayRotation  atomic.Uint64
 	}
 )
 
 const (
-	defaultMaxHeader   = 32 << 10
-	defaultMaxBody     = 8 << 20
-	defaultMaxHeldBody = 64 << 10
-	defaultDialTimeout = 500 * time.Millisecond
-	defaultConns       = 8
+	defaultMaxHeader       = 32 << 10
+	defaultMaxBody         = 8 << 20
+	defaultMaxBufferedBody = 64 << 10
+	defaultDialTimeout     = 500 * time.Millisecond
+	defaultConns           = 8
 	// maxRelays bounds the requests that other daemons serve for this one.
 	maxRelays = 512
 )
@@ -90,8 +90,8 @@
 	if c.MaxBody == 0 {
 		c.MaxBody = defaultMaxBody
 	}
-	if c.MaxHeldBody == 0 {
-		c.MaxHeldBody = defaultMaxHeldBody
+	if c.MaxBufferedBody == 0 {
+		c.MaxBufferedBody = defaultMaxBufferedBody
 	}
 	if c.DialTimeout == 0 {
 		c.DialTimeout = defaultDialTimeout
@@ -114,7 +114,7 @@
 func (g *Gateway) Loads() []tw.Load { return g.scheduler.loads() }
 
 // Jobs implements tw.Dispatcher.
-func (g *Gateway) Jobs() []tw.JobID { return g.scheduler.reachable() }
+func (g *Gateway) Jobs() []tw.JobID { return g.scheduler.servableJobs() }
 
 // Demand implements tw.Dispatcher.
 func (g *Gateway) Demand() int { return g.scheduler.demand() }
@@ -124,7 +124,7 @@
 func (g *Gateway) Stop(ctx context.Context) error {
 	g.stopping.Store(true)
 	select {
-	case <-g.active.quiet():
+	case <-g.requests.whenIdle():
 		g.transport.CloseIdleConnections()
 		return nil
 	case <-ctx.Done():
@@ -134,8 +134,8 @@
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.active.begin()
-	defer g.active.end()
+	g.requests.begin()
+	defer g.requests.end()
 	start := g.cfg.Clock.Now()
 	if len(r.TransferEncoding) > 0 {
 		// RFC 9112, section 6.1, asks to close after a request that has both
@@ -143,9 +143,9 @@
 		// each chunked one: nothing smuggled behind it is read.
 		w.Header().Set("Connection", "close")
 	}
-	ex, refusal := g.accept(r)
+	ex, refusal := g.newExchange(r)
 	if refusal == nil && g.stopping.Load() {
-		refusal = notRunFor(ReasonStopping, retryAfterRestart, "this daemon is stopping")
+		refusal = notRunRetryAfter(ReasonStopping, retryAfterRestart, "this daemon is stopping")
 	}
 	if refusal == nil {
 		ex.body, refusal = g.readPayload(w, r)
@@ -156,7 +156,7 @@
 	if refusal != nil {
 		g.refuse(w, ex, refusal)
 	}
-	g.stats.ended(ex, refusal, g.cfg.Clock.Now().Sub(start))
+	g.stats.requestEnded(ex, refusal, g.cfg.Clock.Now().Sub(start))
 }
 
 func (g *Gateway) refuse(w http.ResponseWriter, ex *exchange, refusal *Refusal) {
@@ -172,22 +172,22 @@
 func (g *Gateway) serve(w http.ResponseWriter, ex *exchange) *Refusal {
 	ctx, cancel := context.WithTimeout(ex.in.Context(), ex.timeout)
 	defer cancel()
-	g.retries.earn()
-	if !g.scheduler.reach(ex.job) {
+	g.retries.deposit()
+	if !g.scheduler.hasSlots(ex.job) {
 		return g.relay(ctx, w, ex)
 	}
 	if ex.key != "" && !ex.repeatable && g.cfg.Claims != nil {
 		return g.serveClaimed(ctx, w, ex)
 	}
-	return g.serveHere(ctx, w, ex)
+	return g.serveLocally(ctx, w, ex)
 }
 
-// serveHere gives the request to instances of this hall.
-func (g *Gateway) serveHere(ctx context.Context, w http.ResponseWriter, ex *exchange) *Refusal {
+// serveLocally gives the request to instances of this hall.
+func (g *Gateway) serveLocally(ctx context.Context, w http.ResponseWriter, ex *exchange) *Refusal {
 	deadline, _ := ctx.Deadline()
 	var last *Refusal
 	for {
-		slot, refusal := g.scheduler.acquire(ctx, ask{
+		slot, refusal := g.scheduler.acquire(ctx, slotRequest{
 			job:      ex.job,
 			class:    ex.class,
 			team:     ex.team,
@@ -195,28 +195,28 @@
 			tried:    ex.tried,
 		})
 		if refusal != nil {
-			return firstOf(last, refusal)
+			return earlierRefusal(last, refusal)
 		}
-		ex.tried = with(ex.tried, slot.worker.id)
-		v := g.tryHere(ctx, w, ex, slot)
+		ex.tried = withInstance(ex.tried, slot.worker.id)
+		v := g.tryInstance(ctx, w, ex, slot)
 		if v.refusal == nil && v.retry == "" {
 			return nil
 		}
 		last = v.refusal
-		if v.retry == "" || !pause(ctx, g.scheduler) {
+		if v.retry == "" || !backoff(ctx, g.scheduler) {
 			return last
 		}
 		g.stats.retried(v.retry)
 	}
 }
 
-// tryHere makes one attempt at one instance. A verdict without refusal and
+// tryInstance makes one attempt at one instance. A verdict without refusal and
 // retry means that the caller has its answer.
-func (g *Gateway) tryHere(ctx context.Context, w http.ResponseWriter, ex *exchange, slot *grant) verdict {
+func (g *Gateway) tryInstance(ctx context.Context, w http.ResponseWriter, ex *exchange, slot *grant) decision {
 	a := g.send(ctx, ex, target{address: slot.address, grant: slot})
-	v := ex.judge(ctx, a)
+	v := ex.classify(ctx, a)
 	mode := releaseOK
-	if v.blame {
+	if v.instanceFailed {
 		mode = releaseFailed
 	}
 	defer func() { g.scheduler.release(slot, mode) }()
@@ -227,11 +227,11 @@
 		// An instance's answer is one, whatever it says in our own headers.
 		a.resp.Header.Set(HeaderOutcome, string(Answered))
 		a.resp.Header.Del(HeaderReason)
-		v = g.finishAnswer(w, ex, a.resp, func() { g.scheduler.release(slot, mode) })
-		if v.blame {
+		v = g.finishResponse(w, ex, a.resp, func() { g.scheduler.release(slot, mode) })
+		if v.instanceFailed {
 			mode = releaseFailed
 		}
-		v.abortIfCut()
+		v.abortIfTruncated()
 		return v
 	}
 	if a.resp != nil {
@@ -245,25 +245,25 @@
 
 // mayRetry takes a retry from the budget, if an instance is left to try.
 func (g *Gateway) mayRetry(ex *exchange) bool {
-	return len(ex.tried) < maxTries && g.scheduler.left(ex.job, ex.tried) && g.retries.spend()
+	return len(ex.tried) < maxAttempts && g.scheduler.hasUntried(ex.job, ex.tried) && g.retries.withdraw()
 }
 
-// finishAnswer passes an answer on; free is called when the upstream has said
+// finishResponse passes an answer on; free is called when the upstream has said
 // all.
-func (g *Gateway) finishAnswer(w http.ResponseWriter, ex *exchange, resp *http.Response, free func()) verdict {
+func (g *Gateway) finishResponse(w http.ResponseWriter, ex *exchange, resp *http.Response, free func()) decision {
 	setWriteDeadline(resp.Request.Context(), w)
-	switch passOn(w, resp, free) {
-	case answerNothing:
-		v := ex.judgeError(resp.Request.Context(), attempt{err: errAnswerCut, sent: true})
+	switch forwardResponse(w, resp, free) {
+	case forwardNothing:
+		v := ex.classifyError(resp.Request.Context(), attempt{err: errResponseTruncated, mayHaveSent: true})
 		if v.retry != "" && !g.mayRetry(ex) {
 			v.retry = ""
 		}
 		return v
-	case answerCut:
-		g.stats.cutAnswer()
-		return verdict{blame: true, cut: true}
+	case forwardTruncated:
+		g.stats.responseTruncated()
+		return decision{instanceFailed: true, truncated: true}
 	}
-	return verdict{}
+	return decision{}
 }
 
 func (g *Gateway) config() *tw.FleetConfig {
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -29,8 +29,8 @@
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// forwarded copies the headers that go on to the next hop.
-func forwarded(in http.Header) http.Header {
+// forwardableHeader copies the headers that go on to the next hop.
+func forwardableHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, line := range in["Connection"] {
 		for _, name := range strings.Split(line, ",") {
@@ -43,10 +43,10 @@
 	return out
 }
 
-// hideKey spells the idempotency key's header in lower case. net/http repeats
+// lowercaseKeyHeader spells the idempotency key's header in lower case. net/http repeats
 // a request on its own if it finds "Idempotency-Key" in that very spelling
 // (Request.isReplayable); on the wire, case means nothing.
-func hideKey(h http.Header) {
+func lowercaseKeyHeader(h http.Header) {
 	for _, name := range []string{HeaderKey, "X-" + HeaderKey} {
 		if values, ok := h[name]; ok {
 			delete(h, name)
--- a/gateway/payload.go
+++ b/gateway/payload.go
@@ -15,59 +15,59 @@
 type (
 	// payload is a request's body: in memory if small, else read once.
 	payload struct {
-		held   []byte    // all of it, or its beginning
-		rest   io.Reader // what follows held; nil if held is all
-		length int64     // -1 if not told
-		used   bool      // rest was given away
+		buffered []byte    // all of it, or its beginning
+		rest     io.Reader // what follows held; nil if held is all
+		length   int64     // -1 if not told
+		consumed bool      // rest was given away
 	}
 
-	// onceBody hides what net/http could use to repeat a request: it is not
+	// singleUseBody hides what net/http could use to repeat a request: it is not
 	// nil, and there is no GetBody beside it.
-	onceBody struct{ io.Reader }
+	singleUseBody struct{ io.Reader }
 )
 
 // Close is there for io.ReadCloser; the server owns the caller's connection.
-func (onceBody) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
 // readPayload takes in a body before any slot is held for it, so that a slow
 // caller holds up nobody.
 func (g *Gateway) readPayload(w http.ResponseWriter, r *http.Request) (payload, *Refusal) {
 	limit := int64(g.cfg.MaxBody)
 	if r.ContentLength > limit {
-		return payload{}, notRun(ReasonBodyTooLarge, "the body is over the limit")
+		return payload{}, notRunRefusal(ReasonBodyTooLarge, "the body is over the limit")
 	}
 	if r.Body == nil || r.ContentLength == 0 {
 		return payload{}, nil
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, limit)
-	held, err := io.ReadAll(io.LimitReader(r.Body, int64(g.cfg.MaxHeldBody)+1))
+	held, err := io.ReadAll(io.LimitReader(r.Body, int64(g.cfg.MaxBufferedBody)+1))
 	if err != nil {
 		return payload{}, bodyRefusal(err)
 	}
-	if int64(len(held)) <= int64(g.cfg.MaxHeldBody) {
-		return payload{held: held, length: int64(len(held))}, nil
+	if int64(len(held)) <= int64(g.cfg.MaxBufferedBody) {
+		return payload{buffered: held, length: int64(len(held))}, nil
 	}
-	return payload{held: held, rest: r.Body, length: r.ContentLength}, nil
+	return payload{buffered: held, rest: r.Body, length: r.ContentLength}, nil
 }
 
 func bodyRefusal(err error) *Refusal {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return notRun(ReasonBodyTooLarge, "the body is over the limit")
+		return notRunRefusal(ReasonBodyTooLarge, "the body is over the limit")
 	}
-	return notRun(ReasonBadBody, "the body could not be read")
+	return notRunRefusal(ReasonBadBody, "the body could not be read")
 }
 
 // replayable tells whether the body can be sent once more.
-func (p *payload) replayable() bool { return p.rest == nil || !p.used }
+func (p *payload) replayable() bool { return p.rest == nil || !p.consumed }
 
 // open gives the body for one attempt.
 func (p *payload) open() io.ReadCloser {
 	if p.rest == nil {
-		return onceBody{bytes.NewReader(p.held)}
+		return singleUseBody{bytes.NewReader(p.buffered)}
 	}
-	p.used = true
-	return onceBody{io.MultiReader(bytes.NewReader(p.held), p.rest)}
+	p.consumed = true
+	return singleUseBody{io.MultiReader(bytes.NewReader(p.buffered), p.rest)}
 }
 
 // digest tells two requests under one idempotency key apart.
@@ -76,7 +76,7 @@
 	for _, part := range []string{ex.in.Method, hostOf(ex.in), ex.in.URL.RequestURI()} {
 		_, _ = io.WriteString(sum, part+"\n") // a hash never fails
 	}
-	_, _ = sum.Write(ex.body.held)
+	_, _ = sum.Write(ex.body.buffered)
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -75,9 +75,9 @@
 	ReasonCallerGone      Reason = "caller-gone"
 )
 
-// statuses has the HTTP status of every reason. 499 is never seen by anyone,
+// statusByReason has the HTTP status of every reason. 499 is never seen by anyone,
 // as its caller has gone; it is there for the logs.
-var statuses = map[Reason]int{
+var statusByReason = map[Reason]int{
 	ReasonUnknownRoute:    http.StatusNotFound,
 	ReasonBadMethod:       http.StatusMethodNotAllowed,
 	ReasonBadVersion:      http.StatusHTTPVersionNotSupported,
@@ -118,15 +118,15 @@
 
 // Reasons lists every reason, in no order.
 func Reasons() []Reason {
-	out := make([]Reason, 0, len(statuses))
-	for r := range statuses {
+	out := make([]Reason, 0, len(statusByReason))
+	for r := range statusByReason {
 		out = append(out, r)
 	}
 	return out
 }
 
 // Status is the HTTP status of a refusal.
-func (r *Refusal) Status() int { return statuses[r.Reason] }
+func (r *Refusal) Status() int { return statusByReason[r.Reason] }
 
 // Error makes a refusal an error, for logs.
 func (r *Refusal) Error() string { return string(r.Reason) + " (" + string(r.Outcome) + ")" }
@@ -155,10 +155,10 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func notRun(reason Reason, detail string) *Refusal {
+func notRunRefusal(reason Reason, detail string) *Refusal {
 	return &Refusal{Reason: reason, Outcome: NotRun, Detail: detail}
 }
 
-func notRunFor(reason Reason, after time.Duration, detail string) *Refusal {
+func notRunRetryAfter(reason Reason, after time.Duration, detail string) *Refusal {
 	return &Refusal{Reason: reason, Outcome: NotRun, RetryAfter: after, Detail: detail}
 }
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -47,9 +47,9 @@
 	for _, name := range slices.Sorted(maps.Keys(badInputs)) {
 		It(name+" is refused and reaches no upstream", func() {
 			in := badInputs[name]
-			u := script(func(conn net.Conn, _ int) bool { say(conn, ok("own")); return true })
-			g := serve(Config{MaxBody: 1000, MaxHeldBody: 100, MaxHeader: 4000}, viewOf(8, u.address))
-			got := g.ask(in.method, in.path, in.body, in.headers...)
+			u := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("own")); return true })
+			g := serve(Config{MaxBody: 1000, MaxBufferedBody: 100, MaxHeader: 4000}, newView(8, u.address))
+			got := g.do(in.method, in.path, in.body, in.headers...)
 			Expect(got.status).To(Equal(in.status), got.body)
 			Expect(got.reason).To(Equal(in.reason))
 			Expect(got.outcome).To(Equal(NotRun))
@@ -58,15 +58,15 @@
 			Expect(json.Unmarshal([]byte(got.body), &body)).To(Succeed())
 			Expect(body.Status).To(Equal(in.status))
 			Expect(body.Reason).To(Equal(in.reason))
-			Expect(u.ran()).To(BeZero())
+			Expect(u.requestCount()).To(BeZero())
 		})
 	}
 
 	It("with a route for no host or path is refused", func() {
-		view := viewOf(8)
+		view := newView(8)
 		view.Config.Services[0].Routes = view.Config.Services[0].Routes[1:]
 		g := serve(Config{}, view)
-		Expect(g.ask("GET", "/other", "").reason).To(Equal(ReasonUnknownRoute))
+		Expect(g.do("GET", "/other", "").reason).To(Equal(ReasonUnknownRoute))
 	})
 
 	raw := map[string]string{
@@ -83,10 +83,10 @@
 		It(name+" does not get past the gateway as another request", func() {
 			var paths []string
 			u := newUpstream(func(_ http.ResponseWriter, r *http.Request) { paths = append(paths, r.URL.Path) })
-			g := serve(Config{}, viewOf(8, u))
+			g := serve(Config{}, newView(8, u))
 			conn, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 			Expect(err).NotTo(HaveOccurred())
-			say(conn, raw[name])
+			writeRaw(conn, raw[name])
 			Expect(conn.(*net.TCPConn).CloseWrite()).To(Succeed())
 			var answer bytes.Buffer
 			_, _ = answer.ReadFrom(conn)
@@ -110,7 +110,7 @@
 		manual, err := os.ReadFile("../docs/OPERATING.md")
 		Expect(err).NotTo(HaveOccurred())
 		for _, r := range Reasons() {
-			Expect(statuses[r]).To(BeNumerically(">=", 400), string(r))
+			Expect(statusByReason[r]).To(BeNumerically(">=", 400), string(r))
 			Expect(page.String()).To(ContainSubstring(fmt.Sprintf("tamarind_refusals_total{reason=%q} 0", r)))
 			Expect(string(manual)).To(ContainSubstring("| `"+string(r)+"` |"), "docs/OPERATING.md")
 		}
@@ -122,9 +122,9 @@
 
 	It("is counted when it is used", func() {
 		set := metrics.NewSet()
-		g := serve(Config{Metrics: set}, viewOf(8, closedAddress()))
-		g.ask("POST", "/", "x")
-		g.ask("GET", "/", "", HeaderClass, "urgent")
+		g := serve(Config{Metrics: set}, newView(8, closedAddress()))
+		g.do("POST", "/", "x")
+		g.do("GET", "/", "", HeaderClass, "urgent")
 		var page bytes.Buffer
 		set.WritePrometheus(&page)
 		Expect(page.String()).To(ContainSubstring(`tamarind_refusals_total{reason="upstream-unreachable"} 1`))
@@ -132,33 +132,33 @@
 	})
 
 	It("is answered by a daemon that stops", func() {
-		g := serve(Config{}, viewOf(8))
+		g := serve(Config{}, newView(8))
 		Expect(g.Stop(GinkgoT().Context())).To(Succeed())
-		got := g.ask("POST", "/", "x")
+		got := g.do("POST", "/", "x")
 		Expect(got.reason).To(Equal(ReasonStopping))
 		Expect(got.outcome).To(Equal(NotRun))
 	})
 
 	It("is answered by a daemon without a configuration", func() {
 		g := serve(Config{}, tw.View{})
-		Expect(g.ask("POST", "/", "x").reason).To(Equal(ReasonNoConfiguration))
+		Expect(g.do("POST", "/", "x").reason).To(Equal(ReasonNoConfiguration))
 	})
 })
 
 var _ = Describe("a request that another hall must serve", func() {
 	It("goes one hop, also to a daemon that has not told its jobs", func() {
-		u := script(func(conn net.Conn, _ int) bool { say(conn, ok("far")); return true })
-		far := serve(Config{}, viewOf(8, u.address))
+		u := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("far")); return true })
+		far := serve(Config{}, newView(8, u.address))
 		near := serve(Config{}, relayView(strings.TrimPrefix(far.url, "http://")))
-		Expect(near.ask("POST", "/", "x").body).To(Equal("far"))
-		Expect(u.ran()).To(Equal(1))
+		Expect(near.do("POST", "/", "x").body).To(Equal("far"))
+		Expect(u.requestCount()).To(Equal(1))
 	})
 
 	It("never goes on, and is told not run", func() {
-		far := serve(Config{}, viewOf(8))
+		far := serve(Config{}, newView(8))
 		far.Install(relayView(strings.TrimPrefix(far.url, "http://"))) // would loop
 		near := serve(Config{}, relayView(strings.TrimPrefix(far.url, "http://")))
-		got := near.ask("POST", "/", "x")
+		got := near.do("POST", "/", "x")
 		Expect(got.outcome).To(Equal(NotRun))
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 	})
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -19,8 +19,8 @@
 	minLongReserve   = 1.0 / 4
 	maxLongReserve   = 3.0 / 4
 	reserveMargin    = 1.15 // arrivals come in bursts
-	// arrivalSpan is how far back arrivals are counted, once to twice.
-	arrivalSpan = time.Second
+	// arrivalWindow is how far back arrivals are counted, once to twice.
+	arrivalWindow = time.Second
 )
 
 // limit is how many of an instance's slots a class and those less urgent may
@@ -30,17 +30,17 @@
 	return max(1, slots-kept)
 }
 
-// reserve works out what the classes of a job must leave free.
-func (l *jobLine) reserve(now time.Time) reserve {
+// computeReserve works out what the classes of a job must leave free.
+func (l *jobState) computeReserve(now time.Time) reserve {
 	slots := 0
 	for _, w := range l.workers {
-		slots += w.share
+		slots += w.ownSlots
 	}
 	if slots == 0 {
 		return reserve{}
 	}
 	part := func(urgent, class tw.Class) float64 {
-		return reserveMargin * l.busy(urgent, now) / float64(slots) * l.hold(urgent, class)
+		return reserveMargin * l.offeredLoad(urgent, now) / float64(slots) * l.reserveFactor(urgent, class)
 	}
 	return reserve{
 		tw.ClassNormal: min(max(part(tw.ClassQuick, tw.ClassNormal), minNormalReserve), maxNormalReserve),
@@ -48,15 +48,15 @@
 	}
 }
 
-// hold is how much an urgent class needs a reserve against another: nothing if
+// reserveFactor is how much an urgent class needs a reserve against another: nothing if
 // the other's slots are freed as fast as its own, all of it if far slower. The
 // square keeps little against classes that are only somewhat slower.
-func (l *jobLine) hold(urgent, class tw.Class) float64 {
-	slower := max(0, 1-l.mean(urgent)/l.mean(class))
+func (l *jobState) reserveFactor(urgent, class tw.Class) float64 {
+	slower := max(0, 1-l.meanServiceSeconds(urgent)/l.meanServiceSeconds(class))
 	return slower * slower
 }
 
-// busy is how many slots a class would fill if all that comes were admitted.
-func (l *jobLine) busy(class tw.Class, now time.Time) float64 {
-	return l.arrivals[class].rate(now) * l.mean(class)
+// offeredLoad is how many slots a class would fill if all that comes were admitted.
+func (l *jobState) offeredLoad(class tw.Class, now time.Time) float64 {
+	return l.arrivals[class].rate(now) * l.meanServiceSeconds(class)
 }
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// maxTries bounds the instances that one request is sent to.
-	maxTries = 4
-	maxPause = 20 * time.Millisecond // before a retry, jittered
+	// maxAttempts bounds the instances that one request is sent to.
+	maxAttempts = 4
+	maxBackoff  = 20 * time.Millisecond // before a retry, jittered
 )
 
-// errAnswerCut is an upstream lost in mid-answer.
-var errAnswerCut = errors.New("gateway: upstream lost in mid-answer")
+// errResponseTruncated is an upstream lost in mid-answer.
+var errResponseTruncated = errors.New("gateway: upstream lost in mid-answer")
 
-// pause waits a random moment before a retry, so that what failed together is
+// backoff waits a random moment before a retry, so that what failed together is
 // not retried together. It returns false if the time has run out.
-func pause(ctx context.Context, s *scheduler) bool {
+func backoff(ctx context.Context, s *scheduler) bool {
 	s.mu.Lock()
-	d := time.Duration(s.rand.Int64N(int64(maxPause)))
+	d := time.Duration(s.rand.Int64N(int64(maxBackoff)))
 	s.mu.Unlock()
 	select {
 	case <-ctx.Done():
@@ -34,17 +34,17 @@
 	}
 }
 
-// firstOf is what to tell the caller if a retry was refused a slot: what came
+// earlierRefusal is what to tell the caller if a retry was refused a slot: what came
 // of the tries before, if there were any.
-func firstOf(before, now *Refusal) *Refusal {
+func earlierRefusal(before, now *Refusal) *Refusal {
 	if before != nil {
 		return before
 	}
 	return now
 }
 
-// with copies a set and adds an element; waiters may still read the old one.
-func with(set map[tw.InstanceID]bool, id tw.InstanceID) map[tw.InstanceID]bool {
+// withInstance copies a set and adds an element; waiters may still read the old one.
+func withInstance(set map[tw.InstanceID]bool, id tw.InstanceID) map[tw.InstanceID]bool {
 	next := maps.Clone(set)
 	next[id] = true
 	return next
--- a/gateway/retry_budget.go
+++ b/gateway/retry_budget.go
@@ -3,8 +3,8 @@
 import "sync"
 
 const (
-	retryShare   = 0.1 // retries per first try
-	retryReserve = 10  // retries that a quiet daemon may make at once
+	retryRatio     = 0.1 // retries per first try
+	maxRetryTokens = 10  // retries that a quiet daemon may make at once
 )
 
 // retryBudget keeps retries to a share of the traffic, so that they cannot
@@ -14,17 +14,17 @@
 	tokens float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{tokens: retryReserve} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxRetryTokens} }
 
-// earn is called once for each request.
-func (b *retryBudget) earn() {
+// deposit is called once for each request.
+func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+retryShare, retryReserve)
+	b.tokens = min(b.tokens+retryRatio, maxRetryTokens)
 }
 
-// spend takes one retry, if there is one.
-func (b *retryBudget) spend() bool {
+// withdraw takes one retry, if there is one.
+func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -17,20 +17,20 @@
 	scheduler struct {
 		clock tw.Clock
 
-		mu      sync.Mutex
-		rand    *rand.Rand
-		view    tw.View
-		workers map[tw.InstanceID]*worker
-		jobs    map[tw.JobID]*jobLine
-		pass    map[tw.Class]float64 // what each class has paid for its turns
-		paid    float64              // pass of the last turn
-		teams   map[tw.TeamID]int    // requests running and waiting
-		order   uint64
-		running int
-	}
-
-	// ask is a request for a slot.
-	ask struct {
+		mu           sync.Mutex
+		rand         *rand.Rand
+		view         tw.View
+		workers      map[tw.InstanceID]*worker
+		jobs         map[tw.JobID]*jobState
+		classPass    map[tw.Class]float64 // what each class has paid for its turns
+		virtualTime  float64              // pass of the last turn
+		teamRequests map[tw.TeamID]int    // requests running and waiting
+		lastSeq      uint64
+		running      int
+	}
+
+	// slotRequest is a request for a slot.
+	slotRequest struct {
 		job      tw.JobID
 		class    tw.Class
 		team     tw.TeamID
@@ -42,19 +42,19 @@
 	grant struct {
 		worker  *worker
 		address string // of the instance when the slot was given
-		ask     ask
+		req     slotRequest
 		start   time.Time
 		once    sync.Once
 	}
 
-	// jobLine is the queues of one job.
-	jobLine struct {
-		id      tw.JobID
-		workers []*worker
-		queues  map[tw.Class]*fairQueue
-		service map[tw.Class]float64 // mean seconds in a slot
+	// jobState is the queues of one job.
+	jobState struct {
+		id             tw.JobID
+		workers        []*worker
+		queues         map[tw.Class]*fairQueue
+		serviceSeconds map[tw.Class]float64 // mean seconds in a slot
 		// arrivals are all that asked, admitted or not.
-		arrivals map[tw.Class]*window
+		arrivals map[tw.Class]*eventWindow
 	}
 )
 
@@ -65,12 +65,12 @@
 
 func newScheduler(cfg Config) *scheduler {
 	return &scheduler{
-		clock:   cfg.Clock,
-		rand:    rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		workers: map[tw.InstanceID]*worker{},
-		jobs:    map[tw.JobID]*jobLine{},
-		pass:    map[tw.Class]float64{},
-		teams:   map[tw.TeamID]int{},
+		clock:        cfg.Clock,
+		rand:         rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		workers:      map[tw.InstanceID]*worker{},
+		jobs:         map[tw.JobID]*jobState{},
+		classPass:    map[tw.Class]float64{},
+		teamRequests: map[tw.TeamID]int{},
 	}
 }
 
@@ -85,7 +85,7 @@
 		since = since.Add(-slowStart)
 	}
 	for _, w := range s.workers {
-		w.share = 0
+		w.ownSlots = 0
 		clear(w.jobs)
 	}
 	for _, line := range s.jobs {
@@ -97,7 +97,7 @@
 		}
 	}
 	for id, w := range s.workers {
-		if w.share == 0 && w.total == 0 {
+		if w.ownSlots == 0 && w.inFlight == 0 {
 			delete(s.workers, id)
 		}
 	}
@@ -114,34 +114,34 @@
 			id:      a.Instance,
 			since:   since,
 			jobs:    map[tw.JobID]bool{},
-			held:    map[tw.JobID]*tally{},
+			perJob:  map[tw.JobID]*jobStats{},
 			byClass: map[tw.Class]int{},
 		}
 		s.workers[a.Instance] = w
 	}
 	w.address = a.Address
-	w.share = share(s.view.Members, s.view.Self, a.Instance, a.Slots)
+	w.ownSlots = slotShare(s.view.Members, s.view.Self, a.Instance, a.Slots)
 	for _, at := range a.Jobs {
 		if a.Serves(at.Job) {
 			w.jobs[at.Job] = true
-			line := s.line(at.Job)
+			line := s.jobStateFor(at.Job)
 			line.workers = append(line.workers, w)
 		}
 	}
 }
 
-func (s *scheduler) line(job tw.JobID) *jobLine {
+func (s *scheduler) jobStateFor(job tw.JobID) *jobState {
 	line := s.jobs[job]
 	if line == nil {
-		line = &jobLine{
-			id:       job,
-			queues:   map[tw.Class]*fairQueue{},
-			service:  map[tw.Class]float64{},
-			arrivals: map[tw.Class]*window{},
+		line = &jobState{
+			id:             job,
+			queues:         map[tw.Class]*fairQueue{},
+			serviceSeconds: map[tw.Class]float64{},
+			arrivals:       map[tw.Class]*eventWindow{},
 		}
 		for _, c := range tw.Classes {
 			line.queues[c] = newFairQueue()
-			line.arrivals[c] = &window{span: arrivalSpan, start: s.clock.Now()}
+			line.arrivals[c] = &eventWindow{span: arrivalWindow, start: s.clock.Now()}
 		}
 		s.jobs[job] = line
 	}
@@ -149,7 +149,7 @@
 }
 
 // acquire gets a slot, waits for one, or refuses at once.
-func (s *scheduler) acquire(ctx context.Context, a ask) (*grant, *Refusal) {
+func (s *scheduler) acquire(ctx context.Context, a slotRequest) (*grant, *Refusal) {
 	s.mu.Lock()
 	g, w, refusal := s.admit(a)
 	s.mu.Unlock()
@@ -168,7 +168,7 @@
 // granted a slot in the same moment.
 func (s *scheduler) abandon(ctx context.Context, w *waiter) *Refusal {
 	s.mu.Lock()
-	s.end(w)
+	s.removeWaiter(w)
 	s.mu.Unlock()
 	select {
 	case out := <-w.ready:
@@ -178,34 +178,34 @@
 	default:
 	}
 	if context.Cause(ctx) == context.DeadlineExceeded {
-		return notRunFor(ReasonDeadlineQueued, retryAfterUpstream, "the deadline passed while the request waited")
+		return notRunRetryAfter(ReasonDeadlineQueued, retryAfterUpstream, "the deadline passed while the request waited")
 	}
-	return notRun(ReasonCallerGone, "")
+	return notRunRefusal(ReasonCallerGone, "")
 }
 
-// reach tells whether this daemon can give the job to an instance itself: it
+// hasSlots tells whether this daemon can give the job to an instance itself: it
 // has a slot of one. With more daemons than slots, some have none.
-func (s *scheduler) reach(job tw.JobID) bool {
+func (s *scheduler) hasSlots(job tw.JobID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	line := s.jobs[job]
-	return line != nil && line.reached()
+	return line != nil && line.hasSlots()
 }
 
-// left tells whether an instance is left for a retry.
-func (s *scheduler) left(job tw.JobID, tried map[tw.InstanceID]bool) bool {
+// hasUntried tells whether an instance is left for a retry.
+func (s *scheduler) hasUntried(job tw.JobID, tried map[tw.InstanceID]bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.line(job).untried(tried)
+	return s.jobStateFor(job).hasUntried(tried)
 }
 
-// reachable lists the jobs within reach.
-func (s *scheduler) reachable() []tw.JobID {
+// servableJobs lists the jobs within reach.
+func (s *scheduler) servableJobs() []tw.JobID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []tw.JobID
 	for job, line := range s.jobs {
-		if line.reached() {
+		if line.hasSlots() {
 			out = append(out, job)
 		}
 	}
@@ -213,8 +213,8 @@
 	return out
 }
 
-func (l *jobLine) reached() bool {
-	return slices.ContainsFunc(l.workers, func(w *worker) bool { return w.share > 0 })
+func (l *jobState) hasSlots() bool {
+	return slices.ContainsFunc(l.workers, func(w *worker) bool { return w.ownSlots > 0 })
 }
 
 // loads lists what is in flight or ended of late.
@@ -224,7 +224,7 @@
 	now := s.clock.Now()
 	var out []tw.Load
 	for _, w := range s.workers {
-		for job, t := range w.held {
+		for job, t := range w.perJob {
 			sum := t.recent.sum(now)
 			if t.inFlight > 0 || sum != (counts{}) {
 				out = append(out, tw.Load{Instance: w.id, Job: job, InFlight: t.inFlight, OK: sum.ok, Failed: sum.failed})
@@ -245,7 +245,7 @@
 }
 
 // waiting counts those who wait for the job.
-func (l *jobLine) waiting() int {
+func (l *jobState) waiting() int {
 	n := 0
 	for _, q := range l.queues {
 		n += q.size
--- a/gateway/scheduler_test.go
+++ b/gateway/scheduler_test.go
@@ -14,41 +14,41 @@
 	"github.com/tamarindworks/tamarindworks/internal/fakeclock"
 )
 
-// desk drives a scheduler by hand, with a clock that stands still.
-type desk struct {
+// schedulerHarness drives a scheduler by hand, with a clock that stands still.
+type schedulerHarness struct {
 	*scheduler
 	clock *fakeclock.Clock
 }
 
-func newDesk(view tw.View) *desk {
+func newSchedulerHarness(view tw.View) *schedulerHarness {
 	clock := fakeclock.New()
 	c := Config{Clock: clock, Seed: 1}
 	c.defaults()
-	d := &desk{scheduler: newScheduler(c), clock: clock}
+	d := &schedulerHarness{scheduler: newScheduler(c), clock: clock}
 	d.install(view)
 	return d
 }
 
-func (d *desk) want(class tw.Class, team tw.TeamID) ask {
-	return ask{job: "job", class: class, team: team, deadline: d.clock.Now().Add(time.Hour)}
+func (d *schedulerHarness) newRequest(class tw.Class, team tw.TeamID) slotRequest {
+	return slotRequest{job: "job", class: class, team: team, deadline: d.clock.Now().Add(time.Hour)}
 }
 
-// put admits an ask without waiting for its turn.
-func (d *desk) put(a ask) (*grant, *waiter, *Refusal) {
+// tryAdmit admits an ask without waiting for its turn.
+func (d *schedulerHarness) tryAdmit(a slotRequest) (*grant, *waiter, *Refusal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.admit(a)
 }
 
-// fill takes all slots.
-func (d *desk) fill() []*grant {
+// fillSlots takes all slots.
+func (d *schedulerHarness) fillSlots() []*grant {
 	var out []*grant
 	for {
-		g, w, _ := d.put(d.want(tw.ClassQuick, ""))
+		g, w, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
 		if g == nil {
 			if w != nil {
 				d.mu.Lock()
-				d.end(w)
+				d.removeWaiter(w)
 				d.mu.Unlock()
 			}
 			return out
@@ -57,8 +57,8 @@
 	}
 }
 
-// served lets n slots be freed one after the other, and counts who got them.
-func (d *desk) served(n int, held *[]*grant, waiters map[*waiter]string) map[string]int {
+// releaseAndCount lets n slots be freed one after the other, and counts who got them.
+func (d *schedulerHarness) releaseAndCount(n int, held *[]*grant, waiters map[*waiter]string) map[string]int {
 	got := map[string]int{}
 	for range n {
 		d.clock.Advance(time.Millisecond)
@@ -79,56 +79,56 @@
 
 var _ = Describe("turns", func() {
 	It("go to classes by weight, whatever they had before", func() {
-		d := newDesk(viewOf(8, "a"))
-		held := d.fill()
+		d := newSchedulerHarness(newView(8, "a"))
+		held := d.fillSlots()
 		waiters := map[*waiter]string{}
 		for range 200 {
-			_, w, _ := d.put(d.want(tw.ClassNormal, ""))
+			_, w, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, ""))
 			waiters[w] = "before"
 		}
 		// Normal requests have all turns for a while.
-		Expect(d.served(200, &held, waiters)["before"]).To(BeNumerically(">", 180))
+		Expect(d.releaseAndCount(200, &held, waiters)["before"]).To(BeNumerically(">", 180))
 		waiters = map[*waiter]string{}
 		for range 300 {
 			for _, class := range []tw.Class{tw.ClassNormal, tw.ClassLong} {
-				_, w, refusal := d.put(d.want(class, ""))
+				_, w, refusal := d.tryAdmit(d.newRequest(class, ""))
 				Expect(refusal).To(BeNil())
 				waiters[w] = string(class)
 			}
 		}
-		got := d.served(200, &held, waiters)
+		got := d.releaseAndCount(200, &held, waiters)
 		Expect(got["normal"]).To(BeNumerically("~", 160, 10))
 		Expect(got["long"]).To(BeNumerically("~", 40, 10))
 	})
 
 	It("go to teams by weight", func() {
-		d := newDesk(viewOf(8, "a"))
-		held := d.fill()
+		d := newSchedulerHarness(newView(8, "a"))
+		held := d.fillSlots()
 		waiters := map[*waiter]string{}
 		for range 200 {
 			for _, team := range []tw.TeamID{"a", "b"} {
-				_, w, _ := d.put(d.want(tw.ClassNormal, team))
+				_, w, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, team))
 				waiters[w] = string(team)
 			}
 		}
-		got := d.served(100, &held, waiters)
+		got := d.releaseAndCount(100, &held, waiters)
 		Expect(got["b"]).To(BeNumerically("~", 75, 2)) // b weighs 3
 		Expect(got["a"]).To(BeNumerically("~", 25, 2))
 	})
 
 	It("do not wait behind a team that floods the queue", func() {
-		d := newDesk(viewOf(8, "a"))
-		held := d.fill()
+		d := newSchedulerHarness(newView(8, "a"))
+		held := d.fillSlots()
 		waiters := map[*waiter]string{}
 		for range maxQueued {
-			_, w, refusal := d.put(d.want(tw.ClassLong, "a"))
+			_, w, refusal := d.tryAdmit(d.newRequest(tw.ClassLong, "a"))
 			Expect(refusal).To(BeNil())
 			waiters[w] = "flood"
 		}
-		_, w, refusal := d.put(d.want(tw.ClassLong, "b"))
+		_, w, refusal := d.tryAdmit(d.newRequest(tw.ClassLong, "b"))
 		Expect(refusal).To(BeNil())
 		waiters[w] = "late"
-		_, _, refusal = d.put(d.want(tw.ClassLong, "a"))
+		_, _, refusal = d.tryAdmit(d.newRequest(tw.ClassLong, "a"))
 		Expect(refusal.Reason).To(Equal(ReasonQueueFull))
 		refused := 0
 		for w := range waiters {
@@ -141,17 +141,17 @@
 			}
 		}
 		Expect(refused).To(Equal(1))
-		Expect(d.served(8, &held, waiters)["late"]).To(Equal(1))
+		Expect(d.releaseAndCount(8, &held, waiters)["late"]).To(Equal(1))
 	})
 })
 
 var _ = Describe("admission", func() {
 	It("keeps quick requests quick: what would wait longer than its own work is refused", func() {
-		d := newDesk(viewOf(8, "a", "b"))
-		d.fill()
+		d := newSchedulerHarness(newView(8, "a", "b"))
+		d.fillSlots()
 		admitted := 0
 		for range 1000 {
-			if _, w, _ := d.put(d.want(tw.ClassQuick, "")); w != nil {
+			if _, w, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, "")); w != nil {
 				admitted++
 			}
 		}
@@ -160,28 +160,28 @@
 	})
 
 	It("keeps a place for quick requests among long ones", func() {
-		d := newDesk(viewOf(8, "a"))
+		d := newSchedulerHarness(newView(8, "a"))
 		for range 100 {
-			d.put(d.want(tw.ClassLong, ""))
-			d.put(d.want(tw.ClassNormal, ""))
+			d.tryAdmit(d.newRequest(tw.ClassLong, ""))
+			d.tryAdmit(d.newRequest(tw.ClassNormal, ""))
 		}
-		g, _, _ := d.put(d.want(tw.ClassQuick, ""))
+		g, _, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
 		Expect(g).NotTo(BeNil())
 	})
 
 	It("keeps more places for quick requests the more of them come", func() {
-		d := newDesk(viewOf(8, "a", "b", "c", "d"))
+		d := newSchedulerHarness(newView(8, "a", "b", "c", "d"))
 		for range 4000 { // 400 a second of 10 ms each: 4 of 32 slots
-			g, _, _ := d.put(d.want(tw.ClassQuick, ""))
+			g, _, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
 			d.clock.Advance(2500 * time.Microsecond)
 			if g != nil {
 				d.release(g, releaseOK)
 			}
 		}
-		d.jobs["job"].service[tw.ClassQuick] = 0.030 // 12 of 32 slots
-		d.jobs["job"].service[tw.ClassLong] = 3
+		d.jobs["job"].serviceSeconds[tw.ClassQuick] = 0.030 // 12 of 32 slots
+		d.jobs["job"].serviceSeconds[tw.ClassLong] = 3
 		for range 100 {
-			d.put(d.want(tw.ClassLong, ""))
+			d.tryAdmit(d.newRequest(tw.ClassLong, ""))
 		}
 		free := 32 - d.running
 		Expect(free).To(BeNumerically(">=", 12))
@@ -189,48 +189,48 @@
 	})
 
 	It("refuses at once what would miss its deadline", func() {
-		d := newDesk(viewOf(8, "a"))
-		d.fill()
-		a := d.want(tw.ClassNormal, "")
+		d := newSchedulerHarness(newView(8, "a"))
+		d.fillSlots()
+		a := d.newRequest(tw.ClassNormal, "")
 		a.deadline = d.clock.Now().Add(time.Millisecond)
-		_, w, refusal := d.put(a)
+		_, w, refusal := d.tryAdmit(a)
 		Expect(w).To(BeNil())
 		Expect(refusal.Reason).To(Equal(ReasonWaitTooLong))
 		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 	})
 
 	It("bounds a team's requests", func() {
-		d := newDesk(viewOf(8, "a"))
-		g, _, _ := d.put(d.want(tw.ClassNormal, "small"))
+		d := newSchedulerHarness(newView(8, "a"))
+		g, _, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, "small"))
 		Expect(g).NotTo(BeNil())
-		_, _, refusal := d.put(d.want(tw.ClassNormal, "small"))
+		_, _, refusal := d.tryAdmit(d.newRequest(tw.ClassNormal, "small"))
 		Expect(refusal.Reason).To(Equal(ReasonTeamQuota))
 		d.release(g, releaseOK)
-		g, _, _ = d.put(d.want(tw.ClassNormal, "small"))
+		g, _, _ = d.tryAdmit(d.newRequest(tw.ClassNormal, "small"))
 		Expect(g).NotTo(BeNil())
 	})
 
 	It("refuses at once when every instance has been tried", func() {
-		d := newDesk(viewOf(8, "a", "b"))
-		a := d.want(tw.ClassNormal, "")
+		d := newSchedulerHarness(newView(8, "a", "b"))
+		a := d.newRequest(tw.ClassNormal, "")
 		a.tried = map[tw.InstanceID]bool{"w0": true, "w1": true}
-		_, w, refusal := d.put(a)
+		_, w, refusal := d.tryAdmit(a)
 		Expect(w).To(BeNil())
 		Expect(refusal).NotTo(BeNil())
 	})
 
 	It("leaves no trace of a caller that gave up", func() {
-		d := newDesk(viewOf(8, "a"))
-		held := d.fill()
+		d := newSchedulerHarness(newView(8, "a"))
+		held := d.fillSlots()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, refusal := d.acquire(ctx, d.want(tw.ClassNormal, ""))
+		_, refusal := d.acquire(ctx, d.newRequest(tw.ClassNormal, ""))
 		Expect(refusal.Reason).To(Equal(ReasonCallerGone))
 		for _, g := range held {
 			d.release(g, releaseOK)
 		}
 		Expect(d.demand()).To(BeZero())
-		Expect(d.teams).To(BeEmpty())
+		Expect(d.teamRequests).To(BeEmpty())
 	})
 })
 
@@ -248,12 +248,12 @@
 var _ = Describe("a view in force", func() {
 	for _, name := range slices.Sorted(maps.Keys(viewChanges)) {
 		It("gives nothing new to an instance that is "+name, func() {
-			d := newDesk(viewOf(8, "a", "b"))
-			view := viewOf(8, "a", "b")
+			d := newSchedulerHarness(newView(8, "a", "b"))
+			view := newView(8, "a", "b")
 			viewChanges[name](&view)
 			d.install(view)
 			for range 20 {
-				g, _, _ := d.put(d.want(tw.ClassNormal, ""))
+				g, _, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, ""))
 				if g != nil {
 					Expect(g.worker.id).NotTo(Equal(tw.InstanceID("w0")))
 				}
@@ -262,29 +262,29 @@
 	}
 
 	It("still counts what is in flight on an instance that went", func() {
-		d := newDesk(viewOf(8, "a"))
-		g, _, _ := d.put(d.want(tw.ClassNormal, ""))
-		d.install(viewOf(8))
+		d := newSchedulerHarness(newView(8, "a"))
+		g, _, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, ""))
+		d.install(newView(8))
 		Expect(d.loads()).To(ConsistOf(tw.Load{Instance: "w0", Job: "job", InFlight: 1}))
 		d.release(g, releaseOK)
 		Expect(d.loads()[0].InFlight).To(BeZero())
 	})
 
 	It("refuses those who wait for a job that nothing carries any more", func() {
-		d := newDesk(viewOf(8, "a"))
-		d.fill()
-		_, w, _ := d.put(d.want(tw.ClassNormal, ""))
-		d.install(viewOf(8))
+		d := newSchedulerHarness(newView(8, "a"))
+		d.fillSlots()
+		_, w, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, ""))
+		d.install(newView(8))
 		Expect((<-w.ready).refusal.Reason).To(Equal(ReasonNoInstance))
 	})
 })
 
 var _ = Describe("the choice of an instance", func() {
 	It("spreads evenly", func() {
-		d := newDesk(viewOf(8, "a", "b", "c", "d"))
+		d := newSchedulerHarness(newView(8, "a", "b", "c", "d"))
 		counts := map[tw.InstanceID]int{}
 		for range 16 {
-			g, _, _ := d.put(d.want(tw.ClassQuick, ""))
+			g, _, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
 			counts[g.worker.id]++
 		}
 		for _, n := range counts {
@@ -293,9 +293,9 @@
 	})
 
 	It("passes by instances that fail, but never most of them", func() {
-		d := newDesk(viewOf(8, "a", "b", "c", "d", "e", "f"))
+		d := newSchedulerHarness(newView(8, "a", "b", "c", "d", "e", "f"))
 		for range 100 {
-			g, _, _ := d.put(d.want(tw.ClassQuick, ""))
+			g, _, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
 			if g == nil {
 				break
 			}
@@ -308,7 +308,7 @@
 		now := d.clock.Now()
 		ejected := 0
 		for _, w := range d.workers {
-			if now.Before(w.ejected) {
+			if now.Before(w.ejectedUntil) {
 				ejected++
 			}
 		}
@@ -316,31 +316,31 @@
 	})
 
 	It("passes by one of two that fails, and never both", func() {
-		d := newDesk(viewOf(8, "a", "b"))
+		d := newSchedulerHarness(newView(8, "a", "b"))
 		for range 40 {
-			g, _, _ := d.put(d.want(tw.ClassQuick, ""))
+			g, _, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
 			if g == nil {
 				break
 			}
 			d.release(g, releaseFailed)
 		}
 		now := d.clock.Now()
-		Expect(now.Before(d.workers["w0"].ejected)).NotTo(Equal(now.Before(d.workers["w1"].ejected)))
+		Expect(now.Before(d.workers["w0"].ejectedUntil)).NotTo(Equal(now.Before(d.workers["w1"].ejectedUntil)))
 	})
 
 	It("uses no slot of a new instance that is another daemon's", func() {
 		w := worker{since: fakeclock.New().Now()}
-		Expect(w.slots(w.since.Add(time.Second))).To(BeZero())
+		Expect(w.usableSlots(w.since.Add(time.Second))).To(BeZero())
 	})
 
 	It("starts slowly with a new instance", func() {
-		d := newDesk(viewOf(8, "a"))
-		d.install(viewOf(8, "a", "b"))
+		d := newSchedulerHarness(newView(8, "a"))
+		d.install(newView(8, "a", "b"))
 		now := d.clock.Now()
-		Expect(d.workers["w0"].slots(now)).To(Equal(8))
-		Expect(d.workers["w1"].slots(now)).To(Equal(1))
-		Expect(d.workers["w1"].slots(now.Add(slowStart / 2))).To(Equal(4))
-		Expect(d.workers["w1"].slots(now.Add(slowStart))).To(Equal(8))
+		Expect(d.workers["w0"].usableSlots(now)).To(Equal(8))
+		Expect(d.workers["w1"].usableSlots(now)).To(Equal(1))
+		Expect(d.workers["w1"].usableSlots(now.Add(slowStart / 2))).To(Equal(4))
+		Expect(d.workers["w1"].usableSlots(now.Add(slowStart))).To(Equal(8))
 	})
 })
 
@@ -356,7 +356,7 @@
 				id := tw.InstanceID(fmt.Sprintf("w%d", i))
 				sum := 0
 				for _, m := range members {
-					s := share(members, m.ID, id, 8)
+					s := slotShare(members, m.ID, id, 8)
 					totals[m.ID] += s
 					sum += s
 				}
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -20,14 +20,14 @@
 	attempt struct {
 		resp *http.Response // nil if err is not
 		err  error
-		// sent says that a byte of the request may have left.
-		sent bool
+		// mayHaveSent says that a byte of the request may have left.
+		mayHaveSent bool
 	}
 
 	// tracker follows an attempt's connection.
 	tracker struct {
-		conn   *trackedConn
-		before uint64
+		conn         *trackedConn
+		writesBefore uint64
 	}
 )
 
@@ -47,40 +47,40 @@
 // send makes one attempt.
 func (g *Gateway) send(ctx context.Context, ex *exchange, to target) attempt {
 	var track tracker
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: track.got})
-	resp, err := g.transport.RoundTrip(ex.outgoing(ctx, to))
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: track.gotConn})
+	resp, err := g.transport.RoundTrip(ex.nextHopRequest(ctx, to))
 	if err != nil {
-		return attempt{err: err, sent: track.sent()}
+		return attempt{err: err, mayHaveSent: track.mayHaveSent()}
 	}
-	return attempt{resp: resp, sent: true}
+	return attempt{resp: resp, mayHaveSent: true}
 }
 
-// got notes the connection. The transport may call it again for another one,
+// gotConn notes the connection. The transport may call it again for another one,
 // but only if it wrote nothing to the first.
-func (t *tracker) got(info httptrace.GotConnInfo) {
+func (t *tracker) gotConn(info httptrace.GotConnInfo) {
 	if conn, ok := info.Conn.(*trackedConn); ok {
-		t.conn, t.before = conn, conn.count()
+		t.conn, t.writesBefore = conn, conn.writeCount()
 	}
 }
 
-// sent tells whether a byte may have left, and makes sure that none still can.
-func (t *tracker) sent() bool {
-	return t.conn != nil && t.conn.seal() != t.before
+// mayHaveSent tells whether a byte may have left, and makes sure that none still can.
+func (t *tracker) mayHaveSent() bool {
+	return t.conn != nil && t.conn.seal() != t.writesBefore
 }
 
-// outgoing builds the request for the next hop.
-func (ex *exchange) outgoing(ctx context.Context, to target) *http.Request {
+// nextHopRequest builds the request for the next hop.
+func (ex *exchange) nextHopRequest(ctx context.Context, to target) *http.Request {
 	in := ex.in
-	header := forwarded(in.Header)
+	header := forwardableHeader(in.Header)
 	header.Set(HeaderRequest, ex.id)
 	header.Set("X-Forwarded-For", forwardedFor(in))
 	if to.grant == nil {
-		ex.relayHeaders(ctx, header)
+		ex.setRelayHeaders(ctx, header)
 	} else {
 		header.Del(HeaderHop)
 		header.Set(HeaderJob, string(ex.job))
 	}
-	hideKey(header)
+	lowercaseKeyHeader(header)
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = nil // or net/http adds its own
 	}
@@ -100,8 +100,8 @@
 	return out.WithContext(ctx)
 }
 
-// relayHeaders tells the next daemon what is left of the time.
-func (ex *exchange) relayHeaders(ctx context.Context, header http.Header) {
+// setRelayHeaders tells the next daemon what is left of the time.
+func (ex *exchange) setRelayHeaders(ctx context.Context, header http.Header) {
 	header.Set(HeaderHop, "1")
 	header.Set(HeaderClass, string(ex.class))
 	if deadline, ok := ctx.Deadline(); ok {
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -12,20 +12,20 @@
 // stats counts what the gateway does. Every counter exists from the start, so
 // that a reason that has not come up shows as 0.
 type stats struct {
-	refusals map[Reason]*metrics.Counter
-	retries  map[RetryReason]*metrics.Counter
-	answered map[tw.Class]*metrics.Counter
-	seconds  map[tw.Class]*metrics.Histogram
-	cut      *metrics.Counter
+	refusals  map[Reason]*metrics.Counter
+	retries   map[RetryReason]*metrics.Counter
+	answered  map[tw.Class]*metrics.Counter
+	latency   map[tw.Class]*metrics.Histogram
+	truncated *metrics.Counter
 }
 
 func newStats(set *metrics.Set) *stats {
 	s := &stats{
-		refusals: map[Reason]*metrics.Counter{},
-		retries:  map[RetryReason]*metrics.Counter{},
-		answered: map[tw.Class]*metrics.Counter{},
-		seconds:  map[tw.Class]*metrics.Histogram{},
-		cut:      set.GetOrCreateCounter("tamarind_answers_cut_total"),
+		refusals:  map[Reason]*metrics.Counter{},
+		retries:   map[RetryReason]*metrics.Counter{},
+		answered:  map[tw.Class]*metrics.Counter{},
+		latency:   map[tw.Class]*metrics.Histogram{},
+		truncated: set.GetOrCreateCounter("tamarind_answers_cut_total"),
 	}
 	for _, r := range Reasons() {
 		s.refusals[r] = set.GetOrCreateCounter(fmt.Sprintf("tamarind_refusals_total{reason=%q}", r))
@@ -35,7 +35,7 @@
 	}
 	for _, c := range tw.Classes {
 		s.answered[c] = set.GetOrCreateCounter(fmt.Sprintf("tamarind_answers_total{class=%q}", c))
-		s.seconds[c] = set.GetOrCreateHistogram(fmt.Sprintf("tamarind_request_seconds{class=%q}", c))
+		s.latency[c] = set.GetOrCreateHistogram(fmt.Sprintf("tamarind_request_seconds{class=%q}", c))
 	}
 	return s
 }
@@ -44,13 +44,13 @@
 
 func (s *stats) retried(r RetryReason) { s.retries[r].Inc() }
 
-func (s *stats) cutAnswer() { s.cut.Inc() }
+func (s *stats) responseTruncated() { s.truncated.Inc() }
 
-func (s *stats) ended(ex *exchange, refusal *Refusal, took time.Duration) {
+func (s *stats) requestEnded(ex *exchange, refusal *Refusal, took time.Duration) {
 	if refusal != nil {
 		s.refused(refusal.Reason)
 		return
 	}
 	s.answered[ex.class].Inc()
-	s.seconds[ex.class].Update(took.Seconds())
+	s.latency[ex.class].Update(took.Seconds())
 }
--- a/gateway/suite_test.go
+++ b/gateway/suite_test.go
@@ -25,8 +25,8 @@
 	RunSpecs(t, "gateway", suite, reporter)
 }
 
-// fleetFor is a configuration with a route of each kind.
-func fleetFor() *tw.FleetConfig {
+// testConfig is a configuration with a route of each kind.
+func testConfig() *tw.FleetConfig {
 	no, yes := false, true
 	c := &tw.FleetConfig{
 		Halls: []tw.HallID{"h1"},
@@ -46,8 +46,8 @@
 	return c
 }
 
-// viewOf has one daemon and the given upstream addresses.
-func viewOf(slots tw.Slots, addresses ...string) tw.View {
+// newView has one daemon and the given upstream addresses.
+func newView(slots tw.Slots, addresses ...string) tw.View {
 	plan := &tw.Plan{Hall: "h1", Generation: 1}
 	for i, address := range addresses {
 		plan.Instances = append(plan.Instances, tw.Assignment{
@@ -64,7 +64,7 @@
 		Self:       "d1",
 		Registered: true,
 		Revision:   1,
-		Config:     fleetFor(),
+		Config:     testConfig(),
 		Plan:       plan,
 		Members:    []tw.Member{{ID: "d1", Hall: "h1"}},
 	}
@@ -73,28 +73,28 @@
 // relayView is a daemon without slots of its own, and a member of another hall
 // that has not told its jobs.
 func relayView(gateway string) tw.View {
-	view := viewOf(8)
+	view := newView(8)
 	view.Config.Halls = []tw.HallID{"h1", "h2"}
 	view.Remote = []tw.Member{{ID: "d2", Hall: "h2", Gateway: gateway}}
 	return view
 }
 
-// served is a gateway with a listener.
-type served struct {
+// testGateway is a gateway with a listener.
+type testGateway struct {
 	*Gateway
 	url string
 }
 
-func serve(config Config, view tw.View) *served {
+func serve(config Config, view tw.View) *testGateway {
 	g := config.New()
 	g.Install(view)
 	server := httptest.NewServer(g)
 	DeferCleanup(server.Close)
-	return &served{Gateway: g, url: server.URL}
+	return &testGateway{Gateway: g, url: server.URL}
 }
 
-// reply is what a caller got; err is a cut or refused connection.
-type reply struct {
+// testResponse is what a caller got; err is a cut or refused connection.
+type testResponse struct {
 	status  int
 	body    string
 	outcome Outcome
@@ -103,11 +103,11 @@
 	err     error
 }
 
-// ask sends one request and reads the answer to its end. It repeats nothing.
-func (s *served) ask(method, path, body string, headers ...string) reply {
-	var reader *onceBody
+// do sends one request and reads the answer to its end. It repeats nothing.
+func (s *testGateway) do(method, path, body string, headers ...string) testResponse {
+	var reader *singleUseBody
 	if body != "" {
-		reader = &onceBody{strings.NewReader(body)}
+		reader = &singleUseBody{strings.NewReader(body)}
 	}
 	req, err := http.NewRequest(method, s.url+path, nil)
 	Expect(err).NotTo(HaveOccurred())
@@ -120,12 +120,12 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return reply{err: err}
+		return testResponse{err: err}
 	}
 	defer resp.Body.Close()
 	var text strings.Builder
 	_, err = bufio.NewReader(resp.Body).WriteTo(&text)
-	return reply{
+	return testResponse{
 		status:  resp.StatusCode,
 		body:    text.String(),
 		outcome: Outcome(resp.Header.Get(HeaderOutcome)),
@@ -135,20 +135,20 @@
 	}
 }
 
-// scripted is an upstream that plays one connection at a time by hand.
-type scripted struct {
+// scriptedUpstream is an upstream that plays one connection at a time by hand.
+type scriptedUpstream struct {
 	address  string
 	mu       sync.Mutex
 	requests int
 }
 
-// script starts an upstream; play gets each connection and the number of the
+// newScriptedUpstream starts an upstream; play gets each connection and the number of the
 // request that was just read from it, and returns whether to read another.
-func script(play func(conn net.Conn, request int) bool) *scripted {
+func newScriptedUpstream(play func(conn net.Conn, request int) bool) *scriptedUpstream {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(at.Close)
-	s := &scripted{address: at.Addr().String()}
+	s := &scriptedUpstream{address: at.Addr().String()}
 	go func() {
 		for {
 			conn, err := at.Accept()
@@ -161,7 +161,7 @@
 	return s
 }
 
-func (s *scripted) serve(conn net.Conn, play func(net.Conn, int) bool) {
+func (s *scriptedUpstream) serve(conn net.Conn, play func(net.Conn, int) bool) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -181,16 +181,16 @@
 	}
 }
 
-func (s *scripted) ran() int {
+func (s *scriptedUpstream) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// say writes raw bytes.
-func say(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) } // the other side may be gone
+// writeRaw writes raw bytes.
+func writeRaw(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) } // the other side may be gone
 
-func ok(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -10,32 +10,32 @@
 	// worker is what this daemon has on one instance. The scheduler's lock
 	// guards it.
 	worker struct {
-		id      tw.InstanceID
-		address string
-		jobs    map[tw.JobID]bool // that may be sent here
-		share   int               // slots of the instance that are ours
-		since   time.Time         // first seen serving
-		held    map[tw.JobID]*tally
-		byClass map[tw.Class]int
-		total   int
-
-		failures int // in a row
-		ejected  time.Time
-		eject    time.Duration // of the last ejection
-		penalty  float64       // recent failures, decays with successes
+		id       tw.InstanceID
+		address  string
+		jobs     map[tw.JobID]bool // that may be sent here
+		ownSlots int               // slots of the instance that are ours
+		since    time.Time         // first seen serving
+		perJob   map[tw.JobID]*jobStats
+		byClass  map[tw.Class]int
+		inFlight int
+
+		consecutiveFailures int // in a row
+		ejectedUntil        time.Time
+		ejectionTime        time.Duration // of the last ejection
+		penalty             float64       // recent failures, decays with successes
 	}
 
-	// tally counts the requests of one job on an instance.
-	tally struct {
+	// jobStats counts the requests of one job on an instance.
+	jobStats struct {
 		inFlight int
-		recent   window
+		recent   eventWindow
 	}
 
-	// window counts events over the last one to two spans.
-	window struct {
-		span      time.Duration // 0: windowSpan
-		start     time.Time
-		now, last counts
+	// eventWindow counts events over the last one to two spans.
+	eventWindow struct {
+		span              time.Duration // 0: windowSpan
+		start             time.Time
+		current, previous counts
 	}
 
 	counts struct{ ok, failed int }
@@ -52,23 +52,23 @@
 	penaltyDecay    = 0.8
 )
 
-// slots is how many requests may be on the instance at once; one that is new
+// usableSlots is how many requests may be on the instance at once; one that is new
 // starts slowly.
-func (w *worker) slots(now time.Time) int {
-	if age := now.Sub(w.since); w.share > 0 && age < slowStart {
-		return max(1, int(float64(w.share)*float64(age)/float64(slowStart)))
+func (w *worker) usableSlots(now time.Time) int {
+	if age := now.Sub(w.since); w.ownSlots > 0 && age < slowStart {
+		return max(1, int(float64(w.ownSlots)*float64(age)/float64(slowStart)))
 	}
-	return w.share
+	return w.ownSlots
 }
 
-// room tells whether a request of a class fits now. For each class, those
+// hasRoom tells whether a request of a class fits now. For each class, those
 // less urgent together leave it its reserve.
-func (w *worker) room(class tw.Class, keep reserve, now time.Time) bool {
-	slots := w.slots(now)
-	if slots == 0 || now.Before(w.ejected) {
+func (w *worker) hasRoom(class tw.Class, keep reserve, now time.Time) bool {
+	slots := w.usableSlots(now)
+	if slots == 0 || now.Before(w.ejectedUntil) {
 		return false
 	}
-	taken := w.total
+	taken := w.inFlight
 	for _, c := range tw.Classes {
 		if taken >= keep.limit(c, slots) {
 			return false
@@ -83,83 +83,83 @@
 
 // load orders instances for the choice; lower is better.
 func (w *worker) load() float64 {
-	return float64(w.total+1) / float64(max(w.share, 1)) * (1 + w.penalty)
+	return float64(w.inFlight+1) / float64(max(w.ownSlots, 1)) * (1 + w.penalty)
 }
 
 func (w *worker) begin(job tw.JobID, class tw.Class) {
-	w.total++
+	w.inFlight++
 	w.byClass[class]++
-	w.tally(job).inFlight++
+	w.jobStats(job).inFlight++
 }
 
 func (w *worker) finish(job tw.JobID, class tw.Class, failed bool, now time.Time) {
-	w.total--
+	w.inFlight--
 	w.byClass[class]--
-	t := w.tally(job)
+	t := w.jobStats(job)
 	t.inFlight--
 	t.recent.count(failed, now)
 	if !failed {
-		w.failures = 0
-		w.eject = 0
+		w.consecutiveFailures = 0
+		w.ejectionTime = 0
 		w.penalty *= penaltyDecay
 		return
 	}
-	w.failures++
+	w.consecutiveFailures++
 	w.penalty += penaltyStep
 }
 
-func (w *worker) tally(job tw.JobID) *tally {
-	t := w.held[job]
+func (w *worker) jobStats(job tw.JobID) *jobStats {
+	t := w.perJob[job]
 	if t == nil {
-		t = &tally{}
-		w.held[job] = t
+		t = &jobStats{}
+		w.perJob[job] = t
 	}
 	return t
 }
 
 // ejectNow keeps the instance out of the choice for a while, longer each time.
 func (w *worker) ejectNow(now time.Time) {
-	w.eject = min(max(2*w.eject, minEjection), maxEjection)
-	w.ejected = now.Add(w.eject)
-	w.failures = 0
+	w.ejectionTime = min(max(2*w.ejectionTime, minEjection), maxEjection)
+	w.ejectedUntil = now.Add(w.ejectionTime)
+	w.consecutiveFailures = 0
 }
 
-func (w *window) count(failed bool, now time.Time) {
-	w.turn(now)
+func (w *eventWindow) count(failed bool, now time.Time) {
+	w.advance(now)
 	if failed {
-		w.now.failed++
+		w.current.failed++
 		return
 	}
-	w.now.ok++
+	w.current.ok++
 }
 
 // rate is events a second.
-func (w *window) rate(now time.Time) float64 {
+func (w *eventWindow) rate(now time.Time) float64 {
 	sum := w.sum(now)
 	over := now.Sub(w.start)
-	if w.last != (counts{}) {
+	if w.previous != (counts{}) {
 		over += w.width()
 	}
 	return float64(sum.ok+sum.failed) / max(over, w.width()/2).Seconds()
 }
 
-func (w *window) sum(now time.Time) counts {
-	w.turn(now)
-	return counts{ok: w.now.ok + w.last.ok, failed: w.now.failed + w.last.failed}
+func (w *eventWindow) sum(now time.Time) counts {
+	w.advance(now)
+	return counts{ok: w.current.ok + w.previous.ok, failed: w.current.failed + w.previous.failed}
 }
 
-func (w *window) turn(now time.Time) {
+func (w *eventWindow) advance(now time.Time) {
 	span := w.width()
 	switch age := now.Sub(w.start); {
 	case age < span:
 	case age < 2*span:
-		w.last, w.now, w.start = w.now, counts{}, w.start.Add(span)
+		w.previous, w.current, w.start = w.current, counts{}, w.start.Add(span)
 	default:
-		w.last, w.now, w.start = counts{}, counts{}, now
+		w.previous, w.current, w.start = counts{}, counts{}, now
 	}
 }
 
-func (w *window) width() time.Duration {
+func (w *eventWindow) width() time.Duration {
 	if w.span == 0 {
 		return windowSpan
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -30,15 +30,15 @@
 `
 
 const (
-	requests = 1200
-	rate     = 200 // a second
-	lossAt   = time.Second
-	leaveAt  = 2 * time.Second
-	waveAt   = 3 * time.Second
+	requestCount      = 1200
+	requestsPerSecond = 200 // a second
+	lossAt            = time.Second
+	leaveAt           = 2 * time.Second
+	waveAt            = 3 * time.Second
 )
 
-// errBroken is a demonstration in which a promise was broken.
-var errBroken = errors.New("demo: a promise was broken")
+// errGuaranteeViolated is a demonstration in which a promise was broken.
+var errGuaranteeViolated = errors.New("demo: a promise was broken")
 
 // Run runs the demonstration and writes what happens to out.
 func Run(ctx context.Context, out io.Writer, verbose bool) error {
@@ -54,21 +54,21 @@
 		return err
 	}
 	defer fleet.Close()
-	say(out, "started: 12 workers in 2 halls, 4 entry daemons, 1 platform")
+	printLine(out, "started: 12 workers in 2 halls, 4 entry daemons, 1 platform")
 	if err := fleet.Configure(ctx, fleetSource, 0); err != nil {
 		return err
 	}
 	if err := fleet.WaitServing(ctx, "boards", "leases"); err != nil {
 		return err
 	}
-	say(out, "configuration in force, both pools serve in both halls")
-	report, err := fleet.runStory(ctx, out)
+	printLine(out, "configuration in force, both pools serve in both halls")
+	report, err := fleet.runUnderLoad(ctx, out)
 	if err != nil {
 		return err
 	}
-	say(out, "%s", report.String())
+	printLine(out, "%s", report.String())
 	if report.Faults() > 0 {
-		return errBroken
+		return errGuaranteeViolated
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = f.Operator.WaitInForce(ctx, f.config.Halls, accepted.Revision)
+	_, err = f.Operator.WaitForRevision(ctx, f.config.Halls, accepted.Revision)
 	return err
 }
 
@@ -103,7 +103,7 @@
 			return false
 		}
 		for _, pool := range pools {
-			if !settled(&plan, pool) {
+			if !poolSettled(&plan, pool) {
 				return false
 			}
 		}
@@ -120,8 +120,8 @@
 	return true
 }
 
-// settled tells whether a pool serves and nothing of it is still joining.
-func settled(plan *tw.Plan, pool tw.PoolID) bool {
+// poolSettled tells whether a pool serves and nothing of it is still joining.
+func poolSettled(plan *tw.Plan, pool tw.PoolID) bool {
 	serving := 0
 	for i := range plan.Instances {
 		a := &plan.Instances[i]
@@ -141,11 +141,11 @@
 	return serving > 0
 }
 
-// runStory sends requests while things go wrong.
-func (f *Fleet) runStory(ctx context.Context, out io.Writer) (standin.Report, error) {
+// runUnderLoad sends requests while things go wrong.
+func (f *Fleet) runUnderLoad(ctx context.Context, out io.Writer) (standin.Report, error) {
 	story := make(chan error, 1)
-	go func() { story <- f.tell(ctx, out) }()
-	report, err := f.Load(requests, rate).Run(ctx)
+	go func() { story <- f.runEvents(ctx, out) }()
+	report, err := f.Load(requestCount, requestsPerSecond).Run(ctx)
 	return report, errors.CombineErrors(err, <-story)
 }
 
@@ -166,24 +166,24 @@
 	}
 }
 
-func (f *Fleet) tell(ctx context.Context, out io.Writer) error {
+func (f *Fleet) runEvents(ctx context.Context, out io.Writer) error {
 	start := time.Now()
 	until := func(d time.Duration) { time.Sleep(time.Until(start.Add(d))) }
 	until(lossAt)
-	lost := f.pick("h1", "boards")
-	say(out, "losing %s, which serves boards in h1", lost)
+	lost := f.servingInstance("h1", "boards")
+	printLine(out, "losing %s, which serves boards in h1", lost)
 	f.Upstreams[lost].Close()
 	until(leaveAt)
-	leaving := f.pick("h2", "leases")
-	say(out, "the platform reclaims %s, which serves leases in h2", leaving)
+	leaving := f.servingInstance("h2", "leases")
+	printLine(out, "the platform reclaims %s, which serves leases in h2", leaving)
 	f.Platform.SetPhase(leaving, tw.PhaseLeaving)
 	until(waveAt)
-	say(out, "a maintenance wave over all instances begins")
+	printLine(out, "a maintenance wave over all instances begins")
 	return f.Configure(ctx, fleetSource+waveSource, 1)
 }
 
-// pick is an instance that serves a pool.
-func (f *Fleet) pick(hall tw.HallID, pool tw.PoolID) tw.InstanceID {
+// servingInstance is an instance that serves a pool.
+func (f *Fleet) servingInstance(hall tw.HallID, pool tw.PoolID) tw.InstanceID {
 	plan, err := f.Operator.Plan(context.Background(), hall)
 	if err != nil {
 		return ""
@@ -196,7 +196,7 @@
 	return ""
 }
 
-func say(out io.Writer, format string, args ...any) {
+func printLine(out io.Writer, format string, args ...any) {
 	fmt.Fprintln(out, strings.TrimRight(fmt.Sprintf(format, args...), "\n"))
 }
 
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -24,7 +24,7 @@
 		InstancesPerRack int
 		DaemonsPerHall   int
 		Log              *zap.Logger
-		Pace             control.Pace
+		Pace             control.Intervals
 		Silence          tw.Duration // after which a lost upstream is not listed
 	}
 
--- a/internal/experiment/control.go
+++ b/internal/experiment/control.go
@@ -163,7 +163,7 @@
 	}
 	h.revision = accepted.Revision
 	for {
-		daemons, err := h.operator.WaitInForce(ctx, h.size.hallIDs(), accepted.Revision)
+		daemons, err := h.operator.WaitForRevision(ctx, h.size.hallIDs(), accepted.Revision)
 		if err != nil || len(daemons) == h.size.daemons*h.size.halls {
 			return err
 		}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -113,7 +113,7 @@
 
 // scratch is how many placements would be made if the assignment were made
 // anew from the instances that are left.
-func (m *model) scratch(before map[fleet.Held]bool) int {
+func (m *model) scratch(before map[fleet.InstanceJob]bool) int {
 	fresh := &model{in: m.in, tasks: map[tw.TaskID]tw.Task{}}
 	fresh.in.Plan = tw.Plan{}
 	fresh.settle()
@@ -155,7 +155,7 @@
 
 func wave(m *model) {
 	c := *m.in.Config
-	c.Waves = []tw.Wave{{ID: "wave", Instances: mustSelect("kind=general"), AtOnce: 4}}
+	c.Waves = []tw.Wave{{ID: "wave", Instances: mustSelect("kind=general"), MaxConcurrent: 4}}
 	m.in.Config = &c
 	m.in.Revision++
 }
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -109,7 +109,7 @@
 	out := fleet.Decide(m.in)
 	m.in.Plan = out.Plan
 	m.see()
-	m.carryOut(fleet.Actions(m.in))
+	m.carryOut(fleet.ComputeOrders(m.in))
 	return out.Changed
 }
 
@@ -145,13 +145,13 @@
 }
 
 // placements lists what runs where.
-func (m *model) placements() map[fleet.Held]bool {
-	out := map[fleet.Held]bool{}
+func (m *model) placements() map[fleet.InstanceJob]bool {
+	out := map[fleet.InstanceJob]bool{}
 	for i := range m.in.Plan.Instances {
 		a := &m.in.Plan.Instances[i]
 		for _, at := range a.Jobs {
 			if a.Serves(at.Job) {
-				out[fleet.Held{Instance: a.Instance, Job: at.Job}] = true
+				out[fleet.InstanceJob{Instance: a.Instance, Job: at.Job}] = true
 			}
 		}
 	}
--- a/machine.go
+++ b/machine.go
@@ -26,10 +26,10 @@
 	MaintenanceWave struct {
 		Number   int64
 		Machines []InstanceID
-		// Within is the time from its announcement until it is due.
-		Within time.Duration
-		// AtOnce bounds the machines that are down for it at the same time.
-		AtOnce int
+		// NoticePeriod is the time from its announcement until it is due.
+		NoticePeriod time.Duration
+		// MaxConcurrent bounds the machines that are down for it at the same time.
+		MaxConcurrent int
 	}
 
 	// MachineHolder identifies who orders changes of machines.
--- a/maintenance/decide.go
+++ b/maintenance/decide.go
@@ -76,7 +76,7 @@
 	for _, machine := range waiting {
 		// A machine that is being emptied takes no place among those that are
 		// down, so some are emptied ahead.
-		if inHand >= 2*w.AtOnce {
+		if inHand >= 2*w.MaxConcurrent {
 			return
 		}
 		if !s.canRelease(machine, d, hurry) {
@@ -92,7 +92,7 @@
 	la, _ := s.load(a)
 	lb, _ := s.load(b)
 	return cmp.Or(
-		cmp.Compare(la.Lasting, lb.Lasting),
+		cmp.Compare(la.LongRunning, lb.LongRunning),
 		cmp.Compare(la.Runs, lb.Runs),
 		cmp.Compare(a.ID, b.ID),
 	)
@@ -113,8 +113,8 @@
 
 // behindSchedule tells whether a wave needs more than its even pace to be in time.
 func (s *State) behindSchedule(w *Wave, waiting int) bool {
-	left := w.FirstSeen.Add(time.Duration((1 - waveTimeReserve) * float64(w.Within))).Sub(s.Now)
-	rounds := math.Ceil(float64(waiting) / float64(w.AtOnce))
+	left := w.FirstSeen.Add(time.Duration((1 - waveTimeReserve) * float64(w.NoticePeriod))).Sub(s.Now)
+	rounds := math.Ceil(float64(waiting) / float64(w.MaxConcurrent))
 	return left < time.Duration(rounds)*waveRoundTime
 }
 
@@ -198,7 +198,7 @@
 			continue
 		}
 		if order.Wave != 0 {
-			if down[order.Wave] >= s.wave(order.Wave).AtOnce {
+			if down[order.Wave] >= s.wave(order.Wave).MaxConcurrent {
 				continue
 			}
 			down[order.Wave]++
--- a/maintenance/decide_test.go
+++ b/maintenance/decide_test.go
@@ -59,7 +59,7 @@
 
 func (f fleet) wave(atOnce int, machines ...tw.InstanceID) *maintenance.Wave {
 	w := &maintenance.Wave{
-		MaintenanceWave: tw.MaintenanceWave{Number: 1, Machines: machines, Within: time.Minute, AtOnce: atOnce},
+		MaintenanceWave: tw.MaintenanceWave{Number: 1, Machines: machines, NoticePeriod: time.Minute, MaxConcurrent: atOnce},
 		FirstSeen:       base, Done: map[tw.InstanceID]bool{},
 	}
 	f.Waves = append(f.Waves, w)
@@ -71,7 +71,7 @@
 	p := f.Pools[machine.Pool]
 	for i := range p.Report.Workers {
 		if p.Report.Workers[i].Worker == machine.Worker {
-			p.Report.Workers[i].Runs, p.Report.Workers[i].Lasting = runs, lasting
+			p.Report.Workers[i].Runs, p.Report.Workers[i].LongRunning = runs, lasting
 		}
 	}
 }
@@ -356,8 +356,8 @@
 				down++
 			}
 		}
-		if len(taken) > 0 && down > max(w.AtOnce, downBefore(f)) {
-			t.Fatalf("%d are down at once, %d may be", down, w.AtOnce)
+		if len(taken) > 0 && down > max(w.MaxConcurrent, downBefore(f)) {
+			t.Fatalf("%d are down at once, %d may be", down, w.MaxConcurrent)
 		}
 	})
 }
--- a/maintenance/forecast.go
+++ b/maintenance/forecast.go
@@ -105,7 +105,7 @@
 func (f *forecast) machinesNeeded(r *run.Report) float64 {
 	size := machineSize(r)
 	present := machinesFor(r.Running.Plus(r.Waiting), size)
-	coming := machinesFor(r.Lasting, size) + f.newWorkMachines(size)
+	coming := machinesFor(r.LongRunning, size) + f.newWorkMachines(size)
 	need := max(present, coming) / usableShare
 	if r.MinWorkers == 0 {
 		return need
--- a/maintenance/manager.go
+++ b/maintenance/manager.go
@@ -270,7 +270,7 @@
 		m.Log.Info("maintenance: pool", zap.String("pool", string(id)), zap.Bool("known", p.ReportFresh),
 			zap.Float64("need", p.Need), zap.Float64("late", p.Late), zap.Float64("peak", p.Peak), zap.Int("workers", len(p.Report.Workers)),
 			zap.Int64("running_cpu", int64(p.Report.Running.CPU)), zap.Int64("waiting_cpu", int64(p.Report.Waiting.CPU)),
-			zap.Int64("lasting_cpu", int64(p.Report.Lasting.CPU)), zap.Int64("running_mb", p.Report.Running.MemoryMB),
+			zap.Int64("lasting_cpu", int64(p.Report.LongRunning.CPU)), zap.Int64("running_mb", p.Report.Running.MemoryMB),
 			zap.Duration("list_age", s.Now.Sub(s.ListRequestedAt)))
 	}
 }
--- a/maintenance/manager_test.go
+++ b/maintenance/manager_test.go
@@ -88,7 +88,7 @@
 }
 
 func (o *office) waveOf(machines ...tw.InstanceID) {
-	o.waves = append(o.waves, tw.MaintenanceWave{Number: 1, Machines: machines, Within: 30 * time.Second, AtOnce: 1})
+	o.waves = append(o.waves, tw.MaintenanceWave{Number: 1, Machines: machines, NoticePeriod: 30 * time.Second, MaxConcurrent: 1})
 }
 
 func (o *office) status() string {
@@ -189,7 +189,7 @@
 		}
 		o.reports.mu.Unlock()
 		before := len(o.cloud.Orders())
-		o.waves = []tw.MaintenanceWave{{Number: 2, Machines: []tw.InstanceID{"m1"}, Within: 30 * time.Second, AtOnce: 1}}
+		o.waves = []tw.MaintenanceWave{{Number: 2, Machines: []tw.InstanceID{"m1"}, NoticePeriod: 30 * time.Second, MaxConcurrent: 1}}
 		began := time.Now()
 		b := o.manage("b")
 		defer b.Close()
--- a/maintenance/moves.go
+++ b/maintenance/moves.go
@@ -312,7 +312,7 @@
 		return 0, s.isEmpty(machine)
 	}
 	load, known := s.load(machine)
-	return load.Runs, known && load.Lasting == 0
+	return load.Runs, known && load.LongRunning == 0
 }
 
 func (s *State) isParking(pool tw.PoolID) bool {
--- a/member/start_messages.go
+++ b/member/start_messages.go
@@ -68,7 +68,7 @@
 			Run: s.Order.Run, Fence: s.Order.Fence, Deadline: s.Order.Deadline, Checkpoint: s.Order.Checkpoint,
 			Ticket: s.Order.Ticket, LimitMs: s.Limit.Milliseconds(),
 		}
-		if !s.SpecKnown {
+		if !s.SpecCached {
 			out.Starts[n].Spec = &batch[n].Order.Spec
 		}
 	}
@@ -85,7 +85,7 @@
 				Subtask: tw.SubtaskID{Submission: s.Submission, Repetition: s.Repetition, Step: s.Step, Index: s.Index},
 				Run:     s.Run, Fence: s.Fence, Deadline: s.Deadline, Checkpoint: s.Checkpoint, Ticket: s.Ticket,
 			},
-			SpecKnown: s.Spec == nil, Limit: time.Duration(s.LimitMs) * time.Millisecond,
+			SpecCached: s.Spec == nil, Limit: time.Duration(s.LimitMs) * time.Millisecond,
 		}
 		if s.Spec != nil {
 			out[n].Order.Spec = *s.Spec
--- a/member/start_test.go
+++ b/member/start_test.go
@@ -61,7 +61,7 @@
 				Checkpoint: "c", Ticket: "t", Deadline: 5, Fence: 6,
 			},
 		},
-		{To: tw.WorkerRef{ID: "v", Address: "10.0.0.2:1"}, SpecKnown: true, Order: tw.StartOrder{Run: 1}},
+		{To: tw.WorkerRef{ID: "v", Address: "10.0.0.2:1"}, SpecCached: true, Order: tw.StartOrder{Run: 1}},
 	}
 	var got []tw.RelayedAnswer
 	err := peers.Start(t.Context(), server.Listener.Addr().String(), batch, func(a tw.RelayedAnswer) {
--- a/queue/handler.go
+++ b/queue/handler.go
@@ -24,14 +24,14 @@
 	// platform's adapter implements it.
 	Codec interface {
 		ParseID(text string) (tw.SubmissionID, bool)
-		Decode(body []byte) (tw.Submission, error)
-		Deadline(r *http.Request) time.Duration
+		DecodeSubmission(body []byte) (tw.Submission, error)
+		Timeout(r *http.Request) time.Duration
 		// Key is the key that a request brings; false if it brings none, or several.
 		Key(r *http.Request) (string, bool)
 		// Challenge names what a request without a key that counts lacks.
 		Challenge() string
-		State(state tw.SubmissionState) []byte
-		Waiting(count int) []byte
+		EncodeState(state tw.SubmissionState) []byte
+		EncodeWaitingCount(count int) []byte
 	}
 
 	// HandlerConfig configures a Handler.
@@ -117,7 +117,7 @@
 		h.refuse(w, r, http.StatusRequestHeaderFieldsTooLarge, "header over the limit")
 		return
 	}
-	allowed := h.Codec.Deadline(r)
+	allowed := h.Codec.Timeout(r)
 	if route.Timeout > 0 {
 		allowed = min(allowed, route.Timeout)
 	}
@@ -170,7 +170,7 @@
 		h.refuseBody(w, r, err)
 		return
 	}
-	s, err := h.Codec.Decode(body)
+	s, err := h.Codec.DecodeSubmission(body)
 	if err != nil {
 		h.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
@@ -189,7 +189,7 @@
 	h.Metrics.GetOrCreateHistogram("tamarind_submit_seconds").Update(h.Clock.Now().Sub(began).Seconds())
 	switch {
 	case err == nil:
-		h.answer(w, r, h.Codec.State(tw.SubmissionWaiting))
+		h.answer(w, r, h.Codec.EncodeState(tw.SubmissionWaiting))
 	case notApplied(err):
 		if busy := (*run.BusyError)(nil); errors.As(err, &busy) {
 			w.Header().Set("Retry-After", wholeSeconds(busy.RetryAfter))
@@ -204,8 +204,8 @@
 	state, err := h.Router.State(ctx, t.submissionRequest(id))
 	switch {
 	case err == nil:
-		h.answer(w, r, h.Codec.State(state))
-	case errors.Is(err, run.ErrUnknown):
+		h.answer(w, r, h.Codec.EncodeState(state))
+	case errors.Is(err, run.ErrUnknownSubmission):
 		h.refuse(w, r, http.StatusGone, "no such submission")
 	default:
 		h.refuse(w, r, http.StatusServiceUnavailable, "state not known at present: "+err.Error())
@@ -216,8 +216,8 @@
 	err := h.Router.Cancel(ctx, t.submissionRequest(id))
 	switch {
 	case err == nil:
-		h.answer(w, r, h.Codec.State(tw.SubmissionCancelled))
-	case errors.Is(err, run.ErrUnknown):
+		h.answer(w, r, h.Codec.EncodeState(tw.SubmissionCancelled))
+	case errors.Is(err, run.ErrUnknownSubmission):
 		h.refuse(w, r, http.StatusGone, "no such submission")
 	default:
 		h.refuse(w, r, http.StatusGatewayTimeout, "it is unclear whether it is cancelled: "+err.Error())
@@ -230,7 +230,7 @@
 		h.refuse(w, r, http.StatusServiceUnavailable, "count not known at present: "+err.Error())
 		return
 	}
-	h.answer(w, r, h.Codec.Waiting(count))
+	h.answer(w, r, h.Codec.EncodeWaitingCount(count))
 }
 
 func (h *Handler) answer(w http.ResponseWriter, r *http.Request, body []byte) {
--- a/queue/handler_test.go
+++ b/queue/handler_test.go
@@ -144,7 +144,7 @@
 	"unavailable": {err: tw.ErrUnavailable, want: member.OutcomeNotApplied},
 	"over rate":   {err: tw.ErrRateLimited, want: member.OutcomeNotApplied},
 	"busy":        {err: &run.BusyError{RetryAfter: time.Second}, want: member.OutcomeBusy},
-	"unknown":     {err: run.ErrUnknown, want: member.OutcomeUnknown},
+	"unknown":     {err: run.ErrUnknownSubmission, want: member.OutcomeUnknown},
 	"unclear":     {err: tw.ErrAmbiguous, want: member.OutcomeAmbiguous},
 }
 
--- a/queue/router.go
+++ b/queue/router.go
@@ -183,7 +183,7 @@
 	defer stop()
 	for {
 		err := r.cancelOnce(ctx, m)
-		if err == nil || errors.Is(err, run.ErrUnknown) || !r.waitRetry(ctx) {
+		if err == nil || errors.Is(err, run.ErrUnknownSubmission) || !r.waitRetry(ctx) {
 			return err
 		}
 	}
@@ -197,11 +197,11 @@
 	record, findErr := ledger.FindSubmission(ctx, r.KV, m.ID)
 	switch {
 	case errors.Is(findErr, tw.ErrNotFound):
-		return run.ErrUnknown
+		return run.ErrUnknownSubmission
 	case findErr != nil:
 		return findErr
 	case record.Organisation != m.Organisation:
-		return run.ErrUnknown
+		return run.ErrUnknownSubmission
 	case record.Final != "":
 		return nil
 	}
@@ -245,7 +245,7 @@
 	defer stop()
 	for {
 		state, err := r.stateOnce(ctx, m)
-		if err == nil || errors.Is(err, run.ErrUnknown) || !r.waitRetry(ctx) {
+		if err == nil || errors.Is(err, run.ErrUnknownSubmission) || !r.waitRetry(ctx) {
 			return state, err
 		}
 	}
@@ -259,11 +259,11 @@
 	record, err := ledger.FindSubmission(ctx, r.KV, m.ID)
 	switch {
 	case errors.Is(err, tw.ErrNotFound):
-		return "", run.ErrUnknown
+		return "", run.ErrUnknownSubmission
 	case err != nil:
 		return "", err
 	case record.Organisation != m.Organisation:
-		return "", run.ErrUnknown
+		return "", run.ErrUnknownSubmission
 	case record.Final != "":
 		return record.Final, nil
 	}
@@ -361,7 +361,7 @@
 	case member.OutcomeBusy:
 		return &run.BusyError{}
 	case member.OutcomeUnknown:
-		return run.ErrUnknown
+		return run.ErrUnknownSubmission
 	}
 	return tw.ErrAmbiguous
 }
@@ -377,7 +377,7 @@
 		return member.OutcomeBusy
 	case tw.NotApplied(err):
 		return member.OutcomeNotApplied
-	case errors.Is(err, run.ErrUnknown):
+	case errors.Is(err, run.ErrUnknownSubmission):
 		return member.OutcomeUnknown
 	}
 	return member.OutcomeAmbiguous
--- a/relay.go
+++ b/relay.go
@@ -12,9 +12,9 @@
 	RelayedStart struct {
 		To    WorkerRef
 		Order StartOrder
-		// SpecKnown: the order lacks its spec, which the relay was sent with an earlier
+		// SpecCached: the order lacks its spec, which the relay was sent with an earlier
 		// order of the submission.
-		SpecKnown bool
+		SpecCached bool
 		// Limit is how long the order may take from when the relay has it.
 		Limit time.Duration
 	}
@@ -29,8 +29,8 @@
 
 	// Relays are other daemons that give orders to start for this one.
 	Relays interface {
-		// Near lists the addresses of some daemons in a data hall.
-		Near(hall HallID) []string
+		// Candidates lists the addresses of some daemons in a data hall.
+		Candidates(hall HallID) []string
 		// Start has a daemon give orders to different workers. It hands over each answer
 		// as it comes. After an error, orders without an answer are unclear, except after
 		// ErrGone and ErrUnavailable, which prove that nothing was done.
--- a/relay/link.go
+++ b/relay/link.go
@@ -142,7 +142,7 @@
 			continue
 		}
 		if id := i.start.Order.Subtask.Submission; l.sentSpecs.has(id) {
-			i.start.Order.Spec, i.start.SpecKnown = "", true
+			i.start.Order.Spec, i.start.SpecCached = "", true
 		} else {
 			l.sentSpecs.add(id, "")
 		}
--- a/relay/orders.go
+++ b/relay/orders.go
@@ -176,7 +176,7 @@
 func (o *Orders) relays(now time.Time, hall tw.HallID) []string {
 	have, known := o.relayLists[hall]
 	if !known || now.Sub(have.at) > maxRelayListAge {
-		have = relayList{addresses: o.config.Relays.Near(hall), at: now}
+		have = relayList{addresses: o.config.Relays.Candidates(hall), at: now}
 		o.relayLists[hall] = have
 	}
 	return have.addresses
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -91,8 +91,8 @@
 	}.New()
 }
 
-// Near implements tw.Relays.
-func (r *rig) Near(tw.HallID) []string {
+// Candidates implements tw.Relays.
+func (r *rig) Candidates(tw.HallID) []string {
 	var out []string
 	for n := range len(r.servers) {
 		out = append(out, fmt.Sprintf("r%d", n))
--- a/relay/server.go
+++ b/relay/server.go
@@ -90,7 +90,7 @@
 	id := start.Order.Subtask.Submission
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !start.SpecKnown {
+	if !start.SpecCached {
 		s.specs.add(id, start.Order.Spec)
 		return nil
 	}
--- a/run/caps_test.go
+++ b/run/caps_test.go
@@ -91,7 +91,7 @@
 	self.Fence = book.Fence()
 	o := run.Config{
 		Book: book, Loaded: loaded, Self: self, KV: r.kv, Orders: r.fleet, Advisor: noAdvisor{}, MachineCache: r.census,
-		Clock: tw.SystemClock{}, Log: testLog(), Metrics: metrics.NewSet(), Configuration: r.config.Load,
+		Clock: tw.SystemClock{}, Log: testLog(), Metrics: metrics.NewSet(), QueueConfig: r.config.Load,
 		Bounds: run.Bounds{MaxHold: maxHold, StopTime: stopTime, KeepEnded: 2 * time.Minute},
 	}.New()
 	r.opened = append(r.opened, o)
--- a/run/config.go
+++ b/run/config.go
@@ -42,9 +42,9 @@
 		// Cores is the share of processor cores that the daemon has; zero if that is not
 		// known.
 		Cores tw.Cores
-		// Configuration is the configuration in force, whose usage caps count; nil for a
+		// QueueConfig is the configuration in force, whose usage caps count; nil for a
 		// pool without caps.
-		Configuration func() *tw.QueueConfig
+		QueueConfig func() *tw.QueueConfig
 		// Evacuations are the evacuated halls; nothing is started while they are not known.
 		// If it is nil there are none.
 		Evacuations func() *tw.Evacuations
--- a/run/owner.go
+++ b/run/owner.go
@@ -110,8 +110,8 @@
 // Errors that callers of an Owner get. Further ones are those of tw.KV:
 // ErrUnavailable and ErrRateLimited prove that nothing was done.
 var (
-	ErrNotOwner = errors.New("this daemon does not own the pool")
-	ErrUnknown  = errors.New("no such submission")
+	ErrNotOwner          = errors.New("this daemon does not own the pool")
+	ErrUnknownSubmission = errors.New("no such submission")
 )
 
 // runNumbersPerOwner spaces the run numbers of successive owners, so that a new owner's
@@ -152,7 +152,7 @@
 	o.advisor = newAdviser(o, c.Advisor)
 	o.window = newSendWindow(now, initialWindow(c.Cores, c.Link))
 	o.writer = newWriter(o, c.Book)
-	o.caps = newCaps(o, c.Configuration)
+	o.caps = newCaps(o, c.QueueConfig)
 	// Reading the submissions may have taken long, and another daemon may have taken
 	// the pool since: it counts on this owner's grants from its last write.
 	o.permit.extend(c.Book.ConfirmedAt().Add(permitTTL))
--- a/run/place.go
+++ b/run/place.go
@@ -352,7 +352,7 @@
 	case st.spec.Filler:
 		return schedule.Urgency{Grade: schedule.GradeFiller, Priority: policy.Priority, Deadline: st.rep.due}
 	case st.spec.LongRunning:
-		return schedule.Urgency{Grade: schedule.GradeLasting, Priority: policy.Priority, Deadline: st.rep.due}
+		return schedule.Urgency{Grade: schedule.GradeLongRunning, Priority: policy.Priority, Deadline: st.rep.due}
 	}
 	urgency := schedule.UrgencyOf(o.now, st.rep.due, o.objective(st.rep), rest, policy.Priority)
 	return urgency.WithSizePenalty(o.typical.relativeSize(o.remainingWork(st.rep).CPU), o.typical.objective)
--- a/run/preempt.go
+++ b/run/preempt.go
@@ -103,7 +103,7 @@
 				continue
 			}
 			out = append(out, schedule.Run{
-				Subtask: r.task.id, Number: r.run, Worker: offer, Claim: r.claim,
+				Subtask: r.task.id, Number: r.run, Worker: offer, Reservation: r.claim,
 				Priority: r.task.step.rep.sub.Policy.Priority, Lost: o.lostWork(r),
 			})
 		}
--- a/run/relays_test.go
+++ b/run/relays_test.go
@@ -51,8 +51,8 @@
 	return over
 }
 
-// Near implements tw.Relays.
-func (s *shortRelays) Near(tw.HallID) []string { return s.names }
+// Candidates implements tw.Relays.
+func (s *shortRelays) Candidates(tw.HallID) []string { return s.names }
 
 // Start implements tw.Relays.
 func (s *shortRelays) Start(ctx context.Context, address string, batch []tw.RelayedStart, answer func(tw.RelayedAnswer)) error {
--- a/run/report.go
+++ b/run/report.go
@@ -27,10 +27,10 @@
 		// Running is what runs take, Waiting what waiting subtasks that could
 		// start now and can end in time would take, and Lasting the part of both that
 		// lasts. Late is what those would take that can only end late.
-		Running tw.Resources `json:"running"`
-		Waiting tw.Resources `json:"waiting"`
-		Lasting tw.Resources `json:"lasting"`
-		Late    tw.Resources `json:"late"`
+		Running     tw.Resources `json:"running"`
+		Waiting     tw.Resources `json:"waiting"`
+		LongRunning tw.Resources `json:"lasting"`
+		Late        tw.Resources `json:"late"`
 		// MinWorkers is on how many workers the widest step must run that bounds
 		// its subtasks on one worker.
 		MinWorkers int `json:"spread"`
@@ -51,12 +51,12 @@
 
 	// WorkerLoad is what runs on a worker.
 	WorkerLoad struct {
-		Instance tw.InstanceID `json:"instance"`
-		Worker   tw.WorkerID   `json:"worker"`
-		Capacity tw.Resources  `json:"capacity"`
-		Free     tw.Resources  `json:"free"`
-		Runs     int           `json:"runs"`
-		Lasting  int           `json:"lasting"`
+		Instance    tw.InstanceID `json:"instance"`
+		Worker      tw.WorkerID   `json:"worker"`
+		Capacity    tw.Resources  `json:"capacity"`
+		Free        tw.Resources  `json:"free"`
+		Runs        int           `json:"runs"`
+		LongRunning int           `json:"lasting"`
 		// Unrecorded: it has told of ends that the store does not hold yet. Should it end
 		// and then its owner, they would be forgotten and the subtasks run again.
 		Unrecorded bool `json:"unrecorded,omitempty"`
@@ -85,13 +85,13 @@
 		free := w.free()
 		out.Workers = append(out.Workers, WorkerLoad{
 			Instance: w.entry.Instance, Worker: w.entry.ID, Capacity: w.entry.Capacity, Free: free,
-			Runs: len(w.runs), Lasting: w.tally.lastingRuns, Schedulable: w.usable(o.now) && !o.evacuated.Has(w.entry.Hall),
+			Runs: len(w.runs), LongRunning: w.tally.lastingRuns, Schedulable: w.usable(o.now) && !o.evacuated.Has(w.entry.Hall),
 			Known: w.stateKnown && w.unanswered == 0, Unrecorded: w.recordedEnd < w.seenEnd,
 		})
 		for _, r := range w.runs {
 			out.Running = out.Running.Plus(r.claim)
 			if r.task.step.spec.LongRunning {
-				out.Lasting = out.Lasting.Plus(r.claim)
+				out.LongRunning = out.LongRunning.Plus(r.claim)
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 			switch {
 			case st.spec.LongRunning:
 				out.Waiting = out.Waiting.Plus(claim)
-				out.Lasting = out.Lasting.Plus(claim)
+				out.LongRunning = out.LongRunning.Plus(claim)
 			case late:
 				out.Late = out.Late.Plus(claim)
 			default:
--- a/run/requests.go
+++ b/run/requests.go
@@ -30,7 +30,7 @@
 	result := make(chan error, 1)
 	return o.call(ctx, result, func() {
 		if o.isHidden(id, by) {
-			result <- ErrUnknown
+			result <- ErrUnknownSubmission
 			return
 		}
 		o.requestCancel(id, result)
@@ -42,7 +42,7 @@
 	return query(ctx, o, func() (tw.SubmissionState, error) {
 		sub := o.submissions[id]
 		if sub == nil || !sub.durable || o.isHidden(id, by) {
-			return "", ErrUnknown
+			return "", ErrUnknownSubmission
 		}
 		return sub.state(), nil
 	})
@@ -235,7 +235,7 @@
 	waiting.cancelWaiters = nil
 	if o.isHidden(waiting.ID, waiting.Organisation) {
 		for _, result := range enders {
-			result <- ErrUnknown
+			result <- ErrUnknownSubmission
 		}
 		return
 	}
@@ -341,7 +341,7 @@
 	case o.draining:
 		result <- ErrNotOwner
 	case sub == nil:
-		result <- ErrUnknown
+		result <- ErrUnknownSubmission
 	case sub.final != "":
 		result <- nil
 	default:
--- a/run/tries_test.go
+++ b/run/tries_test.go
@@ -62,7 +62,7 @@
 	r.Eventually(func() tw.SubmissionState {
 		state, err := o.State(r.ctx, "", id)
 		if err != nil {
-			r.Expect(err).To(MatchError(run.ErrUnknown))
+			r.Expect(err).To(MatchError(run.ErrUnknownSubmission))
 		}
 		return state
 	}, within, 20*time.Millisecond).Should(Equal(want))
--- a/schedule/group.go
+++ b/schedule/group.go
@@ -40,8 +40,8 @@
 
 // Grades, the most urgent first.
 const (
-	// GradeLasting is work that counts for every second that it runs.
-	GradeLasting Grade = iota
+	// GradeLongRunning is work that counts for every second that it runs.
+	GradeLongRunning Grade = iota
 	// GradeOnTime can still end within its objective.
 	GradeOnTime
 	// GradeLate can still end within three times its objective.
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -43,7 +43,7 @@
 		if missing > 0 {
 			full.add(g)
 		}
-		if g.Urgency.Grade == GradeLasting {
+		if g.Urgency.Grade == GradeLongRunning {
 			workers = g.reserve(workers, missing)
 		}
 	}
@@ -70,7 +70,7 @@
 // includes tells whether a group surely finds no room. Lasting steps are tried in
 // any case, as they keep workers free.
 func (n unplaceable) includes(g *Group) bool {
-	if g.Urgency.Grade == GradeLasting {
+	if g.Urgency.Grade == GradeLongRunning {
 		return false
 	}
 	claim := g.Step.Reservation()
--- a/schedule/place_test.go
+++ b/schedule/place_test.go
@@ -83,7 +83,7 @@
 	"keeps a worker free for a lasting subtask that found no room": {
 		groups: []*schedule.Group{group("a", 4, nil), func() *schedule.Group {
 			g := group("b", 1, func(s *tw.Step) { s.LongRunning = true; s.Need.CPU = 3000 })
-			g.Urgency.Grade = schedule.GradeLasting
+			g.Urgency.Grade = schedule.GradeLongRunning
 			return g
 		}()},
 		workers: []*schedule.Worker{worker(0, 1000), worker(1, 2000)},
@@ -92,7 +92,7 @@
 	"keeps no worker free that will not have the room": {
 		groups: []*schedule.Group{group("a", 4, nil), func() *schedule.Group {
 			g := group("b", 1, func(s *tw.Step) { s.LongRunning = true; s.Need.CPU = 30000 })
-			g.Urgency.Grade = schedule.GradeLasting
+			g.Urgency.Grade = schedule.GradeLongRunning
 			return g
 		}()},
 		workers: []*schedule.Worker{worker(0, 1000), worker(1, 2000)},
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -12,10 +12,10 @@
 type (
 	// Run is a run that may be stopped for more urgent work.
 	Run struct {
-		Subtask tw.SubtaskID
-		Number  tw.RunNumber
-		Worker  *Worker
-		Claim   tw.Resources
+		Subtask     tw.SubtaskID
+		Number      tw.RunNumber
+		Worker      *Worker
+		Reservation tw.Resources
 		// Priority is that of its submission; 0 is the most urgent.
 		Priority int
 		// Lost is the work that is done again if the run is stopped.
@@ -95,7 +95,7 @@
 		}
 		for _, v := range victims {
 			p.chosen[v.Subtask] = true
-			p.expectedFree[worker] = p.expectedFree[worker].Plus(v.Claim)
+			p.expectedFree[worker] = p.expectedFree[worker].Plus(v.Reservation)
 		}
 		p.expectedFree[worker] = p.expectedFree[worker].Minus(want.Group.Step.Reservation())
 		used[worker]++
@@ -134,7 +134,7 @@
 		if r.Priority <= g.Urgency.Priority || p.chosen[r.Subtask] {
 			continue
 		}
-		room = room.Plus(r.Claim)
+		room = room.Plus(r.Reservation)
 		lost += r.Lost
 		out = append(out, r)
 	}
--- a/schedule/preempt_test.go
+++ b/schedule/preempt_test.go
@@ -19,7 +19,7 @@
 	for i, priority := range priorities {
 		runs = append(runs, schedule.Run{
 			Subtask: tw.SubtaskID{Submission: tw.SubmissionID(fmt.Sprintf("run%d", n)), Index: i}, Worker: w,
-			Claim: tw.Resources{CPU: 1000, MemoryMB: 100}, Priority: priority, Lost: time.Duration(i+1) * time.Second,
+			Reservation: tw.Resources{CPU: 1000, MemoryMB: 100}, Priority: priority, Lost: time.Duration(i+1) * time.Second,
 		})
 	}
 	return w, runs
--- a/wave.go
+++ b/wave.go
@@ -5,15 +5,15 @@
 type Wave struct {
 	ID        WaveID   `toml:"id"`
 	Instances Selector `toml:"instances"`
-	// AtOnce bounds how many instances of a hall are out for the wave at
+	// MaxConcurrent bounds how many instances of a hall are out for the wave at
 	// the same time.
-	AtOnce int `toml:"at_once"`
+	MaxConcurrent int `toml:"at_once"`
 }
 
 // SetDefaults fills what was left out.
 func (w *Wave) SetDefaults() {
-	if w.AtOnce == 0 {
-		w.AtOnce = 1
+	if w.MaxConcurrent == 0 {
+		w.MaxConcurrent = 1
 	}
 }
 
@@ -24,7 +24,7 @@
 	if w.Instances.IsEmpty() {
 		faults.Add(at+".instances", "is missing: name the instances by label")
 	}
-	if w.AtOnce < 1 {
-		faults.Add(at+".at_once", "is %d, must be 1 or more", w.AtOnce)
+	if w.MaxConcurrent < 1 {
+		faults.Add(at+".at_once", "is %d, must be 1 or more", w.MaxConcurrent)
 	}
 }
