--- a/run/admission.go
+++ b/run/admission.go
@@ -9,36 +9,38 @@
 	"github.com/tamarindworks/tamarindworks/ledger"
 )
 
-// An owner that is short of processor time or of its link knows how many starts it can send
-// a second and how many it owes. What it accepts beyond that can't begin in time, takes the
-// same resource for its records, and holds up what was accepted before; so such submissions
-// are refused at once, before anything of them is kept, with when to come back.
+// Admission control. An owner that is short of processor time or of link bandwidth knows how many
+// starts it can send per second and how many are pending. Submissions accepted beyond that could
+// not begin in time, would use the same resource for their records and would delay those accepted
+// before. They are refused at once, before anything of them is stored, with a time to retry
+// after.
 
-// BusyError says that a submission was not taken, as its owner could not start it in time.
+// BusyError is the refusal of a submission that the owner could not start in time.
 type BusyError struct {
-	// RetryAfter is how long the owner needs until it can take such a submission.
+	// RetryAfter is the time after which the owner should be able to accept such a submission.
 	RetryAfter time.Duration
 }
 
 const (
-	// minAdmitWait and admitMost bound how long accepted work may have to wait for its
-	// orders, whatever its objective leaves. Work that has room must begin within 3 s, or
-	// it counts as lost; a third of that is left for what isn't foreseen.
+	// minAdmitWait and maxAdmitWait bound how long the starts of an accepted submission may be
+	// queued, whatever slack its objective leaves. Work for which there is free capacity must
+	// begin within 3 s, or it counts as lost; a third of that is left as a margin.
 	minAdmitWait = 500 * time.Millisecond
 	maxAdmitWait = 2 * time.Second
-	// maxRetryAfter bounds when callers are told to come back: in a few seconds a faster
-	// daemon may own the pool, and to be refused again costs them little.
+	// maxRetryAfter bounds the retry time sent to callers: within a few seconds a faster daemon
+	// may own the pool, and another refusal costs callers little.
 	maxRetryAfter = 2 * time.Second
-	// standingQueueAfter is how long an owner is short before what waits counts as a standing
-	// queue: turns of demand rise for about so long.
+	// standingQueueAfter is how long an owner must be short before its backlog counts as a
+	// standing queue rather than a burst: increases of demand last about as long.
 	standingQueueAfter = 3 * time.Second
-	// orderOverheadBytes is what an order to start takes on a link beside its spec, in bytes, and
-	// startsShare the part of a full link that carries such orders: 120 of 190 kB a second
-	// were counted, the rest being looks, records, and messages between daemons.
+	// orderOverheadBytes is the size of a start order on the link without its spec.
+	// startsLinkShare is the fraction of a saturated link that carries start orders: 120 of 190
+	// kB/s; polls, records and messages between daemons take the rest.
 	orderOverheadBytes = 330
 	startsLinkShare    = 0.6
-	// firstStartsWithin is within what a link must carry an order for each submission that
-	// waits: that and starveAfter are less than the time after which work counts as lost.
+	// firstStartsWithin is the time within which the link must be able to carry one start order
+	// for each waiting submission. Together with starveAfter it stays below the time after which
+	// work counts as lost.
 	firstStartsWithin = time.Second
 )
 
@@ -47,14 +49,15 @@
 	return fmt.Sprintf("run: the owner could not start it in time, come back in %v", e.RetryAfter.Round(time.Millisecond))
 }
 
-// Is implements the interface of errors.Is: nothing was done.
+// Is implements the interface used by errors.Is: the submission was certainly not accepted.
 func (e *BusyError) Is(target error) bool { return target == tw.ErrRateLimited }
 
-// checkOverload tells whether the orders of a submission would have to wait for too long; nil if
-// not. Lasting work is taken in any case: it goes before all other and is little.
+// checkOverload refuses a submission whose starts would be queued for too long; it returns nil if
+// the submission can be accepted. Submissions with long-running steps are always accepted: they
+// are placed before other work and are few.
 func (o *Owner) checkOverload(s *tw.Submission) *BusyError {
 	o.refreshBacklog()
-	if hasLastingStep(s) {
+	if hasLongRunningStep(s) {
 		return nil
 	}
 	excess := o.orderWaitExcess(s)
@@ -67,14 +70,14 @@
 	return newBusyError(s, min(excess, maxRetryAfter))
 }
 
-// newBusyError refuses a submission until a time has passed. The times that callers are told are
-// spread up to twice that, so that those who are refused at the same moment don't return so.
+// newBusyError refuses a submission until a time has passed. The retry time is spread between
+// that and twice that, so that callers refused at the same moment do not all retry at once.
 func newBusyError(s *tw.Submission, after time.Duration) *BusyError {
 	return &BusyError{RetryAfter: after + time.Duration(spread.Fraction(string(s.ID))*float64(after))}
 }
 
-// orderWaitExcess is how much longer than it may the orders of a submission would have to wait,
-// by the rate at which orders are answered while the owner is short.
+// orderWaitExcess is by how much the queueing time of a submission's starts would exceed its
+// limit, at the rate at which starts are answered while the owner is short.
 func (o *Owner) orderWaitExcess(s *tw.Submission) time.Duration {
 	rate := o.window.capacity(o.now)
 	if rate == 0 {
@@ -83,9 +86,10 @@
 	return timeToStart(o.backlogAhead(s.Policy.Priority), rate) - o.maxOrderWait(s)
 }
 
-// linkWaitExcess is the same for the first subtasks of all that is accepted, by what the daemon's
-// link can carry. A pool that lacks room doesn't show how little its owner can send; once
-// room comes, something of each submission must begin soon.
+// linkWaitExcess is the same for the first subtask of every accepted submission, at the rate that
+// the daemon's link can carry. While a pool has no free capacity, its owner sends few starts and
+// cannot measure its own rate; once capacity is added, something of each submission must begin
+// soon.
 func (o *Owner) linkWaitExcess(s *tw.Submission) time.Duration {
 	if o.link == 0 {
 		return 0
@@ -94,13 +98,13 @@
 	return timeToStart(o.backlog.submissions, rate) - firstStartsWithin
 }
 
-// timeToStart is how long a number of starts takes at a rate a second.
+// timeToStart is how long a number of starts takes at a rate per second.
 func timeToStart(starts int, rate float64) time.Duration {
 	return time.Duration(float64(starts) / rate * float64(time.Second))
 }
 
-// maxOrderWait is how long the orders of a submission may have to wait for it to be taken. What
-// comes at once in a short height is worked off; in a standing queue all work would be late.
+// maxOrderWait is how long the starts of a submission may be queued for it to be accepted. A
+// short burst is worked off soon; with a standing queue all work would be late.
 func (o *Owner) maxOrderWait(s *tw.Submission) time.Duration {
 	if o.window.shortage(o.now) < standingQueueAfter {
 		return maxAdmitWait
@@ -108,8 +112,8 @@
 	return min(max(minAdmitWait, o.slack(s)), maxAdmitWait)
 }
 
-// hasLastingStep tells whether a submission has steps that run until they are cancelled.
-func hasLastingStep(s *tw.Submission) bool {
+// hasLongRunningStep reports whether a submission has steps that run until they are cancelled.
+func hasLongRunningStep(s *tw.Submission) bool {
 	for i := range s.Steps {
 		if s.Steps[i].LongRunning {
 			return true
@@ -118,7 +122,7 @@
 	return false
 }
 
-// slack is for how long a submission may wait and still end within its objective.
+// slack is how long a submission may wait and still end within its objective.
 func (o *Owner) slack(s *tw.Submission) time.Duration {
 	rep := &repetition{sub: newSubmission(*s, ledger.Progress{})}
 	for i := range s.Steps {
--- a/run/advice.go
+++ b/run/advice.go
@@ -11,8 +11,8 @@
 )
 
 type (
-	// adviser asks the advice service which workers may run a step. The
-	// service takes one call at a time of each daemon, so one goroutine asks.
+	// adviser requests advice from the advice service on which workers may run a step. The
+	// service accepts one call at a time from each daemon, so a single goroutine makes them.
 	adviser struct {
 		o        *Owner
 		service  tw.Advisor
@@ -20,12 +20,12 @@
 		done     chan struct{}
 	}
 
-	// stepAdvice is what is known of a step; it belongs to the loop.
+	// stepAdvice is the advice received for a step. Only the loop uses it.
 	stepAdvice struct {
 		inFlight    bool
 		requestedAt time.Time
 		tickets     map[tw.WorkerID]ticket
-		// answered are the workers about which there is an answer.
+		// answered holds, for each worker that an answer covered, when that request was sent.
 		answered map[tw.WorkerID]time.Time
 	}
 
@@ -42,11 +42,11 @@
 )
 
 const (
-	// adviceQueueSize is below the 32 calls that the service lets wait.
+	// adviceQueueSize is below the 32 queued calls that the service accepts.
 	adviceQueueSize = 16
-	// maxAdviceWorkers bounds the workers of one call: each costs time.
+	// maxAdviceWorkers bounds the workers in one call, as each adds to the time it takes.
 	maxAdviceWorkers = 30
-	// ticketMargin is left of a ticket's time when it is used.
+	// ticketMargin is the remaining validity that a ticket must have to be used.
 	ticketMargin = 250 * time.Millisecond
 	adviceRetry  = 300 * time.Millisecond
 )
@@ -67,10 +67,10 @@
 		select {
 		case <-a.o.ctx.Done():
 			return
-		case ask := <-a.requests:
+		case request := <-a.requests:
 			sent := a.o.clock.Now()
-			advice, err := a.service.Advise(a.o.ctx, ask.id, ask.workers)
-			a.o.post(a.o.ctx, func() { a.handleAnswer(ask, sent, advice, err) })
+			advice, err := a.service.Advise(a.o.ctx, request.id, request.workers)
+			a.o.post(a.o.ctx, func() { a.handleAnswer(request, sent, advice, err) })
 			if err != nil {
 				select {
 				case <-a.o.ctx.Done():
@@ -81,8 +81,8 @@
 	}
 }
 
-// allowed are the workers with a valid ticket. If there are none, or few for
-// what waits, the service is asked; known is false until it has answered.
+// allowed returns the workers with a valid ticket, and requests advice on further workers. known
+// is false while there are none.
 func (a *adviser) allowed(st *step) (allowed map[tw.WorkerID]bool, known bool) {
 	if st.advice == nil {
 		st.advice = &stepAdvice{tickets: map[tw.WorkerID]ticket{}, answered: map[tw.WorkerID]time.Time{}}
@@ -98,26 +98,26 @@
 	return allowed, len(allowed) > 0
 }
 
-// request asks about the usable workers of which nothing valid is known.
+// request requests advice on the usable workers for which there is no valid answer.
 func (a *adviser) request(st *step) {
 	now := a.o.now
 	valid := st.rep.sub.Policy.Advice.Valid
 	if st.advice.inFlight || now.Sub(st.advice.requestedAt) < adviceRetry {
 		return
 	}
-	var unasked []*worker
+	var uncovered []*worker
 	for id, w := range a.o.workers {
-		at, asked := st.advice.answered[id]
-		if w.usable(now) && (!asked || now.Sub(at) > valid-ticketMargin) {
-			unasked = append(unasked, w)
+		at, covered := st.advice.answered[id]
+		if w.usable(now) && (!covered || now.Sub(at) > valid-ticketMargin) {
+			uncovered = append(uncovered, w)
 		}
 	}
-	if len(unasked) == 0 {
+	if len(uncovered) == 0 {
 		return
 	}
-	slices.SortFunc(unasked, func(x, y *worker) int { return int(y.free().CPU - x.free().CPU) })
+	slices.SortFunc(uncovered, func(x, y *worker) int { return int(y.free().CPU - x.free().CPU) })
 	var ids []tw.WorkerID
-	for _, w := range unasked[:min(len(unasked), maxAdviceWorkers)] {
+	for _, w := range uncovered[:min(len(uncovered), maxAdviceWorkers)] {
 		ids = append(ids, w.entry.ID)
 	}
 	id := st.tasks[0].id
@@ -125,30 +125,30 @@
 	case a.requests <- adviceRequest{st: st, id: id, workers: ids}:
 		st.advice.inFlight = true
 		st.advice.requestedAt = now
-	default: // asked again by the next placement pass
+	default: // the next placement pass requests it again
 	}
 }
 
-func (a *adviser) handleAnswer(ask adviceRequest, sent time.Time, advice tw.Advice, err error) {
-	known := ask.st.advice
-	known.inFlight = false
+func (a *adviser) handleAnswer(request adviceRequest, sent time.Time, advice tw.Advice, err error) {
+	state := request.st.advice
+	state.inFlight = false
 	if err != nil {
-		a.o.log.Warn("advice: not answered", zap.Stringer("step", ask.id), logsink.Err(err))
+		a.o.log.Warn("advice: request failed", zap.Stringer("step", request.id), logsink.Err(err))
 		return
 	}
-	for _, id := range ask.workers {
-		known.answered[id] = sent
-		delete(known.tickets, id)
+	for _, id := range request.workers {
+		state.answered[id] = sent
+		delete(state.tickets, id)
 	}
 	for id, text := range advice.Tickets {
-		known.tickets[id] = ticket{text: text, expiresAt: sent.Add(advice.Valid)}
+		state.tickets[id] = ticket{text: text, expiresAt: sent.Add(advice.Valid)}
 	}
-	a.o.log.Info("advice: answered", zap.Stringer("step", ask.id), zap.Int("asked", len(ask.workers)),
+	a.o.log.Info("advice: received", zap.Stringer("step", request.id), zap.Int("asked", len(request.workers)),
 		zap.Int("allowed", len(advice.Tickets)), zap.Duration("took", a.o.now.Sub(sent)))
 	a.o.placeRequested = true
 }
 
-// ticket is what a start on a worker must bring; empty for none.
+// ticket is the ticket that a start of the step on a worker must carry; empty for none.
 func (a *adviser) ticket(st *step, id tw.WorkerID) string {
 	if st.advice == nil {
 		return ""
@@ -156,7 +156,7 @@
 	return st.advice.tickets[id].text
 }
 
-// invalidate drops the tickets of a step after one was refused.
+// invalidate drops all advice for a step after a worker has refused one of its tickets.
 func (a *adviser) invalidate(st *step) {
 	if st.advice != nil {
 		clear(st.advice.tickets)
--- a/run/backlog.go
+++ b/run/backlog.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// backlog counts the subtasks that an owner has accepted and not ordered, by priority.
+// backlog counts the accepted subtasks for which no start has been ordered, by priority.
 type backlog struct {
 	counts    map[int]int
 	countedAt time.Time
-	// submissions are those with such subtasks.
+	// submissions counts the submissions with such subtasks.
 	submissions int
-	// arrivals are submissions that were not kept yet at that time.
+	// arrivals are submissions that were not yet durable at that time.
 	arrivals []*submission
 }
 
 const (
-	// maxBacklogAge is how old a count of the backlog may be, which visits all that is accepted.
+	// maxBacklogAge is how old the counts may be. Counting visits all accepted submissions.
 	maxBacklogAge = 50 * time.Millisecond
-	// maxArrivalAge is how long a submission may take to be kept before it isn't counted.
+	// maxArrivalAge is how long a submission that is not yet durable is counted.
 	maxArrivalAge = 2 * time.Second
 )
 
-// backlogAhead counts the subtasks that go before new work of a priority, by a fresh backlog.
+// backlogAhead counts the pending subtasks that are started before new work of a priority, by the
+// last counts.
 func (o *Owner) backlogAhead(priority int) int {
 	ahead := 0
 	for p, n := range o.backlog.counts {
@@ -30,15 +31,15 @@
 	return ahead
 }
 
-// refreshBacklog counts the backlog anew unless that was done just before.
+// refreshBacklog recounts the backlog if the last counts are older than maxBacklogAge.
 func (o *Owner) refreshBacklog() {
 	if o.now.Sub(o.backlog.countedAt) > maxBacklogAge {
 		o.countBacklog()
 	}
 }
 
-// countBacklog counts what is accepted and not ordered, and forgets the arrivals that have
-// been kept or refused meanwhile.
+// countBacklog recounts the pending subtasks, and drops the arrivals that have become durable,
+// were refused, or are older than maxArrivalAge.
 func (o *Owner) countBacklog() {
 	b := &o.backlog
 	b.counts, b.countedAt, b.submissions = map[int]int{}, o.now, 0
@@ -59,7 +60,7 @@
 	b.arrivals = waiting
 }
 
-// addArrival counts a submission that is being kept.
+// addArrival counts a submission that is being stored.
 func (b *backlog) addArrival(sub *submission) {
 	b.arrivals = append(b.arrivals, sub)
 	if b.counts != nil {
@@ -68,7 +69,7 @@
 	}
 }
 
-// subtasksPerRepetition is how many subtasks a repetition of the submission has.
+// subtasksPerRepetition is the number of subtasks in one repetition of the submission.
 func (s *submission) subtasksPerRepetition() int {
 	n := 0
 	for i := range s.Steps {
@@ -77,8 +78,8 @@
 	return n
 }
 
-// pendingSubtasks counts the subtasks of the open repetitions that are not done, and of which no
-// run is known.
+// pendingSubtasks counts the subtasks of the open repetitions that are not done and have no known
+// run.
 func (s *submission) pendingSubtasks() int {
 	if s.closed() {
 		return 0
--- a/run/born.go
+++ b/run/born.go
@@ -8,35 +8,35 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// A worker may start again under its id and address, so that orders to its former life reach the
-// new one. Which life answers is told by when it was born. The new life is another worker here:
-// what is still to be recorded of the former one must not be confirmed to it.
+// A worker may restart under its ID and address, so that orders to the previous incarnation reach
+// the new one. The start time tells which of them answers. The owner treats the new incarnation as
+// another worker: unrecorded ends of the previous one must not be acknowledged to it.
 
-// clockTolerance is by how much an answer's clock may seem to lag behind.
+// clockTolerance is how far the clock in an answer may seem to lag because of rounding.
 const clockTolerance = 5 * time.Millisecond
 
-// sameIncarnation tells whether a look was answered by the life that is known. If it is another one,
-// that is taken up.
-func (o *Owner) sameIncarnation(w *worker, born tw.WorkerStartTime) bool {
+// sameIncarnation reports whether a poll was answered by the known incarnation. If it was a newer
+// one, that replaces the worker.
+func (o *Owner) sameIncarnation(w *worker, startTime tw.WorkerStartTime) bool {
 	switch {
-	case born == 0 || born == w.startTime:
+	case startTime == 0 || startTime == w.startTime:
 		return true
 	case w.startTime == 0:
-		w.startTime = born
+		w.startTime = startTime
 		return true
-	case born < w.startTime:
-		w.nextPoll = o.now // a late answer of a former life
+	case startTime < w.startTime:
+		w.nextPoll = o.now // a late answer of a previous incarnation
 		return false
 	}
 	entry := w.entry
-	entry.StartTime = born
+	entry.StartTime = startTime
 	o.replaceIncarnation(w, entry)
 	return false
 }
 
-// replaceIncarnation has another life take the place of a worker. Runs that were seen have ended with the
-// former one. Other orders to start may still be carried out, also where the former life was
-// told to forbid them.
+// replaceIncarnation replaces a worker by its next incarnation. Runs that were seen have ended with
+// the previous one. Other starts may still be carried out, even if the previous incarnation was
+// told to revoke them.
 func (o *Owner) replaceIncarnation(w *worker, entry tw.WorkerEntry) *worker {
 	o.log.Info("worker: has started again", zap.String("worker", string(entry.ID)), zap.Int64("born", int64(entry.StartTime)),
 		zap.Int64("before", int64(w.startTime)), zap.Int("runs", len(w.runs)))
@@ -56,8 +56,8 @@
 	return next
 }
 
-// clockRestarted tells whether the clock in the answer to an order can't be that of the life that is
-// known: it is behind what that life's clock showed at least when the order was sent.
+// clockRestarted reports whether the clock in the answer to an order can't be that of the known
+// incarnation, as it is behind the least that that clock can have shown when the order was sent.
 func (w *worker) clockRestarted(clock tw.WorkerTime, sentAt time.Time) bool {
 	if w.startTime == 0 || clock == 0 || w.clockAt.IsZero() {
 		return false
@@ -69,8 +69,8 @@
 	return clock.Add(clockTolerance) < w.clock.Add(since)
 }
 
-// confirmableEnd is up to which end a worker may be told that its ends are recorded: none while
-// another life may answer, which counts its ends anew.
+// confirmableEnd returns the last end that may be acknowledged to a worker: none while another
+// incarnation may answer, which numbers its ends from one.
 func (w *worker) confirmableEnd() int64 {
 	if w.startTime != 0 && w.unanswered > 0 {
 		return 0
--- a/run/born_test.go
+++ b/run/born_test.go
@@ -15,40 +15,40 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// bornNow is the birth of a life that begins now.
-func bornNow() tw.WorkerStartTime { return tw.WorkerStartTime(time.Now().UnixMilli()) }
+// startTimeNow returns a start time for a worker that starts now.
+func startTimeNow() tw.WorkerStartTime { return tw.WorkerStartTime(time.Now().UnixMilli()) }
 
-// giveBirths has all workers tell when they were born.
-func (r *rig) giveBirths() {
+// setStartTimes sets a start time on all workers.
+func (r *rig) setStartTimes() {
 	for id, entry := range r.list {
-		entry.StartTime = bornNow()
+		entry.StartTime = startTimeNow()
 		r.list[id] = entry
 		r.fleet.Set(id, func(w *standin.SimWorker) { w.Entry.StartTime = entry.StartTime })
 	}
 }
 
-// restart has a worker start again under its id; its entry follows by list.
+// restart starts a worker again under its ID. The caller publishes the returned entry.
 func (r *rig) restart(n int) tw.WorkerEntry {
-	time.Sleep(5 * time.Millisecond) // no two lives begin at one moment
-	return r.fleet.Restart(workerID(n), bornNow())
+	time.Sleep(5 * time.Millisecond) // start times are in milliseconds and must differ
+	return r.fleet.Restart(workerID(n), startTimeNow())
 }
 
 func (r *rig) relistWorker(o *run.Owner, entry tw.WorkerEntry) {
 	r.list[entry.ID] = entry
-	r.feed(o)
+	r.publishWorkers(o)
 }
 
-// bornCases are workers that start again under the id and the address that they had, on a pool
-// of two. Nothing read when a life was born: the ends of the new one, which counts from one
-// again, were taken for known and were confirmed unseen by the counts of the former one.
-var bornCases = map[string]func(r *rig, o *run.Owner){
-	"what ran there is started again": func(r *rig, o *run.Owner) {
+// restartCases restart workers under the ID and the address that they had, in a pool of two. A
+// restarted worker numbers its ends from one again. An owner that ignored the start time took
+// them for ends that it had already seen, and acknowledged them by the old sequence numbers.
+var restartCases = map[string]func(r *rig, o *run.Owner){
+	"restarts the runs of the previous incarnation": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
 		time.Sleep(300 * time.Millisecond)
 		r.relistWorker(o, r.restart(0))
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 	},
-	"the ends of the new life are taken up, though it counts anew": func(r *rig, o *run.Owner) {
+	"handles ends of the new incarnation, which numbers them from one": func(r *rig, o *run.Owner) {
 		for n := range 5 {
 			r.submit(o, submission(fmt.Sprintf("a%d", n), 8))
 			time.Sleep(1200 * time.Millisecond)
@@ -59,13 +59,13 @@
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(48))
 	},
-	"before its entry tells of it": func(r *rig, o *run.Owner) {
+	"restart noticed before its entry is updated": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
 		time.Sleep(300 * time.Millisecond)
 		r.restart(0)
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
-	"an account of the former life that comes late changes nothing": func(r *rig, o *run.Owner) {
+	"ignores a late entry of the previous incarnation": func(r *rig, o *run.Owner) {
 		former := r.list[workerID(0)]
 		r.submit(o, submission("s1", 8))
 		time.Sleep(300 * time.Millisecond)
@@ -78,14 +78,14 @@
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 		r.Expect(r.fleet.Starts()).To(BeNumerically("<=", 12))
 	},
-	"a machine that was known as down is used as soon as it is back": func(r *rig, o *run.Owner) {
+	"uses a machine that was down as soon as it is back": func(r *rig, o *run.Owner) {
 		entry := r.list[workerID(0)]
 		r.fleet.Kill(entry.ID)
 		r.cloud.Add(tw.Machine{ID: entry.Instance, Pool: pool, State: tw.MachineDown})
 		r.submit(o, submission("s1", 8))
 		time.Sleep(2 * time.Second)
 		next := r.restart(0)
-		r.runs(next)
+		r.listAsRunning(next)
 		r.relistWorker(o, next)
 		r.submit(o, submission("s2", 8))
 		r.Eventually(func() int {
@@ -96,7 +96,7 @@
 			return n
 		}, 1500*time.Millisecond, 20*time.Millisecond).Should(Equal(8))
 	},
-	"an order that the former life left without an answer": func(r *rig, o *run.Owner) {
+	"an order that the previous incarnation did not answer": func(r *rig, o *run.Owner) {
 		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 4 })
 		r.submit(o, submission("s1", 8))
 		time.Sleep(20 * time.Millisecond)
@@ -104,7 +104,7 @@
 		r.fleet.DoLate()
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
-	"again and again": func(r *rig, o *run.Owner) {
+	"repeated restarts": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 4, 4))
 		for range 6 {
 			r.restart(0)
@@ -114,55 +114,55 @@
 		}
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
-	"a new owner knows nothing of the former life": func(r *rig, o *run.Owner) {
+	"a new owner that never saw the previous incarnation": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
 		time.Sleep(300 * time.Millisecond)
 		o.Close()
 		r.restart(0)
-		next := r.take("b")
+		next := r.newOwner("b")
 		r.eventually(next, "s1", tw.SubmissionSucceeded, 20*time.Second)
 	},
 }
 
-func TestBorn(t *testing.T) { playOwnerCases(t, 2, (*rig).giveBirths, bornCases) }
+func TestWorkerRestart(t *testing.T) { runOwnerCases(t, 2, (*rig).setStartTimes, restartCases) }
 
-// bornSeeds are those of TestBornSoak.
-const bornSeeds = 40
+// restartSeeds is the number of seeds of TestBornSoak.
+const restartSeeds = 40
 
-// bornRegressions are seeds that failed, with the cause.
-var bornRegressions = map[uint64]string{
-	361: "an answer of the new life whose clock was 0.8 s behind was taken for the former life's",
+// restartRegressions are seeds that failed before, with the cause.
+var restartRegressions = map[uint64]string{
+	361: "an answer of the new incarnation, whose clock was 0.8 s behind, was attributed to the previous one",
 }
 
-// TestBornSoak plays the plain soak while workers start again under their ids, whose entries
-// come at once, late, or after those of later lives.
+// TestBornSoak runs the plain soak while workers restart under their IDs. Their entries are
+// published at once, late, or after those of later incarnations.
 func TestBornSoak(t *testing.T) {
-	seeds := slices.Collect(maps.Keys(bornRegressions))
-	for seed := range uint64(bornSeeds) {
+	seeds := slices.Collect(maps.Keys(restartRegressions))
+	for seed := range uint64(restartSeeds) {
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		playSoak(t, seed, func(s *soak) {
-			s.giveBirths()
+		runSoak(t, seed, func(s *soak) {
+			s.setStartTimes()
 			for n := range soakMachines {
-				s.lives[n] = []tw.WorkerEntry{s.list[workerID(n)]}
+				s.workersByMachine[n] = []tw.WorkerEntry{s.list[workerID(n)]}
 			}
-			s.sameIDs, s.acts, s.chance = rand.New(rand.NewPCG(seed, 9)), 90, true
+			s.restartRand, s.actions, s.mayGiveUp = rand.New(rand.NewPCG(seed, 9)), 90, true
 		})
 	}
 }
 
-// actOnBirths has a worker start again, or writes the entry of one of its lives.
-func (s *soak) actOnBirths() {
-	n := s.sameIDs.IntN(soakMachines)
-	if s.sameIDs.IntN(2) == 0 && s.list[workerID(n)].ID != "" {
-		s.lives[n] = append(s.lives[n], s.restart(n))
-		s.runs(s.present(n))
+// actOnRestarts restarts a worker, or publishes the entry of one of its incarnations.
+func (s *soak) actOnRestarts() {
+	n := s.restartRand.IntN(soakMachines)
+	if s.restartRand.IntN(2) == 0 && s.list[workerID(n)].ID != "" {
+		s.workersByMachine[n] = append(s.workersByMachine[n], s.restart(n))
+		s.listAsRunning(s.currentWorker(n))
 	}
-	entry := s.lives[n][len(s.lives[n])-1]
-	switch s.sameIDs.IntN(4) {
+	entry := s.workersByMachine[n][len(s.workersByMachine[n])-1]
+	switch s.restartRand.IntN(4) {
 	case 0:
-		entry = s.lives[n][s.sameIDs.IntN(len(s.lives[n]))]
+		entry = s.workersByMachine[n][s.restartRand.IntN(len(s.workersByMachine[n]))]
 	case 1:
 		return
 	}
--- a/run/caps.go
+++ b/run/caps.go
@@ -13,66 +13,72 @@
 	"github.com/tamarindworks/tamarindworks/schedule"
 )
 
-// An organisation's usage cap holds over all pools, of which each has an owner of its own.
-// The pool's part of each cap stands in the store (ledger.Shares). The owner starts work
-// only within its part, gives back what it has not used for a while, and takes what it
-// wants from what nobody has. A part that is given back is not used from the moment that
-// this is decided, and one that is taken not before the store has said so. So the parts
-// that are in use never sum to more than the cap, whoever is cut off, deposed or late.
+// An organisation's usage cap applies to all pools together, each of which has its own owner.
+// Each cap is divided into shares: the store holds the share of each pool (ledger.Shares). An
+// owner starts work only within its pool's share, returns what it has not used for a while, and
+// takes what it needs from the unassigned rest. A share that is being returned counts as lost as
+// soon as that is decided, and one that is being taken is not used before the store has confirmed
+// it. So the shares in use never add up to more than the cap, even if an owner is partitioned,
+// superseded or slow.
 
 type (
-	// caps keeps the pool's work within the usage caps. All but its goroutine, which only
-	// waits for the store, belongs to the owner's loop.
+	// caps keeps the pool's work within the usage caps. It belongs to the owner's loop, except
+	// for its goroutine, which only writes to the store.
 	caps struct {
 		usage   usage
 		config  func() *tw.QueueConfig
 		updates chan shareUpdate
 		done    chan struct{}
 
-		// held are the pool's parts as recorded. It is nil until they carry the fence of
-		// this ownership: before that, the former owner could still change them.
+		// held are the pool's shares as recorded. It is nil until they are recorded with the
+		// fence of this ownership: before that, the former owner could still change them.
 		held map[tw.OrganisationID]ledger.ShareUnits
-		// inFlight are the parts that a change under way may leave; nil if there is none.
+		// inFlight are the target shares of the update in flight; nil if there is none. A share
+		// may already be reduced to its target there.
 		inFlight map[tw.OrganisationID]ledger.ShareUnits
-		// wanted are the parts that the last placement passes lacked, minUseful the smallest
-		// that lets any of that start.
+		// wanted are the shares that the last placement passes would have needed, minUseful the
+		// smallest shares with which any of the withheld work could start.
 		wanted, minUseful map[tw.OrganisationID]ledger.ShareUnits
-		// peak and lastPeak are the largest parts in use in this window and the last.
+		// peak and lastPeak are the largest shares in use during the current window and the
+		// previous one.
 		peak, lastPeak map[tw.OrganisationID]ledger.ShareUnits
 		windowStart    time.Time
-		// raiseAfter is before when no further part is asked for.
+		// raiseAfter is the time before which no larger share is requested.
 		raiseAfter time.Time
-		// contended: others held what was wished for the last time.
+		// contended reports that other pools held what the last update requested, or that it
+		// failed.
 		contended bool
-		// leftover is what submissions that had ended under a former owner had running.
+		// leftover is the usage of submissions that had ended under a former owner and whose runs
+		// may not have been stopped yet.
 		leftover usage
 	}
 
-	// shareUpdate is one change of the pool's parts.
+	// shareUpdate is one change of the pool's shares.
 	shareUpdate struct {
-		// targets are the parts wished for, and minUseful the smallest that is of any use:
-		// pools that each take less than the work they have waits for would all wait.
+		// targets are the requested shares, minUseful the smallest ones of any use: if several
+		// pools each took less than their waiting work needs, all of them would wait.
 		targets, minUseful map[tw.OrganisationID]ledger.ShareUnits
-		// floors are left to the pools.
+		// floors are the shares reserved for each pool.
 		floors map[tw.PoolID]ledger.ShareUnits
-		// refresh: others held what was wished for the last time.
+		// refresh has the record read again first, as other pools held requested shares the last
+		// time.
 		refresh bool
 	}
 )
 
 const (
-	// floorDivisor of a pool's even share of each cap stays with the pool, so that an owner
-	// which the store turns away can start something for everybody.
+	// floorDivisor: a pool always keeps its even share of each cap divided by this, so that an
+	// owner that cannot reach the store can still start something for every organisation.
 	floorDivisor = 4
-	// spareShare is held beyond what is in use while a pool is busy, so that few starts
-	// wait for the store: a part is taken in a write of 4 ms, in a slow store of 240 ms.
+	// spareShare is held beyond what is in use while a pool is busy, so that few starts wait for
+	// the store: taking a share takes a write, which takes 4 ms, or 240 ms in a slow store.
 	spareShare = ledger.CapUnits / 8
-	// idleShareTime is for how long a part is kept that is not in use. The pools' demand turns
+	// idleShareTime is how long a share is kept that is not in use. The pools' demand shifts
 	// within seconds.
 	idleShareTime = 400 * time.Millisecond
-	// raiseInterval gathers wishes of several organisations into one write.
+	// raiseInterval combines the requests of several organisations in one write.
 	raiseInterval = 15 * time.Millisecond
-	// contendedRetry is the pause before parts are asked for again that others hold.
+	// contendedRetry is the delay before shares are requested again that other pools hold.
 	contendedRetry = 100 * time.Millisecond
 )
 
@@ -95,36 +101,36 @@
 
 func (c *caps) close() { <-c.done }
 
-// inherit takes up a submission that ended under a former owner: what it had running may
-// not have been stopped yet.
+// inherit counts a submission that ended under a former owner: its runs may not have been stopped
+// yet.
 func (c *caps) inherit(r ledger.Record) {
 	if r.Organisation != "" {
 		c.leftover[r.Organisation] = c.leftover[r.Organisation].Plus(r.Stopping)
 	}
 }
 
-// runUpdates brings changes into the store, until the owner ends.
+// runUpdates writes the updates to the store until the owner ends.
 func (c *caps) runUpdates(o *Owner, book *ledger.ShareBook) {
 	for {
 		select {
 		case <-o.ctx.Done():
 			return
-		case job := <-c.updates:
-			if job.refresh {
+		case update := <-c.updates:
+			if update.refresh {
 				if err := book.Refresh(o.ctx); err != nil {
-					o.log.Info("caps: parts of others not read", logsink.Err(err))
+					o.log.Info("caps: shares of other pools not read", logsink.Err(err))
 				}
 			}
-			units, err := book.Set(o.ctx, func(s ledger.Shares) map[tw.OrganisationID]ledger.ShareUnits { return job.nextShares(s, o.pool) })
-			if !o.post(o.ctx, func() { c.updateDone(o, job, units, err) }) {
+			units, err := book.Set(o.ctx, func(s ledger.Shares) map[tw.OrganisationID]ledger.ShareUnits { return update.nextShares(s, o.pool) })
+			if !o.post(o.ctx, func() { c.updateDone(o, update, units, err) }) {
 				return
 			}
 		}
 	}
 }
 
-// nextShares is what the pool's parts are to be by the present record. Of a former owner's
-// parts none is given back that is not in the job, as the work that it started may run on.
+// nextShares computes the pool's shares from the present record. A former owner's share is only
+// reduced by an explicit target, as work that it started may still run.
 func (j shareUpdate) nextShares(s ledger.Shares, pool tw.PoolID) map[tw.OrganisationID]ledger.ShareUnits {
 	out := maps.Clone(s.Pools[pool].Units)
 	if out == nil {
@@ -140,33 +146,33 @@
 	return out
 }
 
-// updateDone takes up the outcome of a change.
-func (c *caps) updateDone(o *Owner, job shareUpdate, units map[tw.OrganisationID]ledger.ShareUnits, err error) {
+// updateDone handles the result of an update.
+func (c *caps) updateDone(o *Owner, update shareUpdate, units map[tw.OrganisationID]ledger.ShareUnits, err error) {
 	c.inFlight = nil
 	if err != nil {
-		o.log.Error("caps: parts not recorded", logsink.Err(err))
-		c.raiseAfter, c.contended = o.now.Add(time.Second), true // the record is read anew first
+		o.log.Error("caps: shares not recorded", logsink.Err(err))
+		c.raiseAfter, c.contended = o.now.Add(time.Second), true // the record is read again first
 		if errors.Is(err, ledger.ErrOwnershipLost) {
 			c.held = nil
 		}
 		return
 	}
-	short := 0
-	for organisation, target := range job.targets {
+	missing := 0
+	for organisation, target := range update.targets {
 		if units[organisation] < target {
-			short++
+			missing++
 		}
 	}
-	c.contended = short > 0
+	c.contended = missing > 0
 	if c.contended {
 		c.raiseAfter = o.now.Add(contendedRetry)
 	}
-	o.log.Info("caps: parts recorded", zap.Int("organisations", len(job.targets)), zap.Int("short", short))
+	o.log.Info("caps: parts recorded", zap.Int("organisations", len(update.targets)), zap.Int("short", missing))
 	c.held = units
 	o.placeRequested = true
 }
 
-// organisations are those with a cap.
+// organisations returns those with a cap.
 func (c *caps) organisations() []*tw.Organisation {
 	config := c.config()
 	if config == nil {
@@ -181,7 +187,7 @@
 	return out
 }
 
-// floors are the parts that each pool keeps of every cap.
+// floors returns the share of every cap that is reserved for each pool.
 func (c *caps) floors() map[tw.PoolID]ledger.ShareUnits {
 	out := map[tw.PoolID]ledger.ShareUnits{}
 	for _, pool := range c.config().Pools {
@@ -195,7 +201,7 @@
 	return out
 }
 
-// maxShare is the largest part that a pool can have.
+// maxShare is the largest share that a pool can have.
 func maxShare(floors map[tw.PoolID]ledger.ShareUnits, pool tw.PoolID) ledger.ShareUnits {
 	left := ledger.CapUnits
 	for other, floor := range floors {
@@ -206,8 +212,8 @@
 	return left
 }
 
-// budgets are what the organisations with a cap may still have started here; nil if there
-// is none.
+// budgets returns what the organisations with a cap may still start in this pool; nil if no
+// organisation has one.
 func (c *caps) budgets(o *Owner) schedule.Budgets {
 	organisations := c.organisations()
 	if len(organisations) == 0 {
@@ -225,16 +231,17 @@
 	return out
 }
 
-// usable is the pool's part that no change under way may take from it.
+// usable is the share that the update in flight cannot take from the pool.
 func (c *caps) usable(id tw.OrganisationID) ledger.ShareUnits {
 	units := c.held[id]
-	if giving, changes := c.inFlight[id]; changes {
-		units = min(units, giving)
+	if target, changes := c.inFlight[id]; changes {
+		units = min(units, target)
 	}
 	return units
 }
 
-// notePass notes what a placement pass has used of the budgets, and what it lacked.
+// notePass records what a placement pass used of the budgets, and what it withheld for lack of
+// them.
 func (c *caps) notePass(o *Owner, budgets schedule.Budgets) {
 	if budgets == nil {
 		return
@@ -258,7 +265,7 @@
 	}
 }
 
-// adjust changes the pool's parts if that is due, and returns when it is next.
+// adjust sends an update of the pool's shares if one is due, and returns when to check again.
 func (c *caps) adjust(o *Owner) time.Time {
 	if c.inFlight != nil || !o.permit.valid(o.now) {
 		return time.Time{}
@@ -271,30 +278,30 @@
 	if len(organisations) == 0 || o.now.Before(due) {
 		return due
 	}
-	turned := c.rotateWindow(o.now)
+	rotated := c.rotateWindow(o.now)
 	floors := c.floors()
-	job := shareUpdate{
+	update := shareUpdate{
 		targets: map[tw.OrganisationID]ledger.ShareUnits{}, minUseful: maps.Clone(c.minUseful), floors: floors, refresh: c.contended,
 	}
 	unknown := o.unknownUsage()
 	for _, org := range organisations {
 		inUse := max(c.peak[org.ID], c.lastPeak[org.ID], unitsOf(c.usage[org.ID].Plus(unknown[org.ID]), org.UsageCap))
-		if target, due := c.target(org.ID, inUse, floors[o.pool], turned); due {
-			job.targets[org.ID] = min(target, max(maxShare(floors, o.pool), inUse))
+		if target, due := c.target(org.ID, inUse, floors[o.pool], rotated); due {
+			update.targets[org.ID] = min(target, max(maxShare(floors, o.pool), inUse))
 		}
 	}
 	clear(c.wanted)
-	if len(job.targets) > 0 || c.held == nil {
-		c.inFlight = job.targets
+	if len(update.targets) > 0 || c.held == nil {
+		c.inFlight = update.targets
 		c.raiseAfter = o.now.Add(raiseInterval)
-		c.updates <- job
+		c.updates <- update
 	}
 	return c.windowStart.Add(idleShareTime)
 }
 
-// target is the part that the pool is to have of a cap, of which inUse is in use; due tells
-// whether that is worth a write.
-func (c *caps) target(id tw.OrganisationID, inUse, floor ledger.ShareUnits, turned bool) (target ledger.ShareUnits, due bool) {
+// target computes the share of a cap that the pool should have when inUse of it is in use. due
+// reports whether the change is worth a write.
+func (c *caps) target(id tw.OrganisationID, inUse, floor ledger.ShareUnits, rotated bool) (target ledger.ShareUnits, due bool) {
 	held, wanted := c.held[id], c.wanted[id]
 	keep, slack := floor, ledger.ShareUnits(0)
 	if inUse > 0 {
@@ -303,15 +310,15 @@
 	switch {
 	case wanted > held:
 		return max(keep, wanted+spareShare), true
-	case c.held == nil, turned && held < floor:
+	case c.held == nil, rotated && held < floor:
 		return max(held, keep), true
-	case turned && held > keep+slack:
+	case rotated && held > keep+slack:
 		return keep, true
 	}
 	return 0, false
 }
 
-// rotateWindow begins a new window of peaks if the last is over.
+// rotateWindow begins a new window of peaks if the current one is over.
 func (c *caps) rotateWindow(now time.Time) bool {
 	if now.Sub(c.windowStart) < idleShareTime {
 		return false
--- a/run/caps_test.go
+++ b/run/caps_test.go
@@ -20,29 +20,30 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// capPools are the pools over which the caps of these tests hold.
+// capPools are the pools to which the caps of these tests apply.
 var capPools = []tw.PoolID{"checks", "boards", "audits"}
 
 const (
-	// capWorkers are those of each pool, of four cores each.
+	// capWorkers is the number of workers of each pool, with four cores each.
 	capWorkers = 4
-	// redCap is the cap of red in subtasks of one core; each pool has room for 16.
+	// redCap is the cap of organisation red in subtasks of one core; each pool has capacity for
+	// 16.
 	redCap = 8
 )
 
-// capRig is several pools with an owner each, over one store.
+// capRig has several pools over one store, with an owner each.
 type capRig struct {
 	*rig
-	owners map[tw.PoolID]*run.Owner
-	config atomic.Pointer[tw.QueueConfig]
-	cap    int // of red, in subtasks
-	next   int
-	taken  map[tw.SubmissionID]tw.PoolID
-	most   tw.Millicores // that red had running
+	owners   map[tw.PoolID]*run.Owner
+	config   atomic.Pointer[tw.QueueConfig]
+	cap      int // of organisation red, in subtasks
+	next     int
+	accepted map[tw.SubmissionID]tw.PoolID
+	maxUsage tw.Millicores // the largest usage of organisation red
 }
 
 func newCapRig(t *testing.T) *capRig {
-	r := &capRig{rig: newRig(t, 0), owners: map[tw.PoolID]*run.Owner{}, taken: map[tw.SubmissionID]tw.PoolID{}}
+	r := &capRig{rig: newRig(t, 0), owners: map[tw.PoolID]*run.Owner{}, accepted: map[tw.SubmissionID]tw.PoolID{}}
 	for p, name := range capPools {
 		for n := range capWorkers {
 			r.addTo(name, 100*p+n)
@@ -67,7 +68,7 @@
 	})
 }
 
-// setCap puts a configuration in force by which red has so many subtasks.
+// setCap applies a configuration in which organisation red has a cap of so many subtasks.
 func (r *capRig) setCap(subtasks int) {
 	r.cap = subtasks
 	config := &tw.QueueConfig{Version: 1, Organisations: []tw.Organisation{
@@ -80,17 +81,17 @@
 	r.fleet.SetCap("red", config.Organisations[0].UsageCap)
 }
 
-// takePool makes another daemon the owner of a pool, whoever owned it before.
+// takePool makes another daemon the owner of a pool. A former owner is not stopped.
 func (r *capRig) takePool(name tw.PoolID) *run.Owner {
-	r.books++
-	self := ledger.Owner{Pool: name, Daemon: tw.DaemonID(fmt.Sprintf("d%d", r.books)), Incarnation: tw.Incarnation(r.books)}
+	r.ownersOpened++
+	self := ledger.Owner{Pool: name, Daemon: tw.DaemonID(fmt.Sprintf("d%d", r.ownersOpened)), Incarnation: tw.Incarnation(r.ownersOpened)}
 	book, err := ledger.Config{KV: r.kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: self}.Open(r.ctx)
 	r.Expect(err).NotTo(HaveOccurred())
 	loaded, err := book.Load(r.ctx)
 	r.Expect(err).NotTo(HaveOccurred())
 	self.Fence = book.Fence()
 	o := run.Config{
-		Book: book, Loaded: loaded, Self: self, KV: r.kv, Orders: r.fleet, Advisor: noAdvisor{}, MachineCache: r.census,
+		Book: book, Loaded: loaded, Self: self, KV: r.kv, Orders: r.fleet, Advisor: noAdvisor{}, MachineCache: r.machineCache,
 		Clock: tw.SystemClock{}, Log: testLog(), Metrics: metrics.NewSet(), QueueConfig: r.config.Load,
 		Bounds: run.Bounds{MaxHold: maxHold, StopTime: stopTime, KeepEnded: 2 * time.Minute},
 	}.New()
@@ -106,30 +107,30 @@
 	return o
 }
 
-// send hands in work of an organisation; it may fail while the store does.
+// send submits work of an organisation. It may fail while the store does.
 func (r *capRig) send(name tw.PoolID, organisation tw.OrganisationID, subtasks int, takes time.Duration) tw.SubmissionID {
 	r.next++
 	s := submission(fmt.Sprintf("%016x", r.next), subtasks)
 	s.Organisation, s.Policy.Pool, s.Steps[0].Estimate = organisation, name, takes
 	r.fleet.Expect(&s, nil)
-	ctx, cancel := context.WithTimeout(r.ctx, patience)
+	ctx, cancel := context.WithTimeout(r.ctx, callerTimeout)
 	defer cancel()
 	if r.owners[name].Submit(ctx, s) == nil {
-		r.taken[s.ID] = name
+		r.accepted[s.ID] = name
 	}
 	return s.ID
 }
 
-// watch lets time pass and notes how much of red runs.
+// watch waits, and records the largest usage of organisation red.
 func (r *capRig) watch(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		r.most = max(r.most, r.fleet.Usage("red").CPU)
+		r.maxUsage = max(r.maxUsage, r.fleet.Usage("red").CPU)
 	}
 }
 
-// unfinished lists the submissions that were kept and have not ended.
+// unfinished lists the submissions that were accepted and have not ended.
 func (r *capRig) unfinished() (out []tw.SubmissionID) {
-	for id, name := range r.taken {
+	for id, name := range r.accepted {
 		for _, organisation := range []tw.OrganisationID{"red", "blue"} {
 			if state, err := r.owners[name].State(r.ctx, organisation, id); err == nil && !state.Final() {
 				out = append(out, id)
@@ -139,17 +140,17 @@
 	return out
 }
 
-// capCases are what is done to pools whose organisation has a cap.
+// capCases are scenarios for pools of which an organisation has a cap.
 var capCases = map[string]func(r *capRig){
 	"all pools ask for more than the cap": func(r *capRig) {
 		for _, name := range capPools {
 			r.send(name, "red", 20, 400*time.Millisecond)
 		}
-		r.watch(7 * time.Second) // of 3.0 s of work at the cap
+		r.watch(7 * time.Second) // the work takes 3.0 s at the cap
 		r.Expect(r.unfinished()).To(BeEmpty())
-		r.Expect(r.most).To(BeNumerically(">=", 1000*(redCap-2))) // the floors of two pools hold one subtask
+		r.Expect(r.maxUsage).To(BeNumerically(">=", 1000*(redCap-2))) // the floors of two pools hold one subtask
 	},
-	"the part follows the demand within a second": func(r *capRig) {
+	"the share follows the demand within a second": func(r *capRig) {
 		for range 2 {
 			for _, name := range capPools {
 				r.send(name, "red", 24, time.Second)
@@ -159,12 +160,12 @@
 			}
 		}
 	},
-	"who has no cap is not held back": func(r *capRig) {
+	"an organisation without a cap is not limited": func(r *capRig) {
 		r.send("checks", "blue", 16, time.Second)
 		r.watch(300 * time.Millisecond)
 		r.Expect(r.fleet.Usage("blue").CPU).To(Equal(tw.Millicores(16000)))
 	},
-	"work that is larger than a pool's part runs alone": func(r *capRig) {
+	"work that is larger than a pool's share runs alone": func(r *capRig) {
 		r.setCap(1)
 		for _, name := range capPools {
 			r.send(name, "red", 3, 300*time.Millisecond)
@@ -172,7 +173,7 @@
 		r.watch(8 * time.Second)
 		r.Expect(r.unfinished()).To(BeEmpty())
 	},
-	"a cap that falls stops nothing that runs": func(r *capRig) {
+	"lowering a cap stops no runs": func(r *capRig) {
 		r.send("checks", "red", 6, 3*time.Second)
 		r.watch(time.Second)
 		before, starts := r.fleet.Usage("red"), r.fleet.Starts()
@@ -184,10 +185,10 @@
 		r.watch(7 * time.Second)
 		r.Expect(r.unfinished()).To(BeEmpty())
 	},
-	"a pool that changes owner keeps its part": func(r *capRig) {
+	"a pool that changes owner keeps its share": func(r *capRig) {
 		r.send("checks", "red", 30, 2*time.Second)
 		r.watch(time.Second)
-		r.takePool("checks") // the former owner goes on
+		r.takePool("checks") // the former owner continues to run
 		r.send("boards", "red", 30, 2*time.Second)
 		r.watch(5 * time.Second)
 	},
@@ -213,18 +214,18 @@
 		r.kv.SetFaults(standin.KVFaults{})
 		r.watch(5 * time.Second)
 	},
-	"a slow store takes a part back while its pool gets work again": func(r *capRig) {
+	"a share is returned through a slow store while its pool gets work again": func(r *capRig) {
 		r.send("checks", "red", 6, 200*time.Millisecond)
 		r.watch(400 * time.Millisecond)
 		r.kv.SetFaults(standin.KVFaults{Slow: 250 * time.Millisecond})
-		for range 40 { // at some of these moments the part of one is on its way to the other
+		for range 40 { // at some of these times a share is moving from one pool to the other
 			r.send("boards", "red", 2, 150*time.Millisecond)
 			r.watch(30 * time.Millisecond)
 			r.send("checks", "red", 2, 150*time.Millisecond)
 			r.watch(170 * time.Millisecond)
 		}
 	},
-	"a record of another writer is left alone until it is readable again": func(r *capRig) {
+	"an unreadable record is left alone until it is readable again": func(r *capRig) {
 		item, err := r.kv.Get(r.ctx, ledger.SharesKey)
 		r.Expect(err).NotTo(HaveOccurred())
 		r.kv.Put(ledger.SharesKey, []byte("not a record"))
@@ -234,7 +235,7 @@
 		r.watch(5 * time.Second)
 		r.Expect(r.unfinished()).To(BeEmpty())
 	},
-	"the store is down while demand turns": func(r *capRig) {
+	"the store is down while the demand shifts": func(r *capRig) {
 		r.send("checks", "red", 8, time.Second)
 		r.watch(500 * time.Millisecond)
 		r.send("boards", "red", 10, 500*time.Millisecond)
@@ -260,16 +261,16 @@
 	}
 }
 
-// capSeeds are played in CI.
+// capSeeds is the number of seeds that CI runs.
 const capSeeds = 40
 
-// capRegressions are seeds that once failed.
+// capRegressions are seeds that have failed before.
 var capRegressions = []uint64{921, 953}
 
-// TestCapSoak plays random faults against several pools whose organisation asks for more
-// than its cap: owners that are replaced while they go on, workers that fall silent or carry
-// out starts late, a store that refuses, loses answers or writes late, caps that
-// rise. The cap must hold at each start, and once all is well all work must end.
+// TestCapSoak injects random faults into several pools of which an organisation requests more
+// than its cap: owners that are replaced while they still run, workers that do not answer or
+// execute starts late, a store that rejects writes, loses answers or writes late, and caps that
+// rise. The cap must hold at each start, and all work must end once the faults are over.
 func TestCapSoak(t *testing.T) {
 	seeds := slices.Clone(capRegressions)
 	for seed := range uint64(capSeeds) {
@@ -277,12 +278,12 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playCapSoak(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runCapSoak(t, seed) })
 		})
 	}
 }
 
-func playCapSoak(t *testing.T, seed uint64) {
+func runCapSoak(t *testing.T, seed uint64) {
 	r := newCapRig(t)
 	defer r.end()
 	random := rand.New(rand.NewPCG(seed, 2))
@@ -308,7 +309,7 @@
 	r.Expect(r.fleet.Broken()).To(BeEmpty())
 }
 
-// actOnCaps does one random thing.
+// actOnCaps does one random action.
 func (r *capRig) actOnCaps(random *rand.Rand) {
 	name := capPools[random.IntN(len(capPools))]
 	id := workerID(100*random.IntN(len(capPools)) + random.IntN(capWorkers))
@@ -336,19 +337,19 @@
 		r.kv.DoLate()
 		r.kv.SetFaults(standin.KVFaults{})
 	case 13:
-		if r.cap < redCap+4 { // what was ordered before a cap fell may be carried out long after
+		if r.cap < redCap+4 { // caps only rise: a start ordered before a cap was lowered may be executed long after
 			r.setCap(r.cap + 1)
 		}
 	}
 }
 
-// cancelAny cancels a submission; what is being stopped counts until it has ended.
+// cancelAny cancels a random submission. Runs that are being stopped count until they have ended.
 func (r *capRig) cancelAny(random *rand.Rand) {
 	id := tw.SubmissionID(fmt.Sprintf("%016x", 1+random.IntN(1+r.next)))
-	if _, taken := r.taken[id]; !taken {
+	if _, taken := r.accepted[id]; !taken {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.ctx, patience)
+	ctx, cancel := context.WithTimeout(r.ctx, callerTimeout)
 	defer cancel()
-	_ = r.owners[r.taken[id]].Cancel(ctx, "red", id) // it may fail while the store does
+	_ = r.owners[r.accepted[id]].Cancel(ctx, "red", id) // it may fail while the store does
 }
--- a/run/census.go
+++ b/run/census.go
@@ -12,15 +12,15 @@
 )
 
 type (
-	// MachineCacheConfig configures a Census.
+	// MachineCacheConfig configures a MachineCache.
 	MachineCacheConfig struct {
 		Machines tw.Machines
 		Clock    tw.Clock
 		Log      *zap.Logger
 	}
 
-	// MachineCache keeps the platform's list of machines for all parts of a daemon,
-	// and reads it when one of them wants it newer.
+	// MachineCache caches the platform's list of machines for all parts of a daemon, and
+	// reads it again on request.
 	MachineCache struct {
 		machines        tw.Machines
 		clock           tw.Clock
@@ -33,51 +33,50 @@
 		latest *MachineList
 	}
 
-	// MachineList is the list of machines as of a moment.
+	// MachineList is a copy of the list of machines.
 	MachineList struct {
 		Machines map[tw.InstanceID]tw.Machine
-		// RequestedAt is when the list was asked for: it shows what was so then, or
-		// later.
+		// RequestedAt is when the list was requested. It shows the state at that time or later.
 		RequestedAt time.Time
 	}
 )
 
-// minRefreshInterval is the least time between two reads of the list: the platform
-// takes some tens a second of all daemons together, and prices each.
+// minRefreshInterval is the minimum time between two reads of the list. The platform accepts some
+// tens of reads a second from all daemons together, and prices each.
 const minRefreshInterval = 200 * time.Millisecond
 
-// New starts the duty that reads the list.
+// New starts the goroutine that reads the list.
 func (c MachineCacheConfig) New() *MachineCache {
 	ctx, cancel := context.WithCancel(context.Background())
-	census := &MachineCache{
+	cache := &MachineCache{
 		machines: c.Machines, clock: c.Clock, log: c.Log, cancel: cancel,
 		refreshRequests: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	go func() {
-		defer close(census.done)
-		census.refreshLoop(ctx)
+		defer close(cache.done)
+		cache.refreshLoop(ctx)
 	}()
-	return census
+	return cache
 }
 
-// Close ends the duty.
+// Close stops the goroutine.
 func (c *MachineCache) Close() {
 	c.cancel()
 	<-c.done
 }
 
-// RequestRefresh asks for a list that is newer than the gap between two reads.
+// RequestRefresh requests a new list, unless the last one is newer than minRefreshInterval.
 func (c *MachineCache) RequestRefresh(now time.Time) {
 	if latest := c.Latest(); latest != nil && now.Sub(latest.RequestedAt) < minRefreshInterval {
 		return
 	}
 	select {
 	case c.refreshRequests <- struct{}{}:
-	default: // one is wanted already
+	default: // a request is pending
 	}
 }
 
-// Latest is the last list, or nil.
+// Latest returns the last list, or nil.
 func (c *MachineCache) Latest() *MachineList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,17 +91,17 @@
 			return
 		case <-c.refreshRequests:
 		}
-		asked := c.clock.Now()
+		requestedAt := c.clock.Now()
 		list, err := c.machines.List(ctx)
 		switch {
 		case err != nil && !failing:
-			c.log.Warn("census: list of machines not readable", logsink.Err(err))
+			c.log.Warn("machines: list not readable", logsink.Err(err))
 		case err == nil && failing:
-			c.log.Info("census: list of machines readable again")
+			c.log.Info("machines: list readable again")
 		}
 		failing = err != nil
 		if err == nil {
-			c.set(asked, list)
+			c.set(requestedAt, list)
 		}
 		select {
 		case <-ctx.Done():
@@ -112,8 +111,8 @@
 	}
 }
 
-func (c *MachineCache) set(asked time.Time, list []tw.Machine) {
-	latest := &MachineList{Machines: make(map[tw.InstanceID]tw.Machine, len(list)), RequestedAt: asked}
+func (c *MachineCache) set(requestedAt time.Time, list []tw.Machine) {
+	latest := &MachineList{Machines: make(map[tw.InstanceID]tw.Machine, len(list)), RequestedAt: requestedAt}
 	for _, m := range list {
 		latest.Machines[m.ID] = m
 	}
--- a/run/config.go
+++ b/run/config.go
@@ -11,21 +11,21 @@
 )
 
 type (
-	// Bounds are the platform's figures that the owner's decisions rest on.
+	// Bounds are limits set by the platform that the owner relies on.
 	Bounds struct {
-		// MaxHold is the longest time for which a worker lets work run on
-		// without a new order.
+		// MaxHold is the longest time for which a worker continues its runs without a new
+		// order.
 		MaxHold time.Duration
-		// StopTime is how long a stop may take at a worker.
+		// StopTime is the longest time that a worker takes to stop a run.
 		StopTime time.Duration
-		// KeepEnded is how long the state of an ended submission is told.
+		// KeepEnded is how long the state of an ended submission stays available.
 		KeepEnded time.Duration
 	}
 
 	// Config configures an Owner.
 	Config struct {
 		Book *ledger.Book
-		// Loaded is what the book held when it was opened.
+		// Loaded are the submissions that were loaded when Book was opened.
 		Loaded       []ledger.LoadedSubmission
 		Self         ledger.Owner
 		KV           tw.KV
@@ -36,76 +36,77 @@
 		Log          *zap.Logger
 		Metrics      *metrics.Set
 		Bounds       Bounds
-		// Link is what the daemon's link carries in one direction; zero if that is not
-		// known.
+		// Link is the bandwidth of the daemon's link in one direction; zero if unknown.
 		Link tw.BytesPerSecond
-		// Cores is the share of processor cores that the daemon has; zero if that is not
-		// known.
+		// Cores is the share of processor cores that the daemon has; zero if unknown.
 		Cores tw.Cores
-		// QueueConfig is the configuration in force, whose usage caps count; nil for a
-		// pool without caps.
+		// QueueConfig returns the active configuration, which sets the usage caps; nil for
+		// a pool without caps.
 		QueueConfig func() *tw.QueueConfig
-		// Evacuations are the evacuated halls; nothing is started while they are not known.
-		// If it is nil there are none.
+		// Evacuations returns the evacuated halls. The owner starts nothing while they are
+		// unknown. A nil function means that there are none.
 		Evacuations func() *tw.Evacuations
-		// RefreshWorkers has the list of workers read anew, as one of them is known
-		// from elsewhere. It must return at once; nil if there is no way.
+		// RefreshWorkers requests a new read of the list of workers, because a worker is
+		// known from another source. It must not block; may be nil.
 		RefreshWorkers func()
-		// OnOwnershipLost is told when another daemon has taken the pool.
+		// OnOwnershipLost is called when another daemon has taken the pool; may be nil.
 		OnOwnershipLost func()
 	}
 )
 
-// Figures of the owner's duties. Those that follow from the platform's bounds
-// are worked out in the code.
+// Parameters of the owner. Values that derive from Bounds are computed where they are used.
 const (
-	// unrecordedPollDelay is the time between looks at a worker whose ends the store has
-	// not taken yet: with 1.5 s, room for work of 0.6 s stood empty while the store
-	// took 0.24 s for each write.
+	// unrecordedPollDelay is the time between polls of a worker with ends that are not
+	// recorded yet. With 1.5 s, capacity for runs of 0.6 s stayed idle while the store took
+	// 0.24 s for each write.
 	unrecordedPollDelay = 400 * time.Millisecond
-	// confirmInterval: an ownership that nothing else confirmed is confirmed by
-	// an empty write.
+	// confirmInterval is the time after which the ownership is confirmed by an empty write,
+	// if no other write has confirmed it.
 	confirmInterval = 1500 * time.Millisecond
-	// permitTTL is how long an owner gives orders after its ownership was
-	// last confirmed. It covers the outages of the store of about 5 s.
+	// permitTTL is how long an owner may give orders after its ownership was last confirmed.
+	// It covers store outages of about 5 s.
 	permitTTL = 6 * time.Second
-	// flushInterval gathers changes into one write; the store answers in 4 ms.
+	// flushInterval is the time for which changes are batched into one write; the store
+	// answers in 4 ms.
 	flushInterval = 15 * time.Millisecond
 	// flushRetryDelay is the pause after a write that the store refused.
 	flushRetryDelay = 150 * time.Millisecond
-	// writeStallTimeout: a write that is not answered by then makes the owner
-	// refuse submissions. It is twice the slow store's 240 ms.
+	// writeStallTimeout is the time without an answer to a write after which the owner
+	// refuses submissions. It is twice the 240 ms that a slow store takes.
 	writeStallTimeout = 500 * time.Millisecond
-	// endBatchDelay lets ends gather at a worker before the next look. Looks are
-	// priced; objectives are above 1 s.
+	// endBatchDelay is the pause before the next poll of a worker, so that one report carries
+	// several ends. Polls are priced, and objectives are above 1 s.
 	endBatchDelay = 200 * time.Millisecond
-	// lastEndBatchDelay is the same where at most lastOfStep subtasks of a step are
-	// left, as its end is what others wait for.
+	// lastEndBatchDelay is the same if at most fewSubtasksLeft subtasks of a step are left,
+	// as other steps wait for its end.
 	lastEndBatchDelay = 30 * time.Millisecond
 	fewSubtasksLeft   = 3
-	// longPollWait is how long a worker may wait for an end to report.
+	// longPollWait is how long a worker may wait for an end before it answers a poll.
 	longPollWait = 1500 * time.Millisecond
-	// startAnswerWait is how long a look waits for the answers to starts, which
-	// take some milliseconds.
+	// startAnswerWait is how long a poll is delayed until starts are answered, which takes
+	// some milliseconds.
 	startAnswerWait = 400 * time.Millisecond
-	// shortPollWait is the same where tails must be watched or a run is overdue.
+	// shortPollWait replaces longPollWait where tail latencies must be watched or a run is
+	// overdue.
 	shortPollWait = 600 * time.Millisecond
-	// pollRetryDelay is the pause after a look that got no answer.
+	// pollRetryDelay is the pause after a poll that got no answer.
 	pollRetryDelay = 300 * time.Millisecond
-	// confirmEndsDelay: an idle worker is told of recorded ends within this.
+	// confirmEndsDelay is the time within which recorded ends are acknowledged to an idle
+	// worker.
 	confirmEndsDelay = 700 * time.Millisecond
-	// clockDrift is how much slower a worker's clock may run.
+	// clockDrift is the factor by which a worker's clock may run slow.
 	clockDrift = 1.02
-	// grantMargin covers rounding and the way of an order to a worker.
+	// grantMargin covers rounding and the transmission time of an order.
 	grantMargin = 200 * time.Millisecond
-	// eventQueueSize bounds what waits for the loop; senders wait when it is full.
+	// eventQueueSize bounds the events queued for the loop; senders block when it is full.
 	eventQueueSize = 1024
-	// sessionQueueSize bounds the orders that wait for a worker.
+	// sessionQueueSize bounds the orders queued for a worker.
 	sessionQueueSize = 256
-	// drainTimeout bounds the writes before a planned end of the ownership: two of
-	// the slow store's, which take 240 ms each.
+	// drainTimeout bounds the writes before a planned end of the ownership. It covers two
+	// writes of a slow store, which take 240 ms each.
 	drainTimeout = 800 * time.Millisecond
-	// missingTimeout is how long an entry may be missing from the list of workers
-	// after the store was disturbed; the users' letter gives about 2 s.
+	// missingTimeout is how long an entry may be missing from the list of workers before its
+	// worker is dropped. After a disturbance of the store, entries may be missing for about
+	// 2 s.
 	missingTimeout = 2500 * time.Millisecond
 )
--- a/run/crash.go
+++ b/run/crash.go
@@ -10,44 +10,45 @@
 	"github.com/tamarindworks/tamarindworks/ledger"
 )
 
-// A subtask may bring down each worker that starts it. What tells it from one whose
-// workers end for reasons of their own is how soon that comes after its start, and that
-// it comes again: so a run that its worker has not outlasted makes its subtask a suspect,
-// suspects are tried apart from each other and from what was started just before, and
-// one that goes down with several workers in a row is given up.
+// A subtask may crash every worker that starts it. It differs from one whose workers end for
+// other reasons in that the worker ends soon after the start, each time. So a subtask becomes a
+// suspect when a worker ends before it has survived a run of it. Suspects are started in trials,
+// apart from each other and from other recent starts, and a suspect under which several workers
+// in a row have ended is given up.
 
 const (
-	// survivalTime is for how long a worker must live on, by its own clock, after a run has
-	// begun, so that the run is not taken for the cause of its end. Subtasks that crash
-	// their workers did so within 10 ms; a start waits for its answer up to 0.2 s.
+	// survivalTime is how long a worker must keep running, by its own clock, after a run has
+	// begun, so that the run is not taken for the cause of its end. Subtasks that crash their
+	// workers did so within 10 ms; the answer to a start takes up to 0.2 s.
 	survivalTime = 150 * time.Millisecond
-	// trialTime is how long a trial takes by the owner's clock: the start is answered within
-	// some milliseconds, and the worker's clock may run slow.
+	// trialTime is the duration of a trial by the owner's clock: the start is answered within
+	// some milliseconds, and the worker's clock may be slow.
 	trialTime = survivalTime + survivalTime/10
-	// minRestartTime is less than a machine takes to run a worker again that a subtask has
-	// brought down: that takes some seconds.
+	// minRestartTime is less than the time in which a machine starts a new worker after a crash,
+	// which is some seconds.
 	minRestartTime = time.Second
-	// recentAnswer is within which time after its last answer a worker counts as alive.
+	// recentAnswer is how recent its last answer must be for a worker to count as alive.
 	recentAnswer = 100 * time.Millisecond
-	// maxCrashes is after how many workers in a row a subtask is given up. It may be
-	// after two, and must not be started for the third time after the third. With two,
-	// work that is only unlucky is given up far more often where many workers crash.
+	// maxCrashes is the number of workers in a row that may end under a subtask before it is
+	// given up. The platform allows giving up after two, and forbids a third start after the
+	// third crash. With two, innocent work is given up far more often where many workers crash.
 	maxCrashes = 3
-	// crashDetectTime is how soon after a start an owner that isn't slow knows that the worker
-	// has ended under it, unless the worker was silent: 560 of 563 crashes on days of deadly
-	// subtasks were known by then, the others 0.52 s after the start.
+	// crashDetectTime is how soon after a start an owner that is not slow learns that the worker
+	// has ended under it, unless the worker was unresponsive: 560 of 563 crashes were known by
+	// then, the others 0.52 s after the start.
 	crashDetectTime = 500 * time.Millisecond
-	// maxUncertainCrashes is the count at which a subtask is given up though it may have had no part
-	// in some of them: one start more would be the third after the third crash. They were
-	// counted before a start by an owner that was replaced before it recorded what came of it,
-	// were learned so late that the worker may have outlasted the subtask, or work of other
-	// submissions may have caused the last one. With three in any case, innocent work was given
-	// up on 8 of 1,000 seeds of TestAllSoak, in which owners are short.
+	// maxUncertainCrashes replaces maxCrashes if some of the crashes may have had other causes.
+	// One more start would be the third after the third crash. Crashes are uncertain if a former
+	// owner counted them before a start and was replaced before it recorded the outcome, if they
+	// were detected so late that the worker may have survived the subtask, or if work of other
+	// submissions may have caused the last one. With three in all cases, innocent work was given
+	// up on 8 of 1,000 seeds of TestAllSoak, whose owners are short of processor time or link
+	// bandwidth.
 	maxUncertainCrashes = maxCrashes + 2
 )
 
-// survived tells whether the run's worker has lived on for so long that the run is not
-// what ends it. Members of a gang only begin to work when all are there.
+// survived reports whether the worker has kept running for so long that the run cannot be the
+// cause of its end. Members of a gang only begin to work when all of them have started.
 func (w *worker) survived(r *runState) bool {
 	if r.firstSeen == 0 || r.task.step.spec.Gang && r.percent == 0 {
 		return false
@@ -55,16 +56,16 @@
 	return w.clock >= r.firstSeen.Add(survivalTime)
 }
 
-// noteSeen notes that a run is on its worker, by the worker's clock.
+// noteSeen records, by the worker's clock, when the run was first reported.
 func (r *runState) noteSeen(clock tw.WorkerTime) {
 	if r.firstSeen == 0 {
 		r.firstSeen = clock
 	}
 }
 
-// attributeCrash counts the end of a worker against the subtasks that may have caused it. followed: another
-// life of its machine answers by now.
-func (o *Owner) attributeCrash(w *worker, followed bool) {
+// attributeCrash counts the end of a worker against the subtasks that may have caused it.
+// replaced reports that a newer worker of the same machine already answers.
+func (o *Owner) attributeCrash(w *worker, replaced bool) {
 	if w.entry.Draining {
 		return
 	}
@@ -73,34 +74,34 @@
 		switch {
 		case w.survived(r):
 			o.clearSuspect(r.task)
-		case followed && o.now.Sub(r.startedAt) < minRestartTime:
-			o.log.Info("run: has not ended its worker, which is back too soon", zap.Stringer("subtask", r.task.id),
+		case replaced && o.now.Sub(r.startedAt) < minRestartTime:
+			o.log.Info("run: not counted as a crash, the machine runs a new worker too soon", zap.Stringer("subtask", r.task.id),
 				zap.String("worker", string(w.entry.ID)), zap.Duration("since_start", o.now.Sub(r.startedAt)))
 		case r.reachedWorker():
 			candidates = append(candidates, r)
 		}
 	}
-	company := severalSubmissions(candidates)
+	several := severalSubmissions(candidates)
 	for _, r := range candidates {
-		o.countCrash(w, r, company)
+		o.countCrash(w, r, several)
 	}
 }
 
-// severalSubmissions tells whether runs are of more than one submission.
+// severalSubmissions reports whether the runs belong to more than one submission.
 func severalSubmissions(runs []*runState) bool {
 	return slices.ContainsFunc(runs, func(r *runState) bool { return r.task.id.Submission != runs[0].task.id.Submission })
 }
 
-// reachedWorker tells whether the order to start the run came to a living worker: it was
-// answered, its connection broke before it was, or the worker had answered just before. A
-// worker that nothing runs on is not looked at, and may lie dead for long.
+// reachedWorker reports whether the order to start the run reached a living worker: the start was
+// answered, its connection broke before the answer, or the worker had answered just before. A
+// worker without runs is not polled, and may have been dead for long.
 func (r *runState) reachedWorker() bool {
 	return r.firstSeen != 0 || r.sent.Load() && (r.connectionLost || r.sinceLastAnswer <= recentAnswer)
 }
 
-// countCrash counts the end of a worker against a run; company: work of other submissions may
-// have caused it as well.
-func (o *Owner) countCrash(w *worker, r *runState, company bool) {
+// countCrash counts the end of a worker against a run. several reports that runs of several
+// submissions may have caused it.
+func (o *Owner) countCrash(w *worker, r *runState, several bool) {
 	t := r.task
 	sub := t.step.rep.sub
 	if t.done || sub.closed() {
@@ -113,19 +114,19 @@
 	t.crashedAt = o.now
 	sinceStart := o.now.Sub(r.startedAt)
 	t.crashesUncertain = t.crashesUncertain || sinceStart > o.crashDetectLimit()
-	most := t.crashLimit(company)
+	limit := t.crashLimit(several)
 	o.metrics.suspectedRuns.Inc()
 	o.writer.markDirty(sub)
 	o.log.Info("run: may have ended its worker", zap.Stringer("subtask", t.id), zap.Int64("run", int64(r.run)),
 		zap.String("worker", string(w.entry.ID)), zap.Int("workers", t.crashes), zap.Bool("on_trial", r.trial),
-		zap.Duration("since_start", sinceStart), zap.Bool("company", company), zap.Int("give_up_at", most))
-	if t.crashes-t.precountedCrashes() >= most {
+		zap.Duration("since_start", sinceStart), zap.Bool("company", several), zap.Int("give_up_at", limit))
+	if t.crashes-t.precountedCrashes() >= limit {
 		o.giveUp(t)
 	}
 }
 
-// crashDetectLimit is how soon after a start it is known that the worker has ended under it. The
-// looks of an owner that is slow come late: any that comes after probation leaves a doubt.
+// crashDetectLimit is how soon after a start a crash must be detected to be certain. The polls of
+// a slow owner come late: there, any crash detected after survivalTime is uncertain.
 func (o *Owner) crashDetectLimit() time.Duration {
 	if o.window.latency >= slowStartLatency {
 		return survivalTime
@@ -133,16 +134,17 @@
 	return crashDetectTime
 }
 
-// crashLimit is the count at which a subtask is given up after a crash; company: work of other
-// submissions may have caused it as well.
-func (t *task) crashLimit(company bool) int {
-	if t.crashesUncertain || company {
+// crashLimit is the number of crashes at which a subtask is given up. several reports that runs
+// of several submissions may have caused the last one.
+func (t *task) crashLimit(several bool) int {
+	if t.crashesUncertain || several {
 		return t.uncertainCrashLimit()
 	}
 	return maxCrashes
 }
 
-// uncertainCrashLimit is crashesInDoubt, less the start that may have gone uncounted.
+// uncertainCrashLimit is maxUncertainCrashes, less one for a start that may not have been
+// counted.
 func (t *task) uncertainCrashLimit() int {
 	if t.uncounted {
 		return maxUncertainCrashes - 1
@@ -150,12 +152,12 @@
 	return maxUncertainCrashes
 }
 
-// progress is what is recorded of the subtask's step.
+// progress is the recorded progress of the subtask's step.
 func (t *task) progress() *ledger.StepProgress {
 	return t.step.rep.sub.progress.Step(t.id.Repetition, t.id.Step)
 }
 
-// precountedCrashes is how many of the crashes are counted for starts whose workers may live on.
+// precountedCrashes is the number of crashes counted for starts whose workers may still live.
 func (t *task) precountedCrashes() int {
 	n := 0
 	if t.startPrecounted {
@@ -173,17 +175,17 @@
 	o.endSubmission(t.step.rep.sub, tw.SubmissionFailed, "workers have ended under subtask "+t.id.String()+" each time it was started")
 }
 
-// exhausted tells whether former owners have started a subtask as often as it may be.
+// exhausted reports whether a subtask of the submission must not be started again.
 func (s *submission) exhausted() bool { return s.firstTask((*task).exhausted) != nil }
 
-// exhausted tells whether the subtask must not be started again.
+// exhausted reports whether the subtask must not be started again.
 func (t *task) exhausted() bool {
 	return !t.done && !t.startPrecounted && t.crashes >= t.uncertainCrashLimit()
 }
 
-// giveUpIfExhausted gives a submission up of which a subtask would have to be started once more
-// than it may be, and tells whether it did. Until all workers are known it isn't: the last
-// start may be alive, and one of 2,000 seeds of TestSoak lost innocent work whose run went on.
+// giveUpIfExhausted gives up a submission if an exhausted subtask would have to be started again,
+// and reports whether it did. It must not be called before all workers are known: the last start
+// may still run, and one of 2,000 seeds of TestSoak lost innocent work whose run went on.
 func (o *Owner) giveUpIfExhausted(sub *submission) bool {
 	t := sub.firstTask(func(t *task) bool { return !t.active() && t.exhausted() })
 	if t == nil {
@@ -193,7 +195,7 @@
 	return true
 }
 
-// firstTask is a subtask of the open repetitions for which a condition holds, or nil.
+// firstTask returns the first subtask of an open repetition that satisfies a condition, or nil.
 func (s *submission) firstTask(is func(*task) bool) *task {
 	for _, rep := range s.reps {
 		for _, st := range rep.steps {
@@ -205,8 +207,8 @@
 	return nil
 }
 
-// precountCrash counts the next start of a subtask as a crash before it is made. Else, if the
-// ownership ended before a crash is recorded, the next owner would not know of it.
+// precountCrash counts the next start of a subtask as a crash before it is ordered. Otherwise, if
+// the ownership ended before a crash was recorded, the next owner would not know of it.
 func (o *Owner) precountCrash(t *task) {
 	t.startPrecounted = true
 	if t.crashes == 0 && t.step.rep.sub.inherited {
@@ -217,9 +219,10 @@
 	o.writer.markDirty(t.step.rep.sub)
 }
 
-// needsPrecount tells whether that is to be done: for suspects, for what a former owner may have
-// started, and for a copy of a run whose worker may have ended under it, so that the first
-// start of a new submission waits for no record, and no second one goes uncounted.
+// needsPrecount reports whether the next start must be counted in advance: for suspects, for
+// subtasks that a former owner may have started, and for a copy of a run whose worker may have
+// ended under it. So the first start of a new submission waits for no record, and no second start
+// goes uncounted.
 func (t *task) needsPrecount() bool {
 	if t.startPrecounted || t.crashes >= t.uncertainCrashLimit() {
 		return false
@@ -227,12 +230,12 @@
 	return t.suspect() || t.step.rep.sub.inherited || t.mayHaveCrashedWorker()
 }
 
-// mayHaveCrashedWorker tells whether a worker may have ended under a run of the subtask.
+// mayHaveCrashedWorker reports whether a worker may have ended under a run of the subtask.
 func (t *task) mayHaveCrashedWorker() bool {
 	return slices.ContainsFunc(t.runs, func(r *runState) bool { return !r.w.survived(r) })
 }
 
-// uncountCrash takes back that a run was counted as a crash, as it ended in another way.
+// uncountCrash undoes precountCrash for a run that ended in another way than by a crash.
 func (o *Owner) uncountCrash(r *runState) {
 	t := r.task
 	sub := t.step.rep.sub
@@ -244,7 +247,7 @@
 	o.writer.markDirty(sub)
 }
 
-// clearSuspect clears a subtask of suspicion, as a worker has outlasted a run of it.
+// clearSuspect resets the crash count of a subtask after a worker has survived a run of it.
 func (o *Owner) clearSuspect(t *task) {
 	if t.crashes == 0 {
 		return
@@ -262,7 +265,7 @@
 	o.log.Info("run: cleared, its worker lives on", zap.Stringer("subtask", t.id))
 }
 
-// clearSurvived clears the suspects that a worker has outlasted.
+// clearSurvived clears the suspects whose trial the worker has survived.
 func (o *Owner) clearSurvived(w *worker) {
 	if w.tally.trials == 0 {
 		return
@@ -274,8 +277,8 @@
 	}
 }
 
-// setCrashes keeps how many workers in a row have ended under the subtask, also in
-// what is recorded of it.
+// setCrashes sets how many workers in a row have ended under the subtask, also in its recorded
+// progress.
 func (t *task) setCrashes(n int) {
 	t.crashes = n
 	p := t.progress()
@@ -291,7 +294,8 @@
 	p.Crashes[t.id.Index] = n
 }
 
-// noteUncounted notes that a former owner may have started the subtask without counting that.
+// noteUncounted records that a former owner may have started the subtask without counting the
+// start.
 func (t *task) noteUncounted() {
 	t.uncounted = true
 	p := t.progress()
@@ -301,10 +305,10 @@
 	p.UncountedStarts[t.id.Index] = true
 }
 
-// suspect tells whether workers have ended under the subtask, or may have.
+// suspect reports whether workers have ended under the subtask, or may have.
 func (t *task) suspect() bool { return t.crashes > 1 || t.crashes > 0 && !t.startPrecounted }
 
-// endTrial notes that a run is not on trial any more.
+// endTrial records that a run is no longer on trial.
 func (w *worker) endTrial(r *runState) {
 	if r.trial && w.runs[w.key(r)] == r {
 		w.tally.trials--
@@ -312,7 +316,7 @@
 	r.trial = false
 }
 
-// trialDue is when the suspects on a worker will have been outlasted, if it lives on.
+// trialDue is when the worker will have survived all its trials.
 func (w *worker) trialDue() time.Time {
 	var due time.Time
 	for _, r := range w.runs {
--- a/run/end.go
+++ b/run/end.go
@@ -8,7 +8,7 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// handleEnd takes up an end that a worker lists.
+// handleEnd handles an end that a worker reports.
 func (o *Owner) handleEnd(w *worker, e tw.EndedSubtask) {
 	o.metrics.endedRun(e.Kind)
 	r := w.runs[runKey{task: e.Subtask, run: e.Run}]
@@ -36,7 +36,7 @@
 	o.applyEnd(w, t, e)
 }
 
-// applyEnd follows what the end of a run means for its subtask.
+// applyEnd updates a subtask after the end of one of its runs.
 func (o *Owner) applyEnd(w *worker, t *task, e tw.EndedSubtask) {
 	t.endedAt = o.now
 	o.placeRequested = true
@@ -69,8 +69,8 @@
 	o.log.Info("run: ended", fields...)
 }
 
-// logDuplicateRun tells of a run that was given up and has ended as done all the same,
-// while another run of its subtask goes on.
+// logDuplicateRun logs and counts a run that was given up but has completed, while another run of
+// its subtask goes on.
 func (o *Owner) logDuplicateRun(w *worker, t *task, r *runState, e tw.EndedSubtask) {
 	if r != nil || t == nil || e.Kind != tw.EndDone || !t.active() || t.step.spec.AllowCopies {
 		return
@@ -82,7 +82,7 @@
 		zap.String("other_worker", string(other.w.entry.ID)), zap.Duration("other_since", o.now.Sub(other.startedAt)))
 }
 
-// taskDone records that a subtask is done. One member's end stands for a gang.
+// taskDone records that a subtask is done. The end of one member completes its gang.
 func (o *Owner) taskDone(t *task, run tw.RunNumber) {
 	members := []*task{t}
 	if t.step.spec.Gang {
@@ -99,9 +99,9 @@
 		m.done = true
 		m.step.done++
 		sub.progress.Step(m.id.Repetition, m.id.Step).Done.Add(m.id.Index)
-		for _, copied := range m.runs {
-			if copied.run != run {
-				o.stop(copied, "a copy of it is done")
+		for _, r := range m.runs {
+			if r.run != run {
+				o.stop(r, "a copy of it is done")
 			}
 		}
 	}
@@ -118,8 +118,8 @@
 	}
 }
 
-// closeFinished closes the repetitions that are done, and the submission
-// with the last of them.
+// closeFinished closes the repetitions that are done, and ends the submission with the last of
+// them.
 func (o *Owner) closeFinished(sub *submission) {
 	if sub.closed() {
 		return
@@ -138,7 +138,7 @@
 	}
 }
 
-// taskFailed counts a failure; with the last attempt the submission fails.
+// taskFailed counts a failure. After the last attempt the submission fails.
 func (o *Owner) taskFailed(w *worker, t *task, run tw.RunNumber) {
 	if t.done {
 		return
@@ -160,7 +160,7 @@
 	}
 }
 
-// taskInterrupted keeps the checkpoint of a run that did not end by itself.
+// taskInterrupted keeps the checkpoint of a run that was interrupted.
 func (o *Owner) taskInterrupted(t *task, e tw.EndedSubtask) {
 	if e.Checkpoint == "" || t.done || !t.step.spec.Checkpoints {
 		return
@@ -174,7 +174,7 @@
 	o.writer.markDirty(t.step.rep.sub)
 }
 
-// recordOutcome learns from the end of a run how its worker does.
+// recordOutcome updates the health of a worker after the end of a run.
 func (o *Owner) recordOutcome(w *worker, r *runState, kind tw.EndKind) {
 	took := o.now.Sub(r.startedAt)
 	switch kind {
@@ -187,8 +187,8 @@
 	}
 }
 
-// recordFailure shuns a worker that fails several runs in a row, unless these
-// fail elsewhere too. Lasting subtasks may fail at any time.
+// recordFailure quarantines a worker on which several runs in a row fail, unless their subtasks
+// fail on other workers too. Long-running subtasks may fail at any time.
 func (o *Owner) recordFailure(w *worker, t *task) {
 	if t.failed() > 0 && t.lastFailedOn != w.entry.ID {
 		return
@@ -196,23 +196,23 @@
 	w.health.failures++
 	if w.health.failures >= failuresToQuarantine {
 		w.health.failures = 0
-		o.quarantine(w, quarantineTime, "it fails what it starts")
+		o.quarantine(w, quarantineTime, "its runs fail")
 	}
 }
 
-// quarantine keeps new work away from a worker for a while, but never from more
-// than half of the workers.
-func (o *Owner) quarantine(w *worker, d time.Duration, why string) {
-	shunned := 0
+// quarantine keeps new work away from a worker for a while, but never from more than half of the
+// workers.
+func (o *Owner) quarantine(w *worker, d time.Duration, reason string) {
+	quarantined := 0
 	for _, other := range o.workers {
 		if o.now.Before(other.health.quarantinedUntil) {
-			shunned++
+			quarantined++
 		}
 	}
-	if 2*(shunned+1) > len(o.workers) {
+	if 2*(quarantined+1) > len(o.workers) {
 		return
 	}
 	w.health.quarantinedUntil = o.now.Add(d)
 	o.log.Info("worker: given no work", zap.String("worker", string(w.entry.ID)),
-		zap.String("why", why), zap.Duration("for", d))
+		zap.String("why", reason), zap.Duration("for", d))
 }
--- a/run/estimate.go
+++ b/run/estimate.go
@@ -8,35 +8,36 @@
 )
 
 type (
-	// estimateKey is what run times are learned for.
+	// estimateKey identifies the subtasks that share a run time estimate.
 	estimateKey struct {
 		route tw.RouteName
 		image string
 	}
 
-	// typicalWork is what submissions of the pool ask for of late: smoothed means of
-	// their work, in millicore seconds, and of their objective.
+	// typicalWork is the size of recent submissions of the pool: exponential moving averages of
+	// their work in millicore-seconds and of their objective.
 	typicalWork struct {
 		cpu       float64
 		objective time.Duration
 	}
 
-	// correction is how much longer than guessed subtasks run: the mean of the
-	// logarithms, and what it stands for.
+	// correction is the ratio of actual run times to the callers' estimates: the mean of its
+	// logarithm, and the factor for that.
 	correction struct{ meanLog, factor float64 }
 )
 
 const (
-	// estimateWeight smooths over about the last ten subtasks of a route.
+	// estimateWeight averages over about the last ten subtasks of a route.
 	estimateWeight = 0.1
-	// overdueFactor: a run that takes so many times what its step's other
-	// subtasks took is overdue. These differ by about 15%.
+	// overdueFactor: a run is overdue once it takes this many times as long as its step's other
+	// subtasks took. These differ by about 15%.
 	overdueFactor = 1.8
-	// overdueSlack is added, for short work and the way of its end here.
+	// overdueSlack is added to that limit, for short work and for the time until the end is
+	// reported.
 	overdueSlack = 400 * time.Millisecond
-	// typicalWeight smooths over about the last fifty submissions.
+	// typicalWeight averages over about the last fifty submissions.
 	typicalWeight = 0.02
-	// defaultEstimate stands in for a guess that the caller left out.
+	// defaultEstimate is used where the caller gave no estimate.
 	defaultEstimate = time.Second
 )
 
@@ -51,8 +52,9 @@
 	return defaultEstimate
 }
 
-// expectedRunTime is how long a subtask of the step runs: what its siblings took,
-// else the caller's guess corrected by what was learned of the route.
+// expectedRunTime is the expected run time of a subtask: the mean of its step's finished
+// subtasks, or else the caller's estimate corrected by the ratio observed for the route and
+// image.
 func (o *Owner) expectedRunTime(st *step) time.Duration {
 	if st.runTimeSamples > 0 {
 		return st.totalRunTime / time.Duration(st.runTimeSamples)
@@ -63,11 +65,11 @@
 	return callerEstimate(st.spec)
 }
 
-// noteRunTime notes how long a subtask took. Guesses are off by a factor, so the
-// logarithm is what is averaged.
+// noteRunTime updates the estimates with the run time of a subtask. The callers' estimates are
+// off by a factor, so the logarithm is averaged.
 func (o *Owner) noteRunTime(t *task, took time.Duration) {
 	st := t.step
-	if t.saved == "" { // else it did not run its whole time
+	if t.saved == "" { // otherwise it resumed from a checkpoint
 		st.totalRunTime += took
 		st.runTimeSamples++
 	}
@@ -82,7 +84,7 @@
 	o.learned[key] = correction{meanLog: ratio, factor: math.Exp(ratio)}
 }
 
-// add takes up a new submission.
+// add updates the averages with a new submission.
 func (u *typicalWork) add(cpu float64, objective time.Duration) {
 	if u.cpu == 0 {
 		u.cpu, u.objective = cpu, objective
@@ -92,7 +94,7 @@
 	u.objective += time.Duration(typicalWeight * float64(objective-u.objective))
 }
 
-// relativeSize is how many times the usual work an amount of work is.
+// relativeSize is an amount of work relative to the average submission.
 func (u *typicalWork) relativeSize(cpu float64) float64 {
 	if u.cpu <= 0 {
 		return 0
@@ -100,8 +102,8 @@
 	return cpu / u.cpu
 }
 
-// remainingWork is the work of a repetition that is still to be done; lasting steps have
-// no end, so that they are left out.
+// remainingWork is the work that a repetition still has to do. Long-running steps have no end and
+// are left out.
 func (o *Owner) remainingWork(rep *repetition) Work {
 	var work Work
 	for _, st := range rep.steps {
@@ -115,14 +117,14 @@
 	return work
 }
 
-// overdue tells whether a run takes far longer than its siblings took.
+// overdue reports whether a run takes far longer than expected.
 func (o *Owner) overdue(r *runState) bool {
 	limit := time.Duration(overdueFactor*float64(o.expectedRunTime(r.task.step))) + overdueSlack
 	return o.now.Sub(r.startedAt) > limit
 }
 
-// criticalPaths is the longest criticalPaths of run times from a step on, over the steps that
-// are not done, by step.
+// criticalPaths returns, for each step, the length of the longest remaining chain of run times
+// that begins with it.
 func (o *Owner) criticalPaths(rep *repetition) []time.Duration {
 	rest := make([]time.Duration, len(rep.steps))
 	for i := len(rep.steps) - 1; i >= 0; i-- {
@@ -137,8 +139,7 @@
 	return rest
 }
 
-// objective is the time from a repetition's due time within which it should
-// end.
+// objective is the time after its due time within which a repetition should end.
 func (o *Owner) objective(rep *repetition) time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(rep.steps))
--- a/run/evacuation.go
+++ b/run/evacuation.go
@@ -6,7 +6,7 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// updateEvacuations takes up which halls are evacuated. It tells whether that is known.
+// updateEvacuations applies the latest list of evacuated halls. It reports whether one is known.
 func (o *Owner) updateEvacuations() bool {
 	latest := o.evacuations()
 	if !latest.NewerThan(o.evacuated) {
@@ -23,7 +23,7 @@
 		if latest.Has(w.entry.Hall) {
 			workers++
 			runs += len(w.runs)
-			lastingRuns += w.tally.lastingRuns
+			lastingRuns += w.tally.longRunningRuns
 		}
 	}
 	o.placeRequested = true
@@ -32,15 +32,17 @@
 	return true
 }
 
-// mustVacate tells whether a worker gets no new work and its lasting work is to go.
+// mustVacate reports whether a worker gets no new work and its long-running subtasks have to
+// move.
 func (o *Owner) mustVacate(w *worker) bool {
 	return o.vacate[w.entry.Instance] || o.evacuated.Has(w.entry.Hall)
 }
 
-// checkAllEvacuated refuses a submission that no machine may run, as all halls are evacuated; nil
-// if it may be taken. Lasting and scheduled work is of use also when it begins later.
+// checkAllEvacuated refuses a submission that no machine may run because all halls are evacuated;
+// it returns nil if the submission can be accepted. Long-running and scheduled work is still
+// useful if it begins later.
 func (o *Owner) checkAllEvacuated(s *tw.Submission) *BusyError {
-	if !o.evacuated.Any() || hasLastingStep(s) || s.Repetitions() > 1 {
+	if !o.evacuated.Any() || hasLongRunningStep(s) || s.Repetitions() > 1 {
 		return nil
 	}
 	for _, w := range o.workers {
--- a/run/evacuation_test.go
+++ b/run/evacuation_test.go
@@ -13,16 +13,16 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// evacuate has exactly these halls evacuated, and the present owner told.
+// evacuate makes these halls the evacuated ones, and notifies the present owner.
 func (r *rig) evacuate(o *run.Owner, halls ...tw.HallID) {
 	r.evacuations.Store(&tw.Evacuations{Revision: r.evacuations.Load().Revision + 1, Halls: halls})
 	r.fleet.SetEvacuated(halls)
 	if o != nil {
-		r.feed(o)
+		r.publishWorkers(o)
 	}
 }
 
-// inHall counts the runs of a step that are in a hall.
+// inHall counts the runs of the first step's subtasks in a hall.
 func (r *rig) inHall(id string, count int, hall tw.HallID) int {
 	n := 0
 	for index := range count {
@@ -35,9 +35,9 @@
 	return n
 }
 
-// evacuationCases are played with two workers in each of two halls. No code read the
-// operator's word before: on days of the users' bench with an evacuated hall 577 to 1,397
-// subtasks were started there.
+// evacuationCases run with two workers in each of two halls. They guard against starts in
+// evacuated halls: owners that ignored the operator's evacuations started 577 to 1,397 subtasks
+// there.
 var evacuationCases = map[string]func(r *rig, o *run.Owner){
 	"nothing is started in the hall, and what runs there ends by itself": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
@@ -49,7 +49,7 @@
 		r.eventually(o, "s2", tw.SubmissionSucceeded, 8*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(20), "runs were stopped")
 	},
-	"the hall is used again once the evacuation is withdrawn": func(r *rig, o *run.Owner) {
+	"the hall is used again once the evacuation is revoked": func(r *rig, o *run.Owner) {
 		r.evacuate(o, "h0")
 		r.submit(o, submission("s1", 16))
 		time.Sleep(500 * time.Millisecond)
@@ -57,7 +57,7 @@
 		r.evacuate(o)
 		r.Eventually(func() int { return r.inHall("s1", 16, "h0") }, 500*time.Millisecond, 10*time.Millisecond).Should(Equal(8))
 	},
-	"an evacuation that is withdrawn within a second loses nothing": func(r *rig, o *run.Owner) {
+	"an evacuation that is revoked within a second loses nothing": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 16))
 		for range 5 {
 			r.evacuate(o, "h0")
@@ -68,30 +68,30 @@
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(16))
 	},
-	"lasting work goes elsewhere, no more of it away than may be": func(r *rig, o *run.Owner) {
+	"long-running work moves within the allowed unavailability": func(r *rig, o *run.Owner) {
 		s := submission("s1", 4)
 		s.Steps[0].LongRunning, s.Steps[0].MaxDisrupted = true, 1
 		r.submit(o, s)
 		time.Sleep(2 * time.Second)
-		there := r.inHall("s1", 4, "h0")
-		r.Expect(there).To(BeNumerically(">", 0))
+		before := r.inHall("s1", 4, "h0")
+		r.Expect(before).To(BeNumerically(">", 0))
 		r.evacuate(o, "h0")
 		fewest := 4
 		for range 80 {
 			time.Sleep(100 * time.Millisecond)
-			atWork := 0
+			ready := 0
 			for index := range 4 {
 				if r.fleet.AtWork(subtask("s1", 0, index)) {
-					atWork++
+					ready++
 				}
 			}
-			fewest = min(fewest, atWork)
+			fewest = min(fewest, ready)
 		}
 		r.Expect(fewest).To(Equal(3))
 		r.Expect(r.inHall("s1", 4, "h0")).To(BeZero())
-		r.Expect(r.fleet.Starts()).To(Equal(4 + there))
+		r.Expect(r.fleet.Starts()).To(Equal(4 + before))
 	},
-	"a copy of a run that stands still isn't started there": func(r *rig, o *run.Owner) {
+	"a copy of a stalled run isn't started there": func(r *rig, o *run.Owner) {
 		r.fleet.Set(workerID(2), func(w *standin.SimWorker) { w.Hang = true })
 		r.fleet.Set(workerID(3), func(w *standin.SimWorker) { w.Hang = true })
 		r.evacuate(o, "h0")
@@ -102,10 +102,10 @@
 		time.Sleep(6 * time.Second)
 		r.Expect(r.inHall("s1", 2, "h0")).To(BeZero())
 	},
-	"a new owner starts nothing before it knows": func(r *rig, o *run.Owner) {
+	"a new owner starts nothing before it knows the evacuations": func(r *rig, o *run.Owner) {
 		o.Close()
 		known := r.evacuations.Swap(nil)
-		next := r.take("b")
+		next := r.newOwner("b")
 		r.fleet.SetEvacuated([]tw.HallID{"h0"})
 		time.Sleep(evacuateTime)
 		r.submit(next, submission("s1", 16))
@@ -115,11 +115,11 @@
 		r.evacuate(next, "h0")
 		r.eventually(next, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
-	"a new owner goes by what it knows": func(r *rig, o *run.Owner) {
+	"a new owner applies the evacuations it knows": func(r *rig, o *run.Owner) {
 		r.evacuate(o, "h1")
 		o.Close()
 		time.Sleep(evacuateTime)
-		next := r.take("b")
+		next := r.newOwner("b")
 		r.submit(next, submission("s1", 16))
 		r.eventually(next, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
@@ -134,7 +134,7 @@
 		r.Expect(busy.RetryAfter).To(BeNumerically(">", 0))
 		r.Expect(tw.NotApplied(err)).To(BeTrue())
 		r.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
-		r.submit(o, lasting("s2", 1))
+		r.submit(o, longRunning("s2", 1))
 		r.evacuate(o)
 		time.Sleep(2 * time.Second)
 		r.Expect(r.fleet.Begun("s1")).To(BeFalse())
@@ -142,10 +142,10 @@
 		r.submit(o, s)
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 3*time.Second)
 	},
-	"it is taken while another pool has a machine in another hall": func(r *rig, o *run.Owner) {
+	"work is accepted while another pool has a machine in another hall": func(r *rig, o *run.Owner) {
 		r.cloud.Add(tw.Machine{ID: "m9", Pool: "other", State: tw.MachineUp, Worker: "w9", Hall: "h2"})
 		time.Sleep(time.Second)
-		r.census.RequestRefresh(time.Now())
+		r.machineCache.RequestRefresh(time.Now())
 		time.Sleep(time.Second)
 		r.evacuate(o, "h0", "h1")
 		r.submit(o, submission("s1", 2))
@@ -153,38 +153,38 @@
 }
 
 func TestEvacuation(t *testing.T) {
-	playOwnerCases(t, 0, func(r *rig) {
+	runOwnerCases(t, 0, func(r *rig) {
 		for n, hall := range []tw.HallID{"h0", "h0", "h1", "h1"} {
 			r.addWorkerIn(n, hall)
 		}
 	}, evacuationCases)
 }
 
-// evacuationSeeds are those of TestEvacuationSoak.
+// evacuationSeeds is the number of seeds of TestEvacuationSoak.
 const evacuationSeeds = 40
 
-// soakHalls are the halls of the soak's machines, in turn.
+// soakHalls are the halls to which the soak's machines belong in turn.
 var soakHalls = []tw.HallID{"h0", "h1", "h2"}
 
-// TestEvacuationSoak plays the soak of all faults at once while halls are evacuated, one or
-// more at a time, and taken back.
+// TestEvacuationSoak runs the soak with all faults at once while one or more halls at a time are
+// evacuated, and evacuations are revoked.
 func TestEvacuationSoak(t *testing.T) {
 	for seed := range uint64(evacuationSeeds) {
-		playSoak(t, seed, allAtOnce, evacuateSome, func(s *soak) { s.chance = true })
+		runSoak(t, seed, allAtOnce, assignHalls, func(s *soak) { s.mayGiveUp = true })
 	}
 }
 
-// evacuateSome gives machines halls, which are evacuated at times.
-func evacuateSome(s *soak) {
+// assignHalls assigns the machines to halls, which are evacuated at times.
+func assignHalls(s *soak) {
 	s.evacuating = true
 	for n := range soakMachines {
 		s.addWorkerIn(n, soakHalls[n%len(soakHalls)])
-		s.lives[n] = []tw.WorkerEntry{s.list[workerID(n)]}
+		s.workersByMachine[n] = []tw.WorkerEntry{s.list[workerID(n)]}
 	}
 }
 
-// actOnHalls evacuates a random set of halls.
-func (s *soak) actOnHalls() {
+// evacuateRandom evacuates a random set of halls.
+func (s *soak) evacuateRandom() {
 	halls := slices.DeleteFunc(slices.Clone(soakHalls), func(tw.HallID) bool { return s.rand.IntN(5) < 3 })
 	s.evacuate(s.owner, halls...)
 }
--- a/run/faults_test.go
+++ b/run/faults_test.go
@@ -8,66 +8,67 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// cutOrders loses workers, and the store, for one owner.
-type cutOrders struct {
+// partitionedOrders cuts one owner off from some workers. partitionedKV cuts it off from the
+// store as well.
+type partitionedOrders struct {
 	tw.WorkerOrders
 	workers sync.Map // by tw.WorkerID
 	store   atomic.Bool
 }
 
-func (c *cutOrders) lose(id tw.WorkerID) { c.workers.Store(id, true) }
+func (c *partitionedOrders) cutWorker(id tw.WorkerID) { c.workers.Store(id, true) }
 
-func (c *cutOrders) loseStore() { c.store.Store(true) }
+func (c *partitionedOrders) cutStore() { c.store.Store(true) }
 
-func (c *cutOrders) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
+func (c *partitionedOrders) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
 	if _, lost := c.workers.Load(to.ID); lost {
 		return tw.HoldReport{}, tw.ErrAmbiguous
 	}
 	return c.WorkerOrders.Hold(ctx, to, order)
 }
 
-// muteOrders swallows so many starts: they are not done and not answered.
-type muteOrders struct {
+// droppedStarts drops a number of starts: they are neither carried out nor answered.
+type droppedStarts struct {
 	tw.WorkerOrders
-	mute atomic.Int64
+	remaining atomic.Int64
 }
 
-func (m *muteOrders) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
-	if m.mute.Add(-1) >= 0 {
+func (m *droppedStarts) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
+	if m.remaining.Add(-1) >= 0 {
 		<-ctx.Done()
 		return 0, tw.ErrAmbiguous
 	}
 	return m.WorkerOrders.Start(ctx, to, order)
 }
 
-// blindKV reads nothing while it is blind.
-type blindKV struct {
+// unreadableKV fails all reads while failing is set.
+type unreadableKV struct {
 	tw.KV
-	blind atomic.Bool
+	failing atomic.Bool
 }
 
-func (k *blindKV) Get(ctx context.Context, key tw.Key) (tw.KVItem, error) {
-	if k.blind.Load() {
+func (k *unreadableKV) Get(ctx context.Context, key tw.Key) (tw.KVItem, error) {
+	if k.failing.Load() {
 		return tw.KVItem{}, tw.ErrUnavailable
 	}
 	return k.KV.Get(ctx, key)
 }
 
-// shortLists lists at most so many ends at once, the oldest first, as workers do.
-type shortLists struct {
+// truncatedReports limits the ends in one report, oldest first, as workers do.
+type truncatedReports struct {
 	tw.WorkerOrders
-	most int
+	maxEnds int
 }
 
-func (s *shortLists) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
+func (s *truncatedReports) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
 	report, err := s.WorkerOrders.Hold(ctx, to, order)
-	if len(report.Ended) > s.most {
-		report.Ended = report.Ended[:s.most]
+	if len(report.Ended) > s.maxEnds {
+		report.Ended = report.Ended[:s.maxEnds]
 	}
 	return report, err
 }
 
-// slowClocks makes the clocks of all workers run slow by a share.
+// slowClocks makes the clocks of all workers run slow by a fraction.
 type slowClocks struct {
 	tw.WorkerOrders
 	share float64
@@ -94,18 +95,19 @@
 	return s.shown(clock), err
 }
 
-// muteKV answers no writes while it is mute or deaf; while it is mute, it does none.
-type muteKV struct {
+// unansweredKV leaves writes unanswered: with dropWrites they are not applied, with dropAnswers
+// they are.
+type unansweredKV struct {
 	tw.KV
-	mute, deaf atomic.Bool
+	dropWrites, dropAnswers atomic.Bool
 }
 
-func (k *muteKV) Commit(ctx context.Context, txn tw.KVTxn) (tw.KVRevision, error) {
-	if k.mute.Load() {
+func (k *unansweredKV) Commit(ctx context.Context, txn tw.KVTxn) (tw.KVRevision, error) {
+	if k.dropWrites.Load() {
 		return 0, tw.ErrAmbiguous
 	}
 	revision, err := k.KV.Commit(ctx, txn)
-	if k.deaf.Load() {
+	if k.dropAnswers.Load() {
 		return 0, tw.ErrAmbiguous
 	}
 	return revision, err
--- a/run/feed.go
+++ b/run/feed.go
@@ -14,17 +14,17 @@
 // WorkerList is the pool's part of the list of workers.
 type WorkerList struct {
 	Workers map[tw.WorkerID]tw.WorkerEntry
-	// StableSince says since when the store has been reachable without a break;
-	// entries may be missing for a while after that.
+	// StableSince is since when the store has been reachable without interruption. Entries
+	// may be missing for a while after that.
 	StableSince time.Time
 }
 
-// SetWorkers hands over a new list of workers.
+// SetWorkers passes a new list of workers to the owner.
 func (o *Owner) SetWorkers(ctx context.Context, list WorkerList) {
 	o.post(ctx, func() { o.setWorkers(list) })
 }
 
-// applyDirections takes up the directions of the one who moves machines.
+// applyDirections applies the directions of the machine manager.
 func (o *Owner) applyDirections(d Directions) {
 	machines := make(map[tw.InstanceID]bool, len(d.Vacate))
 	for _, id := range d.Vacate {
@@ -58,22 +58,24 @@
 	}
 }
 
-// vacateTTL is how long machines are kept empty for a manager that no longer
-// asks for it. It asks several times a second.
+// vacateTTL is how long machines stay vacated after the last request of the manager, which
+// repeats its requests several times a second.
 const vacateTTL = 2 * time.Second
 
 func (o *Owner) setWorkers(list WorkerList) {
 	o.listStableSince = list.StableSince
 	for _, id := range slices.Sorted(maps.Keys(list.Workers)) {
-		if life, ended := o.terminated[id]; ended && life.matches(list.Workers[id]) {
-			life.seenAt = o.now
-			o.terminated[id] = life
+		if record, ended := o.terminated[id]; ended && record.matches(list.Workers[id]) {
+			record.seenAt = o.now
+			o.terminated[id] = record
 			continue
 		}
 		delete(o.terminated, id)
 		o.setWorker(list.Workers[id])
 	}
-	maps.DeleteFunc(o.terminated, func(_ tw.WorkerID, life terminatedWorker) bool { return o.now.Sub(life.seenAt) > terminatedRetention })
+	maps.DeleteFunc(o.terminated, func(_ tw.WorkerID, record terminatedWorker) bool {
+		return o.now.Sub(record.seenAt) > terminatedRetention
+	})
 	for id, w := range o.workers {
 		if _, listed := list.Workers[id]; listed {
 			continue
@@ -94,7 +96,7 @@
 	}
 	if w.startTime != 0 && entry.StartTime != 0 && entry.StartTime < w.startTime {
 		w.listed = true
-		return // an account of a former life
+		return // an entry of a previous incarnation
 	}
 	if w.startTime != 0 && entry.StartTime > w.startTime {
 		w = o.replaceIncarnation(w, entry)
@@ -104,10 +106,10 @@
 			zap.Duration("remaining", entry.Remaining), zap.Int("runs", len(w.runs)))
 	}
 	if w.session.ref != entry.Ref() {
-		// The list of machines knew it before its own entry gave its address.
+		// The worker was added from the list of machines, before its entry gave its address.
 		w.session.close()
 		w.session = newSession(o, entry.Ref())
-		w.startsInFlight = 0 // what the former session had is given up
+		w.startsInFlight = 0 // the starts of the previous session are given up
 		w.polling = false
 		w.nextPoll = o.now
 	}
@@ -125,9 +127,8 @@
 func (o *Owner) addWorker(entry tw.WorkerEntry) *worker {
 	w := &worker{
 		entry: entry, startTime: entry.StartTime, listed: true, runs: map[runKey]*runState{}, rank: o.freeRank(), usage: o.caps.usage,
-		// Whoever owned the pool before may have prolonged what runs there
-		// until its permit ended. Workers that really are new answer their first
-		// look at once, so that this costs nothing.
+		// The previous owner may have extended runs there until its permit expired. Workers
+		// that really are new answer their first poll at once, so this costs nothing.
 		grantsExpireAt: o.takeoverAt.Add(permitTTL + o.maxHoldTime()),
 	}
 	w.mayHaveInheritedRuns = o.now.Before(w.grantsExpireAt)
@@ -142,12 +143,12 @@
 	return w
 }
 
-// maxHoldTime is the local time for which a hold can keep work alive.
+// maxHoldTime returns the longest local time for which a hold can keep runs going.
 func (o *Owner) maxHoldTime() time.Duration {
 	return time.Duration(float64(o.bounds.MaxHold)*clockDrift) + grantMargin
 }
 
-// freeRank is the lowest rank that no worker has, so that ranks stay stable.
+// freeRank returns the lowest rank that no worker has, so that ranks stay stable.
 func (o *Owner) freeRank() int {
 	rank := 0
 	for o.ranks[rank] {
@@ -156,7 +157,7 @@
 	return rank
 }
 
-// watchWorkers resolves doubts about workers that do not answer.
+// watchWorkers resolves the state of workers that do not answer. It returns when it is due again.
 func (o *Owner) watchWorkers() time.Time {
 	var next time.Time
 	o.updateEvacuations()
@@ -164,14 +165,14 @@
 		o.setVacate(nil)
 	}
 	if !o.machineListRead {
-		// The census takes no wish for a list while it has one that is nearly new, be
-		// that from before the takeover.
+		// The cache ignores a request while its list is nearly new, even if that was
+		// requested before the takeover.
 		o.machineCache.RequestRefresh(o.now)
 		next = o.now.Add(minRefreshInterval / 4)
 	}
 	for _, w := range o.workers {
 		if !w.listed && o.canRemove(w) {
-			o.removeWorker(w, "not listed any more, and nothing of it is left")
+			o.removeWorker(w, "not listed any more, and no runs or ends left")
 			continue
 		}
 		doubted := !w.livenessUnknownSince().IsZero()
@@ -195,7 +196,7 @@
 	return next
 }
 
-// canRemove tells whether an unlisted worker needs no more attention.
+// canRemove reports whether an unlisted worker can be removed.
 func (o *Owner) canRemove(w *worker) bool {
 	missing := o.now.Sub(w.missingSince) > missingTimeout && o.now.Sub(o.listStableSince) > missingTimeout
 	if !missing || len(w.runs) > 0 || w.mayHaveInheritedRuns {
@@ -204,8 +205,8 @@
 	return w.confirmedEnd >= w.seenEnd || w.unanswered > 2
 }
 
-// expireRuns drops the runs of a worker that has not answered until everything
-// that was granted there has run out.
+// expireRuns drops the runs of a worker that has not answered until all deadlines granted there
+// have passed.
 func (o *Owner) expireRuns(w *worker) {
 	if len(w.runs) == 0 && !w.mayHaveInheritedRuns {
 		return
@@ -213,7 +214,7 @@
 	o.log.Info("worker: all that ran there has lapsed", zap.String("worker", string(w.entry.ID)),
 		zap.Duration("silent", o.now.Sub(w.silentSince)), zap.Int("runs", len(w.runs)))
 	w.mayHaveInheritedRuns = false
-	w.stateKnown = false // it must be looked at before it is used again
+	w.stateKnown = false // it must be polled before it is used again
 	o.attributeCrash(w, false)
 	for _, r := range w.runs {
 		o.runGone(r, "lapsed on a silent worker")
@@ -221,8 +222,8 @@
 	o.placeRequested = true
 }
 
-// mayHaveInheritedRuns tells whether runs of the former owner may be on workers
-// that have not answered.
+// mayHaveInheritedRuns reports whether runs of the previous owner may be on workers that have not
+// answered.
 func (o *Owner) mayHaveInheritedRuns() bool {
 	if !o.machineListRead && o.now.Before(o.takeoverAt.Add(permitTTL+o.maxHoldTime())) {
 		o.machineCache.RequestRefresh(o.now)
--- a/run/lapse_test.go
+++ b/run/lapse_test.go
@@ -8,26 +8,26 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-// A worker's clock may run 2% slow. The owner reckons it from the last answer, and a
-// worker on which nothing runs is not asked for long: after a minute the owner takes
-// the clock to be 1.2 s ahead of where it is, and the deadline of a start is as much
-// too late. A start that the worker carries out at once is cut to the longest hold.
-// But one that is not answered and carried out later, 1.5 s here, runs until that
-// deadline. The owner counted 6.3 s from its decision ("all that ran there has
-// lapsed") and started the subtask elsewhere, a second too soon.
-func TestLapseOnAWorkerWhoseClockIsSlow(t *testing.T) {
+// TestExpiryWithSlowWorkerClock guards against restarting a subtask while its former run still
+// exists. The owner estimates a worker's clock from the last answer. An idle worker is not
+// polled, so with a clock that is 2% slow the estimate is 1.2 s ahead after a minute, and the
+// deadline of a start is too late by as much. A start that is executed at once is limited to the
+// longest hold. But one that is not answered and is executed late, 1.5 s here, runs until that
+// deadline. The owner waited 6.3 s from its decision and then started the subtask elsewhere, a
+// second too soon.
+func TestExpiryWithSlowWorkerClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 2)
 		defer r.end()
-		o := r.open("a", r.kv, &slowClocks{WorkerOrders: r.fleet, share: 0.02})
+		o := r.newOwnerWith("a", r.kv, &slowClocks{WorkerOrders: r.fleet, share: 0.02})
 		time.Sleep(time.Minute)
 		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 1 })
-		r.submit(o, lasting("s1", 1))
-		time.Sleep(latency + latency/4) // the order has come, a look has not
+		r.submit(o, longRunning("s1", 1))
+		time.Sleep(latency + latency/4) // the order has arrived, a poll has not
 		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Silent = true })
 		time.Sleep(1500 * time.Millisecond)
 		r.fleet.DoLate()
 		time.Sleep(2 * maxHold)
-		r.kept()
+		r.expectNoViolations()
 	})
 }
--- a/run/lasting.go
+++ b/run/lasting.go
@@ -4,14 +4,15 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// readyPercent: a lasting subtask is at work when its worker says so.
+// readyPercent is the progress at which a long-running subtask is ready to serve.
 const readyPercent = 100
 
-// moveLasting takes lasting subtasks off workers that are leaving, so many of
-// a step at a time as it may miss. What runs for a limited time is left to
-// end by itself, unless its worker ends before.
-func (o *Owner) moveLasting() {
-	// What the former owner told to stop is listed as running until it has.
+// moveLongRunning stops long-running subtasks on workers that must be vacated or are draining, at
+// most as many of a step at a time as may be unavailable. Runs of limited duration are left to
+// end by themselves.
+func (o *Owner) moveLongRunning() {
+	// Runs that the former owner has ordered to stop are listed as running until they have
+	// stopped.
 	if o.now.Sub(o.takeoverAt) < o.bounds.StopTime+2*shortPollWait {
 		return
 	}
@@ -23,11 +24,11 @@
 			if r.phase != running || !r.task.step.spec.LongRunning {
 				continue
 			}
-			// The platform takes a draining worker away in any case.
+			// The platform removes a draining worker in any case.
 			if !w.entry.Draining && !o.mayInterrupt(r) {
 				continue
 			}
-			if !o.roomElsewhere(w, r.task.step.spec) {
+			if !o.capacityElsewhere(w, r.task.step.spec) {
 				continue
 			}
 			o.stop(r, "its worker is to be emptied")
@@ -35,21 +36,21 @@
 	}
 }
 
-// mayInterrupt tells whether the others of a lasting step are at work, but
-// for fewer than it may miss.
+// mayInterrupt reports whether stopping a run keeps its step within the number of subtasks that
+// may be unavailable.
 func (o *Owner) mayInterrupt(r *runState) bool {
 	st := r.task.step
-	away := 0
+	unavailable := 0
 	for _, t := range st.tasks {
-		if t != r.task && !o.lastingReady(t) {
-			away++
+		if t != r.task && !o.longRunningReady(t) {
+			unavailable++
 		}
 	}
-	return away < max(1, st.spec.MaxDisrupted)
+	return unavailable < max(1, st.spec.MaxDisrupted)
 }
 
-// lastingReady tells whether a lasting subtask was at work when last looked at.
-func (o *Owner) lastingReady(t *task) bool {
+// longRunningReady reports whether a long-running subtask was ready at the last poll.
+func (o *Owner) longRunningReady(t *task) bool {
 	if len(t.runs) != 1 {
 		return false
 	}
@@ -57,11 +58,11 @@
 	return r.phase == running && r.percent >= readyPercent && r.w.unanswered == 0 && !r.w.entry.Draining
 }
 
-// roomElsewhere tells whether another worker would take a subtask of a step, at
-// once or after some of its present work has ended: placement keeps that room.
-func (o *Owner) roomElsewhere(not *worker, spec *tw.Step) bool {
+// capacityElsewhere reports whether another worker has capacity for a subtask of a step, at once or
+// after its runs of limited duration have ended: placement reserves that capacity.
+func (o *Owner) capacityElsewhere(exclude *worker, spec *tw.Step) bool {
 	for _, w := range o.workers {
-		if w == not || w.vacating || !w.usable(o.now) {
+		if w == exclude || w.vacating || !w.usable(o.now) {
 			continue
 		}
 		if w.attainable().Fits(spec.Reservation()) && w.entry.HasLabel(spec.Label) {
--- a/run/lives.go
+++ b/run/lives.go
@@ -9,29 +9,28 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// A machine runs one life of a worker at a time. Which of those that are known is
-// the present one is never told by the order in which entries come: a write may be
-// held up by a cut, and an entry that lapsed may be written once more. What proves
-// that a life has ended is the word of another one at its address, an answered order
-// that took the machine away, or silence together with the platform's list of machines,
-// if that was asked for after the doubt began.
-
-// terminatedRetention is how long a life that has ended is remembered after its entry was last
-// seen: entries of former lives came back 4 to 5 s after their machine was known as
-// down (plays with workers cut off for 6 s).
+// A machine runs one incarnation of a worker at a time. The order in which entries arrive does
+// not show which of the known ones is current: a write may be delayed by a network partition, and
+// an expired entry may be written once more. Proof that an incarnation has ended is an answer of
+// another one at its address, an answered order that took the machine away, or silence together
+// with the platform's list of machines, if that was requested after the worker became uncertain.
+
+// terminatedRetention is how long an ended incarnation is remembered after its entry was last
+// seen. With workers cut off for 6 s, entries of previous incarnations came back 4 to 5 s after
+// their machine was known to be down.
 const terminatedRetention = time.Minute
 
-// machineListLag is how long the manager's list of machines may name a life that has ended:
-// it acts on lists of up to a second, and asks for reports several times a second.
+// machineListLag is how long the manager's list of machines may still name an incarnation that
+// has ended. The manager acts on lists of up to 1 s, and requests reports several times a second.
 const machineListLag = 3 * time.Second
 
-// termination is why a worker's life has ended. The zero value says that it has not ended.
+// termination is why an incarnation of a worker has ended. The zero value means that it has not.
 type termination struct {
 	reason string
-	// planned: what ran there has not brought it down.
+	// planned: the worker was not crashed by one of its runs.
 	planned bool
-	// replaced: another life of its machine answers by now. That a list names one is no
-	// proof: it may still be starting.
+	// replaced: another worker of its machine answers. One that is only listed does not
+	// count, as it may still be starting.
 	replaced bool
 }
 
@@ -40,21 +39,21 @@
 	replacedAtAddress = termination{reason: "another worker answers at its address", replaced: true}
 )
 
-// terminatedWorker is a worker's life that has ended: when that was known, and when its entry
+// terminatedWorker is an ended incarnation: since when the owner knows that, and when the entry
 // was last seen.
 type terminatedWorker struct {
 	since, seenAt time.Time
-	// startTime is that of the life; zero if that is not known.
+	// startTime identifies the incarnation; zero if unknown.
 	startTime tw.WorkerStartTime
 }
 
-// matches tells whether an entry is of this life, or may be.
+// matches reports whether an entry is, or may be, of this incarnation.
 func (l terminatedWorker) matches(entry tw.WorkerEntry) bool {
 	return l.startTime == 0 || entry.StartTime <= l.startTime
 }
 
-// indexWorker and dropLife keep the index of the workers of each machine: without it
-// each new list of workers compared all workers with all others.
+// indexWorker and unindexWorker maintain the index of workers by machine. Without it each new
+// list of workers required a comparison of all workers with all others.
 func (o *Owner) indexWorker(w *worker) {
 	id := w.entry.Instance
 	o.workersByInstance[id] = append(o.workersByInstance[id], w)
@@ -73,21 +72,22 @@
 	o.workersByInstance[id] = left
 }
 
-// markDuplicates notes that several lives of a worker's machine are known, so that all of
-// them are in doubt until a list of machines that is newer names the present one.
+// markDuplicates marks all workers of a machine as uncertain if several are known, until a newer
+// list of machines names the current one.
 func (o *Owner) markDuplicates(w *worker) {
-	lives := o.workersByInstance[w.entry.Instance]
-	if w.entry.Instance == "" || len(lives) < 2 {
+	siblings := o.workersByInstance[w.entry.Instance]
+	if w.entry.Instance == "" || len(siblings) < 2 {
 		return
 	}
-	for _, life := range lives {
-		life.duplicateSince = o.now
+	for _, sibling := range siblings {
+		sibling.duplicateSince = o.now
 	}
-	o.log.Info("worker: several of one machine", zap.String("worker", string(w.entry.ID)),
-		zap.String("instance", string(w.entry.Instance)), zap.Int("lives", len(lives)))
+	o.log.Info("worker: several on one machine", zap.String("worker", string(w.entry.ID)),
+		zap.String("instance", string(w.entry.Instance)), zap.Int("lives", len(siblings)))
 }
 
-// livenessUnknownSince is since when it is in doubt that a worker lives; zero if it is not.
+// livenessUnknownSince returns since when it is uncertain that a worker is alive; zero if it is
+// certain.
 func (w *worker) livenessUnknownSince() time.Time {
 	from := w.silentSince
 	if from.IsZero() || !w.duplicateSince.IsZero() && w.duplicateSince.Before(from) {
@@ -99,7 +99,7 @@
 	return from
 }
 
-// applyMachineList ends doubts by the platform's list of machines.
+// applyMachineList resolves uncertain workers by the platform's list of machines.
 func (o *Owner) applyMachineList() {
 	list := o.machineCache.Latest()
 	if list == nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// probe looks at a worker whose life has ended by a list of machines. Only if it does
-// not answer is the list believed: pages of a list are no snapshot, and a list may lag.
+// probe polls a worker that has ended according to a list of machines. The list is believed only
+// if the worker does not answer, as the pages of a list are no snapshot, and it may lag.
 func (o *Owner) probe(w *worker, list *MachineList) {
 	if w.probing() {
 		return
@@ -130,22 +130,20 @@
 	w.probeSince = list.RequestedAt
 	if w.stateKnown {
 		w.nextPoll = o.now
-		w.session.interrupt() // it may wait for an end to report
+		w.session.interrupt() // its poll may be waiting for an end
 	}
 }
 
-// probing tells whether a look is under way because of a list that says that the
-// worker's life has ended.
+// probing reports whether the owner waits for the answer to a probe.
 func (w *worker) probing() bool { return w.probeSince.After(w.clockAt) }
 
-// needsProbe tells whether a look is to show that a worker lives. One on which nothing
-// runs isn't looked at otherwise, and would get new work although its machine's next life
-// is known.
+// needsProbe reports whether a poll must show that a worker is alive. An idle worker isn't polled
+// otherwise, and would get new work although another worker of its machine is known.
 func (w *worker) needsProbe() bool { return w.probing() || w.duplicateSince.After(w.polledAt) }
 
-// terminationBy is why a worker's life has ended by a list of machines; zero if it has not, or
-// if the list does not tell. A worker that has answered since the list was asked for
-// lives on.
+// terminationBy returns why a worker has ended according to a list of machines; zero if it has
+// not, or if the list does not tell. A worker that has answered since the list was requested is
+// alive.
 func (o *Owner) terminationBy(list *MachineList, w *worker) termination {
 	from := w.livenessUnknownSince()
 	if w.entry.Instance == "" || from.IsZero() || !list.RequestedAt.After(from) || w.clockAt.After(list.RequestedAt) {
@@ -161,23 +159,23 @@
 	case tw.MachineDown:
 		return termination{reason: "its machine is " + string(machine.State)}
 	case tw.MachineUp:
-		_, former := o.terminated[machine.Worker]
-		if machine.Worker != "" && machine.Worker != w.entry.ID && !former {
+		_, terminated := o.terminated[machine.Worker]
+		if machine.Worker != "" && machine.Worker != w.entry.ID && !terminated {
 			return termination{reason: "its machine runs another worker"}
 		}
 	}
 	return termination{}
 }
 
-// addUnlisted adds the workers of the pool that run without an entry in the
-// list of workers, as after an outage: the former owner may have used them.
+// addUnlisted adds the running workers of the pool that have no entry in the list of workers, as
+// after an outage. The previous owner may have used them.
 func (o *Owner) addUnlisted(list *MachineList) {
 	for _, machine := range list.Machines {
 		if machine.Pool != o.pool || machine.Worker == "" || o.workers[machine.Worker] != nil {
 			continue
 		}
 		if _, ended := o.terminated[machine.Worker]; ended {
-			continue // it was ordered away since the list was asked for
+			continue // it has ended since the list was requested
 		}
 		w := o.addWorker(tw.WorkerEntry{
 			ID: machine.Worker, Pool: machine.Pool, Hall: machine.Hall, Instance: machine.ID,
@@ -189,9 +187,9 @@
 	o.placeRequested = true
 }
 
-// removeTerminated drops a worker whose life has certainly ended, with all that ran there.
+// removeTerminated removes a worker that has certainly ended, with all its runs.
 func (o *Owner) removeTerminated(w *worker, end termination) {
-	o.terminated[w.entry.ID] = terminatedWorker{since: o.now, seenAt: o.now, startTime: w.startTime} // its entry is not that of a new worker
+	o.terminated[w.entry.ID] = terminatedWorker{since: o.now, seenAt: o.now, startTime: w.startTime} // a late entry must not add it again
 	o.removeWorker(w, end.reason)
 	if !end.planned {
 		o.attributeCrash(w, end.replaced)
@@ -201,29 +199,29 @@
 	}
 }
 
-// markTerminated notes that a life has ended, whether or not it was known here.
+// markTerminated records that a worker has ended, even if it was not known here.
 func (o *Owner) markTerminated(id tw.WorkerID) {
 	o.terminated[id] = terminatedWorker{since: o.now, seenAt: o.now}
 }
 
-// unmarkTerminated forgets that a life has ended if the list of machines still names it
-// long after. If that is wrong, it costs a look.
+// unmarkTerminated reports whether a worker may be running. It drops the record of its end if the
+// list of machines still names it long after that. If the list is wrong, this costs a poll.
 func (o *Owner) unmarkTerminated(id tw.WorkerID) bool {
-	life, ended := o.terminated[id]
+	record, ended := o.terminated[id]
 	if !ended {
 		return true
 	}
-	if o.now.Sub(life.since) < machineListLag {
+	if o.now.Sub(record.since) < machineListLag {
 		return false
 	}
-	o.log.Warn("worker: its machine still runs it", zap.String("worker", string(id)), zap.Duration("since", o.now.Sub(life.since)))
+	o.log.Warn("worker: its machine still runs it", zap.String("worker", string(id)), zap.Duration("since", o.now.Sub(record.since)))
 	delete(o.terminated, id)
 	return true
 }
 
-// removeWorker drops a worker; if it lives, its entry brings it back.
-func (o *Owner) removeWorker(w *worker, why string) {
-	o.log.Info("worker: ended", zap.String("worker", string(w.entry.ID)), zap.String("why", why),
+// removeWorker removes a worker. If it is alive, its entry adds it again.
+func (o *Owner) removeWorker(w *worker, reason string) {
+	o.log.Info("worker: ended", zap.String("worker", string(w.entry.ID)), zap.String("why", reason),
 		zap.Int("runs", len(w.runs)), zap.String("instance", string(w.entry.Instance)), zap.Bool("listed", w.listed),
 		zap.Bool("silent", !w.silentSince.IsZero()), w.answerAgeField(o.now))
 	w.session.close()
--- a/run/lives_test.go
+++ b/run/lives_test.go
@@ -13,87 +13,80 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// A worker's entry may come back to the list after its machine has begun another
-// life: a write is held up by a cut, or an entry that lapsed is written once more.
-// The owner took the entry that it saw last for the later life, gave up the present
-// worker, which answered and ran on, and started its runs again elsewhere. When that
-// worker was listed anew, its ends were confirmed, so that a subtask had been started
-// after it was done. From the owner's log, in seconds:
-//
-//	11.0717 worker: listed  i-1fd32168e0  instance m-36425
-//	11.0936 worker: answers i-1fd32168e0
-//	11.6055 worker: listed  i-5acae62918  instance m-36425, down since 6.27
-//	11.6055 worker: ended   i-1fd32168e0  its machine has a new worker, runs 3
-//	11.6055 worker: ended   i-5acae62918  another worker answers at its address
-var livesCases = map[string]func(r *rig){
-	"keeps the present worker when the entry of a former one comes back": func(r *rig) {
-		o, former, present := r.secondLife(sameAddress)
+// incarnationCases: a worker's entry may come back to the list after its machine has started
+// another worker, because a write is delayed by a network partition, or an expired entry is
+// written once more. An owner that took the entry it saw last for the current worker gave up the
+// worker that was answering, and started its runs again elsewhere. When that worker was listed
+// again, its ends were acknowledged, so a subtask had been started after it was done.
+var incarnationCases = map[string]func(r *rig){
+	"keeps the current worker when the entry of a previous one comes back": func(r *rig) {
+		o, former, present := r.replacedWorker(sameAddress)
 		r.relist(o, former)
-		r.keepsAll(present)
+		r.expectAllKept(present)
 	},
 	"keeps it while it is silent for a moment": func(r *rig) {
-		o, former, present := r.secondLife(sameAddress)
+		o, former, present := r.replacedWorker(sameAddress)
 		r.fleet.Set(present.ID, func(w *standin.SimWorker) { w.Silent = true })
 		time.Sleep(200 * time.Millisecond)
 		r.relist(o, former)
 		time.Sleep(1500 * time.Millisecond)
 		r.fleet.Set(present.ID, func(w *standin.SimWorker) { w.Silent = false })
-		r.keepsAll(present)
+		r.expectAllKept(present)
 	},
 	"keeps it while the list of machines is not readable": func(r *rig) {
-		o, former, present := r.secondLife(sameAddress)
+		o, former, present := r.replacedWorker(sameAddress)
 		r.cloud.SetDown(true)
 		r.relist(o, former)
-		r.keepsAll(present)
+		r.expectAllKept(present)
 	},
-	"keeps it when its own entry has lapsed meanwhile": func(r *rig) {
-		o, former, present := r.secondLife(sameAddress)
+	"keeps it when its own entry has expired meanwhile": func(r *rig) {
+		o, former, present := r.replacedWorker(sameAddress)
 		delete(r.list, present.ID)
 		r.relist(o, former)
 		time.Sleep(time.Second)
 		r.relist(o, present)
-		r.keepsAll(present)
+		r.expectAllKept(present)
 	},
 	"keeps it when the machine was moved away and back": func(r *rig) {
-		o := r.take("a")
-		time.Sleep(settled)
+		o := r.newOwner("a")
+		time.Sleep(takeoverSettleTime)
 		former := r.list[workerID(0)]
 		r.fleet.Kill(former.ID)
 		_, err := o.Report(r.ctx, run.Directions{Gone: []tw.WorkerID{former.ID}})
 		r.Expect(err).NotTo(HaveOccurred())
 		delete(r.list, former.ID)
-		r.feed(o)
+		r.publishWorkers(o)
 		present := former
 		present.ID, present.Address = "present", "10.0.0.99:1"
 		r.fleet.Add(present)
-		r.runs(present)
+		r.listAsRunning(present)
 		r.relist(o, present)
-		r.fill(o)
+		r.fillWorkers(o)
 		r.relist(o, former) // nobody answers there any more
-		r.keepsAll(present)
+		r.expectAllKept(present)
 	},
-	"keeps it when a new owner sees the former entry later": func(r *rig) {
-		b, former, present := r.inheritSecondLife(sameAddress)
+	"keeps it when a new owner sees the previous entry later": func(r *rig) {
+		b, former, present := r.inheritReplacedWorker(sameAddress)
 		r.relist(b, former)
-		r.keepsAll(present)
+		r.expectAllKept(present)
 	},
-	"uses the present worker when both are listed at once": func(r *rig) {
-		o := r.take("a")
-		time.Sleep(settled)
+	"uses the current worker when both are listed at once": func(r *rig) {
+		o := r.newOwner("a")
+		time.Sleep(takeoverSettleTime)
 		former := r.list[workerID(0)]
 		delete(r.list, former.ID)
-		r.feed(o)
-		present := r.reborn(former.ID, "a-present") // before the former one by its id
-		time.Sleep(settled)
-		r.feed(o)
+		r.publishWorkers(o)
+		present := r.startNextWorker(former.ID, "a-present") // sorts before the previous one by ID
+		time.Sleep(takeoverSettleTime)
+		r.publishWorkers(o)
 		r.list[present.ID] = present
 		r.relist(o, former)
-		r.fill(o)
-		r.keepsAll(present)
+		r.fillWorkers(o)
+		r.expectAllKept(present)
 	},
-	"gives an idle former worker nothing while the list of machines is not readable": func(r *rig) {
-		o := r.take("a")
-		time.Sleep(settled)
+	"gives an idle previous worker no work while the list of machines is not readable": func(r *rig) {
+		o := r.newOwner("a")
+		time.Sleep(takeoverSettleTime)
 		former := r.list[workerID(0)]
 		r.cloud.SetDown(true)
 		r.fleet.Kill(former.ID)
@@ -102,21 +95,21 @@
 		r.fleet.Add(present)
 		r.relist(o, present)
 		time.Sleep(time.Second)
-		r.submit(o, lasting("s1", 4))
+		r.submit(o, longRunning("s1", 4))
 		r.Eventually(r.fleet.Starts, time.Second).Should(Equal(4))
 	},
-	"starts nothing again that ends on the present worker meanwhile": func(r *rig) {
-		o := r.take("a")
-		time.Sleep(settled)
-		former, present := r.crash(o, 0, sameAddress)
+	"does not restart a subtask that ends on the current worker meanwhile": func(r *rig) {
+		o := r.newOwner("a")
+		time.Sleep(takeoverSettleTime)
+		former, present := r.crashAndReplace(o, 0, sameAddress)
 		full := submission("s0", 12)
 		full.Steps[0].MaxPerWorker = 4
 		full.Steps[0].Estimate = time.Minute
-		r.list[present.ID] = r.draining(present, true)
-		r.feed(o)
-		r.submit(o, full) // so that nothing else has room
+		r.list[present.ID] = r.withDraining(present, true)
+		r.publishWorkers(o)
+		r.submit(o, full) // leaves room on the current worker only
 		time.Sleep(500 * time.Millisecond)
-		r.relist(o, r.draining(present, false))
+		r.relist(o, r.withDraining(present, false))
 		s := submission("s1", 1)
 		s.Steps[0].Estimate = 2 * time.Second
 		r.submit(o, s)
@@ -127,29 +120,29 @@
 		delete(r.list, former.ID)
 		delete(r.list, present.ID)
 		r.addWorker(9)
-		r.feed(o)
+		r.publishWorkers(o)
 		time.Sleep(200 * time.Millisecond)
 		r.relist(o, present)
-		time.Sleep(3 * time.Second) // its ends are recorded and confirmed by now
-		r.kept()
+		time.Sleep(3 * time.Second) // its ends are recorded and acknowledged by now
+		r.expectNoViolations()
 		r.Expect(r.fleet.Starts()).To(Equal(13))
 	},
-	"takes no note of an end after it has started the subtask again": func(r *rig) {
-		o := r.take("a")
-		time.Sleep(settled)
-		former, present := r.crash(o, 0, sameAddress)
+	"does not acknowledge an end after it has started the subtask again": func(r *rig) {
+		o := r.newOwner("a")
+		time.Sleep(takeoverSettleTime)
+		former, present := r.crashAndReplace(o, 0, sameAddress)
 		s := submission("s1", 4)
 		s.Steps[0].Estimate = 3 * time.Second
 		s.Steps[0].MaxPerWorker = 1
 		r.submit(o, s)
 		r.addWorker(9)
-		r.feed(o)
+		r.publishWorkers(o)
 		time.Sleep(time.Second)
 		r.relist(o, former)
 		time.Sleep(time.Second)
 		delete(r.list, former.ID)
-		delete(r.list, present.ID) // its entry lapses as well
-		r.feed(o)
+		delete(r.list, present.ID) // its entry expires as well
+		r.publishWorkers(o)
 		time.Sleep(2 * time.Second)
 		r.relist(o, present)
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 10*time.Second)
@@ -158,23 +151,23 @@
 	},
 }
 
-// settled is longer than an owner counts workers that appear as ones that the
-// former owner may have used.
-const settled = 13 * time.Second
+// takeoverSettleTime is longer than the time for which an owner assumes that a newly listed worker
+// may have runs of the previous owner.
+const takeoverSettleTime = 13 * time.Second
 
-// sameAddress has the next life of a machine listen where the former one did.
+// sameAddress makes the next worker of a machine listen at the address of the previous one.
 const sameAddress = ""
 
-func TestLivesOfAMachine(t *testing.T) { playCases(t, livesCases) }
+func TestWorkerIncarnations(t *testing.T) { runCases(t, incarnationCases) }
 
-// crash ends a worker, waits until the owner knows that and its entry has gone, and
-// lists the machine's next life, which listens at the same address or at another.
-func (r *rig) crash(o *run.Owner, n int, address string) (former, present tw.WorkerEntry) {
+// crashAndReplace kills a worker, removes its entry, waits until the owner has noticed, and lists
+// the machine's next worker, which listens at the same address or at another.
+func (r *rig) crashAndReplace(o *run.Owner, n int, address string) (former, present tw.WorkerEntry) {
 	former = r.list[workerID(n)]
 	r.fleet.Kill(former.ID)
 	r.cloud.Add(tw.Machine{ID: former.Instance, Pool: pool, State: tw.MachineDown})
 	delete(r.list, former.ID)
-	r.feed(o)
+	r.publishWorkers(o)
 	time.Sleep(2 * time.Second)
 	present = former
 	present.ID = "present"
@@ -182,71 +175,71 @@
 		present.Address = address
 	}
 	r.fleet.Add(present)
-	r.runs(present)
+	r.listAsRunning(present)
 	r.relist(o, present)
 	time.Sleep(time.Second)
 	return former, present
 }
 
-// secondLife has an owner of whose machines one is in its second life, and subtasks of
-// s1 on all of them.
-func (r *rig) secondLife(address string) (o *run.Owner, former, present tw.WorkerEntry) {
-	o = r.take("a")
-	time.Sleep(settled)
-	former, present = r.crash(o, 0, address)
-	r.fill(o)
+// replacedWorker starts an owner and restarts the worker of one machine under a new ID. A subtask of
+// s1 runs on each machine.
+func (r *rig) replacedWorker(address string) (o *run.Owner, former, present tw.WorkerEntry) {
+	o = r.newOwner("a")
+	time.Sleep(takeoverSettleTime)
+	former, present = r.crashAndReplace(o, 0, address)
+	r.fillWorkers(o)
 	return o, former, present
 }
 
-// inheritSecondLife does so for the owner after that, which does not know the former
-// life.
-func (r *rig) inheritSecondLife(address string) (o *run.Owner, former, present tw.WorkerEntry) {
-	a, former, present := r.secondLife(address)
+// inheritReplacedWorker does the same, and returns the next owner, which does not know the previous
+// worker.
+func (r *rig) inheritReplacedWorker(address string) (o *run.Owner, former, present tw.WorkerEntry) {
+	a, former, present := r.replacedWorker(address)
 	a.Close()
-	o = r.take("b")
-	time.Sleep(settled)
+	o = r.newOwner("b")
+	time.Sleep(takeoverSettleTime)
 	return o, former, present
 }
 
-// fill runs one subtask of s1 on each of four workers, and then adds another on which
+// fillWorkers runs one subtask of s1 on each of four workers, and then adds another worker on which
 // they could be started again.
-func (r *rig) fill(o *run.Owner) {
-	r.submit(o, lasting("s1", 4))
+func (r *rig) fillWorkers(o *run.Owner) {
+	r.submit(o, longRunning("s1", 4))
 	time.Sleep(2 * time.Second)
 	r.addWorker(9)
-	r.feed(o)
+	r.publishWorkers(o)
 	time.Sleep(time.Second)
 }
 
-// reborn starts a machine's next life at the address of the one before.
-func (r *rig) reborn(id, next tw.WorkerID) tw.WorkerEntry {
+// startNextWorker starts a machine's next worker at the address of the previous one.
+func (r *rig) startNextWorker(id, next tw.WorkerID) tw.WorkerEntry {
 	entry := r.fleet.Reborn(id, next)
-	r.runs(entry)
+	r.listAsRunning(entry)
 	return entry
 }
 
-// draining is an entry with its worker's word on whether it drains.
-func (r *rig) draining(entry tw.WorkerEntry, drains bool) tw.WorkerEntry {
+// withDraining returns the entry with its draining flag set to drains.
+func (r *rig) withDraining(entry tw.WorkerEntry, drains bool) tw.WorkerEntry {
 	entry.Draining = drains
 	return entry
 }
 
-// runs says in the list of machines which life a machine runs.
-func (r *rig) runs(entry tw.WorkerEntry) {
+// listAsRunning updates the list of machines with the worker that a machine runs.
+func (r *rig) listAsRunning(entry tw.WorkerEntry) {
 	r.cloud.Add(tw.Machine{
 		ID: entry.Instance, Pool: pool, State: tw.MachineUp, Worker: entry.ID, Capacity: entry.Capacity, Labels: entry.Labels,
 	})
 }
 
-// relist adds an entry to the list of workers.
+// relist adds an entry to the list of workers and publishes it to the owner.
 func (r *rig) relist(o *run.Owner, entry tw.WorkerEntry) {
 	r.list[entry.ID] = entry
-	r.feed(o)
+	r.publishWorkers(o)
 }
 
-// keepsAll expects that the four subtasks of s1, one on each worker, run on where they
-// were started, for longer than anything that was granted lasts.
-func (r *rig) keepsAll(present tw.WorkerEntry) {
+// expectAllKept expects the four subtasks of s1 to stay on the workers on which they were started,
+// one on each, for longer than any deadline that was granted.
+func (r *rig) expectAllKept(present tw.WorkerEntry) {
 	r.t.Helper()
 	on := map[tw.WorkerID]bool{}
 	for range 2 {
@@ -263,20 +256,21 @@
 	r.Expect(r.fleet.Starts()).To(Equal(4))
 }
 
-// Work whose worker was replaced just after each start was given up, as if it had brought five
-// workers down. A machine whose worker a subtask has brought down is away for seconds.
+// A worker that is replaced right after a start was not crashed by the subtask, as a machine
+// needs seconds to come back after a crash. When such replacements were counted as crashes,
+// the subtask was given up after five of them.
 func TestReplacedWorkersAreNotCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 1)
 		defer r.end()
-		o := r.take("a")
-		time.Sleep(settled)
+		o := r.newOwner("a")
+		time.Sleep(takeoverSettleTime)
 		r.submit(o, submission("s1", 1))
 		present := workerID(0)
 		for n := range 7 {
 			r.Eventually(func() int { return r.fleet.Running(subtask("s1", 0, 0)) }, 20*time.Second, 5*time.Millisecond).Should(Equal(1))
 			next := tw.WorkerID(fmt.Sprintf("next%d", n))
-			entry := r.reborn(present, next)
+			entry := r.startNextWorker(present, next)
 			delete(r.list, present)
 			r.relist(o, entry)
 			present = next
--- a/run/look.go
+++ b/run/look.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindworks/tamarindworks/internal/logsink"
 )
 
-// pollWorkers sends the looks that are due and returns when the next one is.
+// pollWorkers sends the polls that are due and returns when the next one is.
 func (o *Owner) pollWorkers() time.Time {
 	var next time.Time
 	if !o.permit.valid(o.now) {
@@ -37,8 +37,8 @@
 	return next
 }
 
-// pollDue tells whether and when a worker is to be looked at next, and whether
-// the look may wait for an end to report.
+// pollDue reports whether and when a worker must be polled next, and whether the worker may
+// wait for an end before it answers.
 func (o *Owner) pollDue(w *worker) (at time.Time, mayWait, wanted bool) {
 	if w.unanswered > 0 || !w.stateKnown || w.needsProbe() {
 		return w.nextPoll, false, true
@@ -47,18 +47,18 @@
 		return w.polledAt.Add(confirmEndsDelay), false, w.confirmedEnd < w.recordedEnd
 	}
 	if o.now.Sub(w.polledAt) < startAnswerWait && w.starting() {
-		// A look that waits would tell nothing of them if one goes wrong.
+		// A poll that waits would not report a start that went wrong.
 		return w.polledAt.Add(startAnswerWait), false, true
 	}
 	if w.recordedEnd < w.seenEnd {
-		// Until the ends are recorded, the worker reports them again at once. But
-		// others may have ended since, whose room is wanted.
+		// The worker answers at once as long as it has ends that are not acknowledged. Other
+		// runs may have ended since, and their capacity is needed.
 		return w.polledAt.Add(unrecordedPollDelay), false, true
 	}
 	return w.nextPoll, true, true
 }
 
-// starting tells whether orders to start runs are under way.
+// starting reports whether starts are in flight.
 func (w *worker) starting() bool {
 	for _, r := range w.runs {
 		if r.phase == starting {
@@ -68,7 +68,8 @@
 	return false
 }
 
-// pollWait is shorter where tails are to be watched or a run is overdue.
+// pollWait returns how long a worker may wait before it answers a poll. It is shorter where
+// tail latencies must be watched or a run is overdue.
 func (o *Owner) pollWait(w *worker) time.Duration {
 	if w.tally.trials > 0 {
 		return min(max(0, w.trialDue().Sub(o.now)), shortPollWait)
@@ -97,6 +98,7 @@
 	return longPollWait
 }
 
+// poll sends a hold, which asks for runs and ends and extends the deadline of the runs.
 func (o *Owner) poll(w *worker, wait time.Duration) {
 	o.pollSeq++
 	hold := tw.HoldOrder{Fence: o.self.Fence, AckedSequence: w.confirmableEnd(), Wait: wait}
@@ -118,7 +120,7 @@
 	}}
 }
 
-// pollAnswered takes up the outcome of a look.
+// pollAnswered handles the result of a poll.
 func (o *Owner) pollAnswered(w *worker, hold tw.HoldOrder, result pollResult) {
 	w.polling = false
 	if o.workers[w.entry.ID] != w || o.draining {
@@ -159,8 +161,8 @@
 	o.placeRequested = true
 }
 
-// endBatchDelay is how long ends may endBatchDelay at a worker before the next look: short
-// where the end of few subtasks completes a step, on which others wait.
+// endBatchDelay returns the pause before the next poll, so that one report carries several ends.
+// It is short if few ends complete a step, for which other steps wait.
 func (w *worker) endBatchDelay() time.Duration {
 	for _, r := range w.runs {
 		st := r.task.step
@@ -195,7 +197,7 @@
 	}
 }
 
-// handleEnds takes up the ends that were not seen before.
+// handleEnds handles the ends that were not seen before.
 func (o *Owner) handleEnds(w *worker, ended []tw.EndedSubtask) {
 	before := w.seenEnd
 	for _, e := range ended {
@@ -210,7 +212,7 @@
 	}
 }
 
-// reconcileRuns compares what runs with what is believed to run.
+// reconcileRuns compares the reported runs with those that the owner expects.
 func (o *Owner) reconcileRuns(w *worker, result pollResult) {
 	listed := make(map[runKey]bool, len(result.report.Running))
 	for _, running := range result.report.Running {
@@ -233,11 +235,11 @@
 	}
 }
 
-// mayBeTruncated tells whether a report may lack ends. A run that it does not list proves
-// nothing then, as it may be among the ends that are still to come.
+// mayBeTruncated reports whether a report may lack ends. A run that it does not list may then be
+// among the ends that are still to come.
 func mayBeTruncated(report tw.HoldReport) bool { return len(report.Ended) >= tw.MaxEndsListed }
 
-// adopt takes up a run of a former owner, or one whose start was given up.
+// adopt adds a run of a previous owner, or one whose start was given up.
 func (o *Owner) adopt(w *worker, listed tw.RunningSubtask) *runState {
 	r := &runState{run: listed.Run, w: w, phase: running, startedAt: o.now, progressAt: o.now, pace: fullPace}
 	var t *task
@@ -245,8 +247,8 @@
 		t = o.taskOf(sub, listed.Subtask)
 	}
 	if t == nil {
-		// Nothing is known of its needs: it is stopped, and takes the whole
-		// worker until it is gone.
+		// Its resources are unknown, so it is stopped and charged with the whole worker until
+		// it is gone.
 		t = orphanTask(listed.Subtask, o.submissions[listed.Subtask.Submission])
 		r.claim = w.entry.Capacity
 	} else {
@@ -255,7 +257,7 @@
 	r.task = t
 	r.sent.Store(true)
 	r.trial = t.suspect()
-	// A former owner has started a suspect only once it had counted that start.
+	// A previous owner counted the start of a suspect as a crash before it made the start.
 	r.precounted = t.crashes > 0 && !t.step.spec.AllowCopies
 	t.runs = append(t.runs, r)
 	w.add(r)
@@ -271,9 +273,9 @@
 	return r
 }
 
-// taskOf finds a subtask of which a worker tells, or nil. Its repetition may not be
-// due here yet although a former owner, whose clock was ahead, has started it: not
-// opened, its end would be confirmed but not recorded, and it would run again.
+// taskOf returns a subtask that a worker reports, or nil. Its repetition may not be due here yet,
+// if a previous owner whose clock was ahead has started it. The repetition is opened then, as
+// the end would otherwise be acknowledged but not recorded, and the subtask would run again.
 func (o *Owner) taskOf(sub *submission, id tw.SubtaskID) *task {
 	if sub.durable && !sub.closed() && id.Repetition >= sub.nextRep {
 		o.openBelow(sub, id.Repetition+1)
@@ -281,8 +283,8 @@
 	return sub.task(id)
 }
 
-// orphanTask stands for a subtask of which nothing is known, but for the submission if that
-// has ended.
+// orphanTask returns a placeholder for a subtask of which nothing is known, except for the
+// submission if that has ended.
 func orphanTask(id tw.SubtaskID, ended *submission) *task {
 	sub := &submission{Submission: tw.Submission{ID: id.Submission}, final: tw.SubmissionCancelled}
 	if ended != nil {
@@ -306,19 +308,18 @@
 	r.tailLatency = running.TailLatency
 }
 
-// handleMissing handles a run that a look does not list though it should, if it
-// existed.
+// handleMissing handles a run that a poll should list if it existed, but does not.
 func (o *Owner) handleMissing(w *worker, r *runState) {
 	switch r.phase {
 	case starting:
-		return // its answer is still to come
+		return // the start is not answered yet
 	case unconfirmed:
-		// The order may still be carried out, unless a stop forbids it.
+		// The start may still be carried out, unless a stop revokes it.
 		o.stop(r, "its start was not answered")
 	case stopping:
 		return // the stop has not been answered yet
 	default:
-		o.log.Warn("run: not there any more", zap.Stringer("subtask", r.task.id), zap.Int64("run", int64(r.run)),
+		o.log.Warn("run: not reported any more", zap.Stringer("subtask", r.task.id), zap.Int64("run", int64(r.run)),
 			zap.String("worker", string(w.entry.ID)), zap.Stringer("phase", r.phase))
 		o.runGone(r, "not listed by its worker")
 	}
--- a/run/look_test.go
+++ b/run/look_test.go
@@ -11,13 +11,10 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-// A worker lists at most 500 ends at once. While the store takes no writes, ends
-// are not confirmed and gather there; the next run that ends then stands in
-// neither of the worker's lists: not among those that run, and not yet among those
-// that ended. The owner took such a run for gone ("run: not there any more") and
-// started its subtask again, although it had ended as done, and later confirmed
-// that end too. Of 600 subtasks 100 were started a second time.
-func TestLookAtMoreEndsThanAreListed(t *testing.T) {
+// A worker lists at most 500 ends in one report. While the store takes no writes, ends are not
+// acknowledged and pile up at the worker, so a run that ends next is listed neither as running
+// nor as ended. An owner that took such a run for lost started a completed subtask again.
+func TestPollTruncatedReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count, listed = 600, 500
 		r := newRig(t, 1)
@@ -26,29 +23,27 @@
 		wide.Capacity = tw.Resources{CPU: count * 1000, MemoryMB: count * 500}
 		r.list[wide.ID] = wide
 		r.fleet.Add(wide)
-		o := r.open("a", r.kv, &shortLists{WorkerOrders: r.fleet, most: listed})
+		o := r.newOwnerWith("a", r.kv, &truncatedReports{WorkerOrders: r.fleet, maxEnds: listed})
 		time.Sleep(time.Second)
 		s := submission("s1", count)
 		s.Steps[0].Estimate = 3 * time.Second
 		r.submit(o, s)
 		r.Eventually(r.fleet.Starts, 3*time.Second).Should(Equal(count))
 		r.kv.SetFaults(standin.KVFaults{Down: true})
-		time.Sleep(4 * time.Second) // all have ended
+		time.Sleep(4 * time.Second) // all have ended by now
 		r.kv.SetFaults(standin.KVFaults{})
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 20*time.Second)
 		time.Sleep(2 * time.Second) // the ends are confirmed by then
-		r.kept()
+		r.expectNoViolations()
 		r.Expect(r.fleet.Starts()).To(Equal(count))
 	})
 }
 
-// A new owner looks at each worker before it starts anything that the former one
-// may have started. It took the first answer for all that there is to know, also
-// when that listed as many ends as a worker lists at once: the subtasks whose ends
-// were still to come were started again while the store, which was slow, had not
-// yet recorded the first ones. Of 600 subtasks that had ended as done while the
-// former owner could not record it, 7 ran a second time in this test.
-func TestTakeoverOfMoreEndsThanAreListed(t *testing.T) {
+// A new owner polls each worker before it starts anything that its predecessor may have
+// started. An owner that took the first report as complete, although it was truncated at the
+// maximum number of ends, started subtasks again whose ends were still to come, while a slow
+// store had not recorded the first ones.
+func TestTakeoverTruncatedReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count, listed = 600, 500
 		r := newRig(t, 2)
@@ -57,8 +52,8 @@
 		wide.Capacity = tw.Resources{CPU: count * 1000, MemoryMB: count * 500}
 		r.list[wide.ID] = wide
 		r.fleet.Add(wide)
-		orders := &shortLists{WorkerOrders: r.fleet, most: listed}
-		a := r.open("a", r.kv, orders)
+		orders := &truncatedReports{WorkerOrders: r.fleet, maxEnds: listed}
+		a := r.newOwnerWith("a", r.kv, orders)
 		time.Sleep(time.Second)
 		s := submission("s1", count)
 		s.Steps[0].Estimate = 3 * time.Second
@@ -68,12 +63,12 @@
 		time.Sleep(4 * time.Second) // all have ended
 		a.Close()
 		r.kv.SetFaults(standin.KVFaults{Slow: 240 * time.Millisecond})
-		b := r.open("b", r.kv, orders)
+		b := r.newOwnerWith("b", r.kv, orders)
 		time.Sleep(100 * time.Millisecond)
-		r.submit(b, submission("s2", 1)) // something goes on meanwhile
+		r.submit(b, submission("s2", 1)) // other work goes on meanwhile
 		r.eventually(b, "s1", tw.SubmissionSucceeded, 20*time.Second)
 		time.Sleep(2 * time.Second) // the ends are confirmed by then
-		r.kept()
+		r.expectNoViolations()
 		r.Expect(r.fleet.Starts()).To(Equal(count + 1))
 	})
 }
--- a/run/loop.go
+++ b/run/loop.go
@@ -3,10 +3,9 @@
 import "time"
 
 const (
-	// minWorkerWatchInterval and looksGap are the least times between two rounds of
-	// watchWorkers and of lookAround. A round costs some microseconds a worker;
-	// a look or a doubt that waits so much longer is not noticed beside a
-	// worker's 2 ms.
+	// minWorkerWatchInterval and minPollInterval are the minimum times between two rounds of
+	// watchWorkers and of pollWorkers. A round costs some microseconds per worker. The delay
+	// matters little, as a worker takes 2 ms to answer.
 	minWorkerWatchInterval = 20 * time.Millisecond
 	minPollInterval        = 5 * time.Millisecond
 )
@@ -36,13 +35,13 @@
 	}
 }
 
-// drainEvents handles what has come meanwhile before the next step.
+// drainEvents handles the events that have arrived meanwhile, before the next step.
 func (o *Owner) drainEvents() {
 	for range eventQueueSize {
 		select {
 		case event := <-o.events:
-			// An answer that came after the first event must not be noted with its time:
-			// the worker's clock would be taken to be ahead.
+			// Each event gets the current time. An answer recorded with the time of an
+			// earlier event would make the worker's clock seem to be ahead.
 			o.now = o.clock.Now()
 			event()
 		default:
@@ -51,7 +50,7 @@
 	}
 }
 
-// step does what is due and returns when something is due again.
+// step runs the tasks that are due and returns when the next one is.
 func (o *Owner) step() time.Time {
 	next := o.now.Add(confirmInterval)
 	if o.ownershipLost {
@@ -69,8 +68,8 @@
 	return earlier(next, o.writer.flush())
 }
 
-// throttle does a duty unless it was done less than a gap ago. It returns when
-// the duty is due again.
+// throttle calls duty unless that was done less than a gap ago. It returns when duty is due
+// again.
 func (o *Owner) throttle(from *time.Time, gap time.Duration, duty func() time.Time) time.Time {
 	if o.now.Before(*from) {
 		return *from
--- a/run/loop_test.go
+++ b/run/loop_test.go
@@ -9,42 +9,42 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// handClock is a clock that a test moves by hand.
-type handClock struct {
+// manualClock is a clock that a test sets.
+type manualClock struct {
 	tw.SystemClock
 	at time.Time
 }
 
-func (c *handClock) Now() time.Time { return c.at }
+func (c *manualClock) Now() time.Time { return c.at }
 
-// The loop took the time once and then handled up to 1,024 events by it. Where one of
-// them took long, as on a daemon that got no processor time meanwhile, the answer of
-// a worker that had come during it was noted with a time before it was given. The
-// worker's clock was then taken to be ahead by that much, here 3 s, and so its grants
-// ran out so much later than the owner believed, which starts again what has lapsed.
-func TestDrainEventsByTheirTime(t *testing.T) {
+// Each queued event must be handled with the current time. A loop that read the time once for
+// all queued events recorded a worker's answer with a time before it was given, if an earlier
+// event took long, as on a daemon without processor time. It then believed the worker's clock
+// to be ahead (here by 3 s), set deadlines that much too late, and started subtasks again while
+// their runs were still allowed to go on.
+func TestDrainEventsUpdatesTime(t *testing.T) {
 	g := NewWithT(t)
 	began := time.Now()
-	clock := &handClock{at: began}
+	clock := &manualClock{at: began}
 	o := &Owner{clock: clock, now: began, events: make(chan func(), eventQueueSize)}
 	w := &worker{}
 	const answered tw.WorkerTime = 5000
-	o.events <- func() { clock.at = began.Add(3 * time.Second) } // it took so long
+	o.events <- func() { clock.at = began.Add(3 * time.Second) } // handling it took 3 s
 	o.events <- func() { w.noteAnswer(o.now, answered) }
 	o.drainEvents()
 	g.Expect(w.estimateClock(clock.at)).To(Equal(answered))
 }
 
-// Zero is never, for both of the times. Where the first was zero the result was, so that
-// no duty of the loop ever said when it is due next, and waited for another event.
+// A zero time means never, in either argument. If a zero first argument won, the loop had no
+// next wake-up time and waited for another event.
 func TestEarlier(t *testing.T) {
-	soon := time.Now()
-	late := soon.Add(time.Second)
+	t1 := time.Now()
+	t2 := t1.Add(time.Second)
 	for name, c := range map[string]struct{ a, b, want time.Time }{
-		"the first":     {soon, late, soon},
-		"the second":    {late, soon, soon},
-		"never, a time": {time.Time{}, late, late},
-		"a time, never": {late, time.Time{}, late},
+		"the first":     {t1, t2, t1},
+		"the second":    {t2, t1, t1},
+		"never, a time": {time.Time{}, t2, t2},
+		"a time, never": {t2, time.Time{}, t2},
 		"never":         {},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/run/metrics.go
+++ b/run/metrics.go
@@ -14,21 +14,22 @@
 	pool     tw.PoolID
 	accepted *metrics.Counter
 	refused  *metrics.Counter
-	// busy counts the submissions refused as the owner was overloaded.
+	// busy counts the submissions refused because the owner was overloaded.
 	busy  *metrics.Counter
 	polls *metrics.Counter
-	// duplicateRuns counts the runs that ended as done though they had been given up.
+	// duplicateRuns counts the runs that completed although they had been given up.
 	duplicateRuns *metrics.Counter
-	// capWithheld counts the passes in which an organisation's cap held work back.
+	// capWithheld counts the placement passes in which a cap held work back, once for each
+	// organisation.
 	capWithheld *metrics.Counter
-	// suspectedRuns counts the runs that may have ended their workers.
+	// suspectedRuns counts the runs that may have crashed their workers.
 	suspectedRuns *metrics.Counter
-	// startDelay is from acceptance to the first order, in seconds.
+	// startDelay is the time from acceptance to the first confirmed start, in seconds.
 	startDelay *metrics.Histogram
 	endDelay   *metrics.Histogram
 	writeTime  *metrics.Histogram
-	// startQueued is from the decision to start to the sending of the order, startAnswer
-	// from there to its answer, in seconds.
+	// startQueued is the time from the decision to start to the sending of the order,
+	// startAnswer the time from there to its answer, in seconds.
 	startQueued *metrics.Histogram
 	startAnswer *metrics.Histogram
 	placeTime   *metrics.Histogram
@@ -66,10 +67,10 @@
 // endedRun counts the end of a run by its kind.
 func (m *ownerMetrics) endedRun(kind tw.EndKind) { m.count("run_ends_total", "kind", string(kind)) }
 
-// stopped counts stops by their reason.
+// stopped counts a stop by its reason.
 func (m *ownerMetrics) stopped(reason string) { m.count("stops_total", "reason", reason) }
 
-// ended counts submissions by their final state.
+// ended counts a submission by its final state.
 func (m *ownerMetrics) ended(state tw.SubmissionState) {
 	m.count("submissions_ended_total", "state", string(state))
 }
--- a/run/owner.go
+++ b/run/owner.go
@@ -24,11 +24,11 @@
 	metrics         *ownerMetrics
 	bounds          Bounds
 	onOwnershipLost func()
-	// link is what the daemon's link carries; zero if that is not known.
+	// link is the bandwidth of the daemon's link; zero if unknown.
 	link tw.BytesPerSecond
-	// refreshWorkers has the list of workers read anew; never nil.
+	// refreshWorkers requests a new read of the list of workers; never nil.
 	refreshWorkers func()
-	// evacuations are the evacuated halls as the daemon knows them; never nil.
+	// evacuations returns the evacuated halls known to the daemon; never nil.
 	evacuations func() *tw.Evacuations
 
 	events chan func()
@@ -39,44 +39,44 @@
 	// orderTimeout bounds the time of each order.
 	orderTimeout orderTimeout
 
-	// What follows belongs to the loop.
+	// The fields below are accessed by the loop only.
 
 	now         time.Time
 	takeoverAt  time.Time
 	submissions map[tw.SubmissionID]*submission
 	// live are the submissions that have not ended.
 	live map[tw.SubmissionID]*submission
-	// scheduled are the live submissions with repetitions that are still to come or to
+	// scheduled are the live submissions with repetitions that are still to be opened or to
 	// begin.
 	scheduled map[tw.SubmissionID]*submission
 	waiting   map[tw.RouteName]int
 	workers   map[tw.WorkerID]*worker
 	// workersByInstance are the workers of each machine.
 	workersByInstance map[tw.InstanceID][]*worker
-	// sortedWorkers are the workers by hall, rack and rank, the order in which they are
-	// filled; nil when it is to be worked out anew.
+	// sortedWorkers are the workers by hall, rack and rank, the order in which placement
+	// fills them; nil if they must be sorted again.
 	sortedWorkers []*worker
 	// ranks are the ranks in use.
 	ranks      map[int]bool
 	pollSeq    int64
 	runCounter tw.RunNumber
-	// placeRequested asks for a placement pass.
+	// placeRequested requests a placement pass.
 	placeRequested bool
-	// nextPlaceAt is before when no pass is made, so that passes over much
-	// waiting work leave the loop time for everything else.
+	// nextPlaceAt is the earliest time of the next pass, so that passes over much waiting
+	// work leave the loop time for everything else.
 	nextPlaceAt time.Time
-	// nextPollsAt, runsFrom and workersFrom are before when lookAround, watchRuns
-	// and watchWorkers are not called again: each visits all workers, and events
-	// come by the thousand a second.
+	// nextPollsAt, nextRunWatchAt and nextWorkerWatchAt are the earliest times of the next
+	// pollWorkers, watchRuns and watchWorkers. Each of these visits all workers, and there
+	// are thousands of events a second.
 	nextPollsAt       time.Time
 	nextRunWatchAt    time.Time
 	nextWorkerWatchAt time.Time
-	// preemptAt is when the next waiting work may preempt other work, so that a
-	// placement pass is due then; zero if none waits for that.
+	// preemptAt is when waiting work may next preempt other work, so that a placement pass
+	// is due then; zero if no work waits for that.
 	preemptAt    time.Time
 	waitLoggedAt time.Time
-	// shortLoggedAt is when it was last told that the owner is short, loopLate the longest that
-	// the loop was late since.
+	// shortLoggedAt is when the owner last logged that it is overloaded, maxLoopDelay the
+	// longest delay of the loop since then.
 	shortLoggedAt time.Time
 	maxLoopDelay  time.Duration
 	window        *sendWindow
@@ -85,40 +85,41 @@
 	caps          *caps
 	learned       map[estimateKey]correction
 	typical       typicalWork
-	// terminated are workers whose life has terminated: their entries may linger or come back.
+	// terminated are workers that no longer run. Their entries may linger or come back.
 	terminated map[tw.WorkerID]terminatedWorker
-	// unclaimed are ends of subtasks whose submission is not known here, by
-	// submission. A former owner that was told of it later may have run them.
+	// unclaimed are ends of subtasks whose submission is not known yet, by submission. A
+	// previous owner that learned of it after this one had loaded the submissions may have
+	// run them.
 	unclaimed map[tw.SubmissionID][]unclaimedEnd
 	vacate    map[tw.InstanceID]bool
 	vacateAt  time.Time
-	// evacuated are the evacuated halls that the owner goes by.
+	// evacuated are the evacuated halls that the owner currently applies.
 	evacuated       *tw.Evacuations
 	listStableSince time.Time
 	offered         Work
-	// offeredCount counts the submissions whose work is in offered.
+	// offeredCount is the number of submissions whose work is in offered.
 	offeredCount int64
 	// machineListRead: the list of machines was read since the takeover.
 	machineListRead bool
-	// ownershipLost: the ownership is being given up.
+	// ownershipLost: another daemon has the pool, and this owner is ending.
 	ownershipLost bool
-	// draining: what is known is recorded before a planned end of the
-	// ownership, and nothing else is taken up.
+	// draining: pending changes are recorded before a planned end of the ownership, and
+	// nothing new is accepted.
 	draining bool
 }
 
-// Errors that callers of an Owner get. Further ones are those of tw.KV:
-// ErrUnavailable and ErrRateLimited prove that nothing was done.
+// Errors returned by an Owner, besides those of tw.KV, of which ErrUnavailable and
+// ErrRateLimited guarantee that nothing was done.
 var (
 	ErrNotOwner          = errors.New("this daemon does not own the pool")
 	ErrUnknownSubmission = errors.New("no such submission")
 )
 
-// runNumbersPerOwner spaces the run numbers of successive owners, so that a new owner's
-// are higher without a record of the last one. An owner starts fewer.
+// runNumbersPerOwner separates the run numbers of successive owners, so that those of a new
+// owner are higher without a record of the last one used. An owner makes fewer starts than this.
 const runNumbersPerOwner = 10_000_000
 
-// New starts the owner's duties.
+// New starts an Owner.
 func (c Config) New() *Owner {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := c.Clock.Now()
@@ -153,8 +154,9 @@
 	o.window = newSendWindow(now, initialWindow(c.Cores, c.Link))
 	o.writer = newWriter(o, c.Book)
 	o.caps = newCaps(o, c.QueueConfig)
-	// Reading the submissions may have taken long, and another daemon may have taken
-	// the pool since: it counts on this owner's grants from its last write.
+	// Loading the submissions may have taken long, and another daemon may have taken the pool
+	// since. That daemon computes how long this owner may give orders from the last write, not
+	// from now.
 	o.permit.extend(c.Book.ConfirmedAt().Add(permitTTL))
 	for _, l := range c.Loaded {
 		o.loadSubmission(l)
@@ -167,7 +169,7 @@
 	return o
 }
 
-// loadSubmission takes a submission as the store has it.
+// loadSubmission adds a submission as read from the store.
 func (o *Owner) loadSubmission(l ledger.LoadedSubmission) {
 	if l.Record.Final != "" {
 		o.caps.inherit(l.Record)
@@ -191,7 +193,7 @@
 	o.claimEnds(sub)
 	sub.mayBeExhausted = sub.exhausted()
 	if l.CancelInInbox {
-		// Read with the inbox's other messages, a while later, it was started before.
+		// The inbox is read some time later, and the submission would be started before that.
 		o.applyMessage(ledger.InboxRecord{Kind: ledger.InboxCancel, ID: sub.ID})
 	}
 }
@@ -206,7 +208,7 @@
 	o.open(sub)
 }
 
-// markBegun notes that a subtask has been started.
+// markBegun records that a subtask of the submission has been started.
 func (o *Owner) markBegun(sub *submission) {
 	if !sub.begun {
 		sub.begun = true
@@ -214,10 +216,10 @@
 	}
 }
 
-// open opens what is due.
+// open opens the repetitions that are due.
 func (o *Owner) open(sub *submission) { o.openBelow(sub, 0) }
 
-// openBelow opens what is due, and the repetitions below a number in any case.
+// openBelow opens the repetitions that are due, and those numbered below a number in any case.
 func (o *Owner) openBelow(sub *submission, below int) {
 	begun := sub.begun
 	sub.openDue(o.clock.Now(), below)
@@ -233,22 +235,21 @@
 	o.placeRequested = true
 }
 
-// Record is the ownership as other daemons know it.
+// Record returns the ownership as other daemons see it.
 func (o *Owner) Record() ledger.Owner { return o.self }
 
-// Done is closed when the owner has ended.
+// Done returns a channel that is closed when the owner has ended.
 func (o *Owner) Done() <-chan struct{} { return o.done }
 
-// Close ends the ownership without a word to anybody: a successor takes over
-// from the store and the workers.
+// Close ends the ownership without notifying other daemons. A successor takes over from the
+// store and the workers.
 func (o *Owner) Close() {
 	o.cancel()
 	<-o.done
 }
 
-// Drain writes down what is not recorded yet and then ends the ownership, for
-// a planned stop. What ends meanwhile is left to the successor: workers list an
-// end until it was confirmed.
+// Drain records pending changes and then ends the ownership, for a planned stop. Runs that end
+// meanwhile are left to the successor, as workers report an end until it is acknowledged.
 func (o *Owner) Drain(ctx context.Context) {
 	flushed := make(chan struct{})
 	o.post(ctx, func() {
@@ -260,12 +261,12 @@
 	case <-ctx.Done():
 	case <-o.done:
 	case <-o.clock.After(drainTimeout):
-		o.log.Warn("owner: not all is recorded, the successor learns it from the workers")
+		o.log.Warn("owner: not all ends recorded in time, the successor learns of them from the workers")
 	}
 	o.Close()
 }
 
-// post hands an event to the loop; false if the owner or the context ended.
+// post passes an event to the loop. It returns false if the owner or the context has ended.
 func (o *Owner) post(ctx context.Context, event func()) bool {
 	select {
 	case o.events <- event:
@@ -297,20 +298,20 @@
 	o.log.Info("owner: ended")
 }
 
-// loseOwnership ends the ownership because another daemon has it.
-func (o *Owner) loseOwnership(why string) {
+// loseOwnership ends the owner because another daemon has the pool.
+func (o *Owner) loseOwnership(reason string) {
 	if o.ownershipLost {
 		return
 	}
 	o.ownershipLost = true
-	o.log.Warn("owner: deposed", zap.String("why", why))
+	o.log.Warn("owner: ownership lost", zap.String("why", reason))
 	o.cancel()
 	if o.onOwnershipLost != nil {
 		o.onOwnershipLost()
 	}
 }
 
-// notifyDurable tells those who wait for the submission to be notifyDurable that it is.
+// notifyDurable reports to its waiters that the submission is stored.
 func (s *submission) notifyDurable() {
 	for _, waiter := range s.waiters {
 		waiter <- nil
@@ -318,7 +319,8 @@
 	s.waiters = nil
 }
 
-// notifyWaiters tells all who wait for the submission to be recorded.
+// notifyWaiters passes a result to all requests that wait for the submission or its cancel to
+// be recorded.
 func (s *submission) notifyWaiters(err error) {
 	for _, waiter := range s.waiters {
 		waiter <- err
--- a/run/owner_bench_test.go
+++ b/run/owner_bench_test.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	benchRate = 60 // submissions a second
-	benchSpec = 2400
+	benchRate     = 60   // submissions per second
+	benchSpecSize = 2400 // bytes
 )
 
-// benchCases are pools of a large fleet: the number of workers, and whether
-// orders go over HTTP on loopback.
+// benchCases are pools of a large fleet, by number of workers and whether orders are sent over
+// HTTP on loopback.
 var benchCases = map[string]struct {
 	workers int
 	http    bool
@@ -37,10 +37,9 @@
 	"440 workers over HTTP": {workers: 440, http: true},
 }
 
-// BenchmarkOwner runs a pool at 60 submissions a second, each of two steps of
-// eight subtasks of 0.64 s, on workers of 16 cores. Run it with -benchtime=300x.
-// It reports the processor time of the process a submission: that of the owner
-// and, over HTTP, of the simulated workers too.
+// BenchmarkOwner runs a pool at 60 submissions per second, each of two steps of eight subtasks of
+// 0.64 s, on workers of 16 cores. Run it with -benchtime=300x. It reports the process's CPU time
+// per submission: that of the owner and, over HTTP, also that of the simulated workers.
 func BenchmarkOwner(b *testing.B) {
 	for name, c := range benchCases {
 		b.Run(name, func(b *testing.B) { benchmarkOwner(b, c.workers, c.http) })
@@ -92,7 +91,7 @@
 	defer owner.Close()
 	owner.SetWorkers(b.Context(), run.WorkerList{Workers: list, StableSince: time.Now().Add(-time.Minute)})
 	time.Sleep(time.Second)
-	spec := strings.Repeat("x", benchSpec)
+	spec := strings.Repeat("x", benchSpecSize)
 	began := processorTime(b)
 	b.ResetTimer()
 	last := ""
@@ -121,7 +120,7 @@
 	}
 }
 
-// benchLog encodes lines as a daemon does, and drops them.
+// benchLog encodes lines as a daemon does, and discards them.
 func benchLog() *zap.Logger {
 	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
 	return zap.New(zapcore.NewCore(encoder, zapcore.AddSync(io.Discard), zap.InfoLevel))
@@ -138,7 +137,7 @@
 	b.Error("the last submission has not ended")
 }
 
-// processorTime is what the process has used.
+// processorTime is the CPU time that the process has used.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/run/owner_test.go
+++ b/run/owner_test.go
@@ -14,35 +14,35 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// ownerCases are what an owner does in a pool of four workers.
+// ownerCases cover the basic duties of an owner in a pool of four workers.
 var ownerCases = map[string]func(r *rig){
-	"runs the steps of a submission one after the other": func(r *rig) {
-		o := r.take("a")
+	"runs the steps of a submission in order": func(r *rig) {
+		o := r.newOwner("a")
 		r.submit(o, submission("s1", 3, 5))
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
-	"keeps one submission for an id that comes twice": func(r *rig) {
-		o := r.take("a")
+	"stores one submission for an ID that is submitted twice": func(r *rig) {
+		o := r.newOwner("a")
 		s := submission("s1", 2)
 		r.submit(o, s)
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(2))
 	},
-	"does not take up an id again that has ended": func(r *rig) {
-		o := r.take("a")
+	"does not run an ID again that has ended": func(r *rig) {
+		o := r.newOwner("a")
 		s := submission("s1", 1)
 		r.submit(o, s)
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		o.Close()
-		o = r.take("b")
+		o = r.newOwner("b")
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
 		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionSucceeded))
 		time.Sleep(3 * time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
-	"ends as failed once a subtask has failed in all its attempts": func(r *rig) {
-		o := r.take("a")
+	"fails once a subtask has failed in all its attempts": func(r *rig) {
+		o := r.newOwner("a")
 		s := submission("s1", 2)
 		r.fleet.Expect(&s, func(id tw.SubtaskID, p *standin.Profile) { p.Fails = id.Index == 1 })
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
@@ -50,15 +50,15 @@
 		r.Expect(r.fleet.Running(subtask("s1", 0, 0))).To(BeZero())
 	},
 	"stops what runs when a submission is cancelled": func(r *rig) {
-		o := r.take("a")
-		r.submit(o, lasting("s1", 3))
+		o := r.newOwner("a")
+		r.submit(o, longRunning("s1", 3))
 		time.Sleep(2 * time.Second)
 		r.Expect(o.Cancel(r.ctx, "", "s1")).To(Succeed())
 		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionCancelled))
 		r.Eventually(func() int { return r.fleet.Running(subtask("s1", 0, 0)) }, 2*time.Second).Should(BeZero())
 	},
-	"takes up a run whose start was not answered but done": func(r *rig) {
-		o := r.take("a")
+	"adopts a run whose start was carried out but not answered": func(r *rig) {
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		for n := range 4 {
 			r.fleet.Set(workerID(n), func(w *standin.SimWorker) { w.LateStarts = 1 })
@@ -69,20 +69,20 @@
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
-	"forbids a start that was not answered before it starts elsewhere": func(r *rig) {
-		o := r.take("a")
+	"revokes an unanswered start before it starts the subtask elsewhere": func(r *rig) {
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 1 })
 		r.fleet.Set(workerID(1), func(w *standin.SimWorker) { w.LateStarts = 1 })
 		r.submit(o, submission("s1", 1))
 		time.Sleep(5 * time.Millisecond)
-		r.drain(o, 0) // so that it goes elsewhere
+		r.drain(o, 0) // the subtask must go elsewhere
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 		r.fleet.DoLate()
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
-	"does not count a submission as begun whose start is in doubt": func(r *rig) {
-		o := r.take("a")
+	"does not count a submission as started while its start is unconfirmed": func(r *rig) {
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		for n := range 4 {
 			r.fleet.Set(workerID(n), func(w *standin.SimWorker) { w.LateStarts = 9 })
@@ -92,20 +92,20 @@
 		r.Expect(o.Waiting(r.ctx, "quick")).To(Equal(1))
 		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionWaiting))
 	},
-	"goes on after another daemon has taken over": func(r *rig) {
-		a := r.take("a")
+	"continues after another daemon has taken over": func(r *rig) {
+		a := r.newOwner("a")
 		r.submit(a, submission("s1", 4, 4))
 		time.Sleep(500 * time.Millisecond)
-		b := r.take("b")
+		b := r.newOwner("b")
 		r.eventually(b, "s1", tw.SubmissionSucceeded, 6*time.Second)
 		r.Eventually(a.Done(), 3*time.Second).Should(BeClosed())
 		r.Expect(r.fleet.Starts()).To(Equal(8))
 	},
-	"keeps a cancel that came while it learned that another daemon had kept the submission": func(r *rig) {
+	"keeps a cancel that came while it learned that another daemon had stored the submission": func(r *rig) {
 		r.kv = standin.KVConfig{Latency: 100 * time.Millisecond}.New()
-		o := r.take("a")
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
-		s := lasting("s1", 2)
+		s := longRunning("s1", 2)
 		r.fleet.Expect(&s, nil)
 		_, err := r.kv.Commit(r.ctx, ledger.AcceptViaInbox(&s))
 		r.Expect(err).NotTo(HaveOccurred())
@@ -121,7 +121,7 @@
 	},
 	"records no end of a submission that the store refused": func(r *rig) {
 		r.kv = standin.KVConfig{Latency: 100 * time.Millisecond}.New()
-		o := r.take("a")
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		r.kv.SetFaults(standin.KVFaults{Down: true})
 		s := submission("s1", 1)
@@ -137,7 +137,7 @@
 		r.Expect(err).To(MatchError(tw.ErrNotFound))
 	},
 	"stops work of a lower priority for urgent work that finds no room": func(r *rig) {
-		o := r.take("a")
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		low := submission("low", 16)
 		low.Policy.Priority, low.Policy.Attempts = 1, 9
@@ -153,19 +153,19 @@
 		r.eventually(o, "low", tw.SubmissionSucceeded, 60*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(16 + 1 + 2 + 2)) // two were stopped
 	},
-	"has the list of workers read anew for one that it should know": func(r *rig) {
-		o := r.take("a")
+	"refreshes the list of workers for one that it should know": func(r *rig) {
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		_, err := o.Report(r.ctx, run.Directions{Running: []tw.WorkerID{workerID(0)}})
 		r.Expect(err).NotTo(HaveOccurred())
-		r.Expect(r.read).To(BeZero())
+		r.Expect(r.refreshes).To(BeZero())
 		_, err = o.Report(r.ctx, run.Directions{Running: []tw.WorkerID{"another"}})
 		r.Expect(err).NotTo(HaveOccurred())
-		r.Expect(r.read).To(Equal(1))
+		r.Expect(r.refreshes).To(Equal(1))
 	},
-	"is handed over at once while work goes on ending": func(r *rig) {
+	"hands over at once while work keeps ending": func(r *rig) {
 		r.kv = standin.KVConfig{Latency: 150 * time.Millisecond}.New() // a slow store
-		o := r.take("a")
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		for n := range 60 {
 			r.submit(o, submission(fmt.Sprintf("s%d", n), 3, 3, 3))
@@ -174,45 +174,45 @@
 		began := time.Now()
 		o.Drain(r.ctx)
 		r.Expect(time.Since(began)).To(BeNumerically("<", 700*time.Millisecond))
-		b := r.take("b")
+		b := r.newOwner("b")
 		for n := range 60 {
 			r.eventually(b, tw.SubmissionID(fmt.Sprintf("s%d", n)), tw.SubmissionSucceeded, 60*time.Second)
 		}
 	},
-	"starts nothing again on the word of an owner that is cut off": func(r *rig) {
-		cut := &cutOrders{WorkerOrders: r.fleet}
-		a := r.takeCut("a", cut)
-		r.submit(a, lasting("s1", 1))
+	"starts nothing again while a partitioned owner may still extend it": func(r *rig) {
+		cut := &partitionedOrders{WorkerOrders: r.fleet}
+		a := r.newCutOwner("a", cut)
+		r.submit(a, longRunning("s1", 1))
 		time.Sleep(2 * time.Second)
 		on := r.fleet.RunningOn(subtask("s1", 0, 0))
-		cut.lose(on[0])
+		cut.cutWorker(on[0])
 		time.Sleep(3 * time.Second) // the ownership is confirmed meanwhile
-		cut.loseStore()
-		// The new owner reaches no other worker, so that a is not refused there.
-		only := &cutOrders{WorkerOrders: r.fleet}
+		cut.cutStore()
+		// The new owner reaches no other worker, so no worker refuses a for its fencing token.
+		only := &partitionedOrders{WorkerOrders: r.fleet}
 		for id := range r.list {
 			if id != on[0] {
-				only.lose(id)
+				only.cutWorker(id)
 			}
 		}
-		c := r.takeCut("c", only)
+		c := r.newCutOwner("c", only)
 		time.Sleep(2 * maxHold)
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 		r.Expect(r.state(c, "s1")).To(Equal(tw.SubmissionStarted))
 	},
 	"refuses submissions at once while the store refuses writes": func(r *rig) {
-		o := r.take("a")
+		o := r.newOwner("a")
 		r.kv.SetFaults(standin.KVFaults{Down: true})
 		began := time.Now()
 		err := o.Submit(r.ctx, submission("s1", 1))
 		r.Expect(tw.NotApplied(err)).To(BeTrue())
-		r.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond)) // of the bubble's time
+		r.Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond)) // synctest time
 		r.kv.SetFaults(standin.KVFaults{})
 		_, err = ledger.FindSubmission(r.ctx, r.kv, "s1")
 		r.Expect(err).To(MatchError(tw.ErrNotFound))
 	},
 	"keeps work running while the store is down, and records it afterwards": func(r *rig) {
-		o := r.take("a")
+		o := r.newOwner("a")
 		r.submit(o, submission("s1", 4, 4))
 		r.kv.SetFaults(standin.KVFaults{Down: true})
 		time.Sleep(4 * time.Second)
@@ -221,23 +221,23 @@
 		r.kv.SetFaults(standin.KVFaults{})
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 3*time.Second)
 	},
-	"takes a submission for kept whose write was done but not answered": func(r *rig) {
-		o := r.take("a")
+	"accepts a submission whose write was done but not answered": func(r *rig) {
+		o := r.newOwner("a")
 		r.kv.SetFaults(standin.KVFaults{LoseAnswers: 1})
 		r.submit(o, submission("s1", 1))
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
-	"starts elsewhere soon what a worker leaves without an answer": func(r *rig) {
-		orders := &muteOrders{WorkerOrders: r.fleet}
-		o := r.open("a", r.kv, orders)
+	"starts a subtask elsewhere soon after a start got no answer": func(r *rig) {
+		orders := &droppedStarts{WorkerOrders: r.fleet}
+		o := r.newOwnerWith("a", r.kv, orders)
 		r.submit(o, submission("s1", 2))
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second) // answers take 2 ms here
-		orders.mute.Store(1)
+		orders.remaining.Store(1)
 		r.submit(o, submission("s2", 1))
 		r.Eventually(func() bool { return r.fleet.Begun("s2") }, 500*time.Millisecond, 10*time.Millisecond).Should(BeTrue())
 	},
 	"starts at once what a daemon with a fast clock accepted": func(r *rig) {
-		o := r.take("a")
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		s := submission("s1", 1)
 		s.Accepted = time.Now().Add(2 * time.Second)
@@ -246,7 +246,7 @@
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
 	"starts repetitions when they are due, not before": func(r *rig) {
-		o := r.take("a")
+		o := r.newOwner("a")
 		s := submission("s1", 1)
 		s.Schedule = tw.Schedule{Times: 3, First: time.Now().Add(time.Second), Interval: time.Second}
 		r.submit(o, s)
@@ -256,7 +256,7 @@
 		r.Expect(r.fleet.Starts()).To(Equal(3))
 	},
 	"starts the members of a gang together": func(r *rig) {
-		o := r.take("a")
+		o := r.newOwner("a")
 		s := submission("s1", 6)
 		s.Steps[0].Gang = true
 		r.submit(o, s)
@@ -264,12 +264,13 @@
 	},
 }
 
-// Work that can't be in time any more is told apart, as it draws no machines.
-func TestReportTellsLateWork(t *testing.T) {
+// Work that can't end within its objective any more is reported separately, as the manager moves
+// no machines for it.
+func TestReportSeparatesLateWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 1)
 		defer r.end()
-		o := r.take("a")
+		o := r.newOwner("a")
 		long := submission("00000000000000aa", 4)
 		long.Steps[0].Estimate = 30 * time.Second
 		r.submit(o, long)
@@ -279,7 +280,7 @@
 		r.Expect(err).NotTo(HaveOccurred())
 		r.Expect(report.Waiting.CPU).To(Equal(tw.Millicores(3000)))
 		r.Expect(report.Late.CPU).To(BeZero())
-		time.Sleep(3 * time.Second) // 0.8 s of work have an objective of 1.9 s
+		time.Sleep(3 * time.Second) // 0.8 s of work has an objective of 1.9 s
 		report, err = o.Report(r.ctx, run.Directions{})
 		r.Expect(err).NotTo(HaveOccurred())
 		r.Expect(report.Waiting.CPU).To(BeZero())
@@ -287,46 +288,46 @@
 	})
 }
 
-func TestOwner(t *testing.T) { playCases(t, ownerCases) }
+func TestOwner(t *testing.T) { runCases(t, ownerCases) }
 
-// playCases plays each case in a pool of four workers.
-func playCases(t *testing.T, cases map[string]func(r *rig)) {
+// runCases runs each case in a pool of four workers.
+func runCases(t *testing.T, cases map[string]func(r *rig)) {
 	for name, c := range cases {
-		playCase(t, name, 4, c)
+		runCase(t, name, 4, c)
 	}
 }
 
-// playOwnerCases plays each case in a pool of some workers that is prepared, with an owner that
-// has known them for a second.
-func playOwnerCases(t *testing.T, workers int, prepare func(r *rig), cases map[string]func(r *rig, o *run.Owner)) {
+// runOwnerCases runs each case in a pool that prepare has set up, with an owner that took the
+// pool a second ago.
+func runOwnerCases(t *testing.T, workers int, prepare func(r *rig), cases map[string]func(r *rig, o *run.Owner)) {
 	for name, c := range cases {
-		playCase(t, name, workers, func(r *rig) {
+		runCase(t, name, workers, func(r *rig) {
 			prepare(r)
-			o := r.take("a")
+			o := r.newOwner("a")
 			time.Sleep(time.Second)
 			c(r, o)
 		})
 	}
 }
 
-func playCase(t *testing.T, name string, workers int, play func(r *rig)) {
+func runCase(t *testing.T, name string, workers int, play func(r *rig)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t, workers)
 			defer r.end()
 			play(r)
-			r.kept()
+			r.expectNoViolations()
 		})
 	})
 }
 
-// A copy of a subtask that ends after the other must not end its step, and
-// one that has not been sent when the other ends must not be sent any more.
+// Of two copies of a subtask, the end of the second must not complete the step once more, and a
+// copy that has not been sent when the other ends must not be sent any more.
 func TestOwnerCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 3)
 		defer r.end()
-		o := r.take("a")
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		s := submission("s1", 2, 2)
 		for i := range s.Steps {
@@ -345,7 +346,7 @@
 				r.Expect(r.fleet.Done(subtask("s1", step, index))).To(BeTrue())
 			}
 		}
-		r.kept()
+		r.expectNoViolations()
 	})
 }
 
@@ -354,7 +355,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 2)
 		defer r.end()
-		o := r.take("a")
+		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		s := submission("s1", 1, 1)
 		s.Steps[0].AllowCopies = true
@@ -376,6 +377,6 @@
 		}
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 12*time.Second)
 		r.Expect(r.fleet.Done(subtask("s1", 1, 0))).To(BeTrue())
-		r.kept()
+		r.expectNoViolations()
 	})
 }
--- a/run/pace.go
+++ b/run/pace.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// tailHighWater is the share of a target above which fillers beside it are
-	// slowed, tailCalm that below which they may speed up.
+	// tailHighWater is the fraction of a target tail latency above which fillers on the same
+	// worker are slowed, tailLowWater the fraction below which they may speed up.
 	tailHighWater = 0.9
 	tailLowWater  = 0.6
-	// paceDecreaseFactor is what one step of slowing leaves, paceRise what one step of
-	// speeding up adds, in percent.
+	// paceDecreaseFactor is the factor by which one step slows a filler. paceIncrease is what one
+	// step of speeding up adds, in percent.
 	paceDecreaseFactor = 0.5
 	paceIncrease       = 15
-	// minPace: below this a filler is held still.
+	// minPace is the pace in percent below which a filler is paused.
 	minPace = 15
-	// paceInterval is the least time between two changes of a filler's pace; the
-	// tails are measured over half a second.
+	// paceInterval is the minimum time between two changes of a filler's pace. Tail latencies are
+	// measured over half a second.
 	paceInterval = 700 * time.Millisecond
 )
 
-// paceFillers slows the fillers beside subtasks whose tail nears its target,
-// and lets them speed up again when it is calm.
+// paceFillers slows the fillers on a worker while the tail latency of a subtask there is near its
+// target, and speeds them up again when it is well below.
 func (o *Owner) paceFillers(w *worker) {
 	worst := 0.0
 	for _, r := range w.runs {
@@ -66,8 +66,7 @@
 	o.sendPace(w, filler, pace)
 }
 
-// sendPace orders a filler's pace. An order that is not answered is repeated
-// by the next adjustment.
+// sendPace orders a filler's pace. If the order is not answered, the next adjustment repeats it.
 func (o *Owner) sendPace(w *worker, r *runState, percent int) {
 	order := tw.PaceOrder{Subtask: r.task.id, Run: r.run, Percent: percent, Fence: o.self.Fence}
 	w.session.enqueue(workOrder{
@@ -85,5 +84,5 @@
 	})
 }
 
-// paceUnknown is no pace, so that the next adjustment gives an order.
+// paceUnknown differs from every pace, so that the next adjustment sends an order.
 const paceUnknown = -1
--- a/run/pace_test.go
+++ b/run/pace_test.go
@@ -13,27 +13,25 @@
 
 const (
 	tailTarget = 100 * time.Millisecond
-	// harmTime is how long the platform lets a tail stay over its target through
-	// fillers.
-	harmTime = 4 * time.Second
+	// maxOverTarget is how long the platform lets fillers keep a tail latency over its target.
+	maxOverTarget = 4 * time.Second
 )
 
-// paceCases are the tail of what serves on a worker, what a filler at its full
-// pace adds, and the pace at which the filler works in the end.
+// paceCases are the tail latency of the serving subtask on a worker, what a filler at full pace
+// adds to it, and the pace that the filler ends up with.
 var paceCases = map[string]struct {
 	tail, disturbance time.Duration
 	least, most       int
 }{
-	"a filler that disturbs nobody":        {tail: 20 * time.Millisecond, least: 100, most: 100},
-	"a filler that brings it over":         {tail: 20 * time.Millisecond, disturbance: 200 * time.Millisecond, most: 40},
-	"a filler that brings it near":         {tail: 30 * time.Millisecond, disturbance: 65 * time.Millisecond, least: 1, most: 95},
-	"it is over without the filler, too":   {tail: 150 * time.Millisecond, disturbance: 10 * time.Millisecond},
-	"it is calm enough for a filler's all": {tail: 10 * time.Millisecond, disturbance: 40 * time.Millisecond, least: 100, most: 100},
+	"a filler without effect":            {tail: 20 * time.Millisecond, least: 100, most: 100},
+	"a filler that exceeds the target":   {tail: 20 * time.Millisecond, disturbance: 200 * time.Millisecond, most: 40},
+	"a filler that nears the target":     {tail: 30 * time.Millisecond, disturbance: 65 * time.Millisecond, least: 1, most: 95},
+	"over the target without the filler": {tail: 150 * time.Millisecond, disturbance: 10 * time.Millisecond},
+	"far below the target at full pace":  {tail: 10 * time.Millisecond, disturbance: 40 * time.Millisecond, least: 100, most: 100},
 }
 
-// A filler beside a subtask that serves users never keeps its tail over the
-// target for as long as harms, and works at its full pace again once it
-// disturbs nobody.
+// TestFillersArePaced checks that a filler never keeps the tail latency of a serving subtask over
+// the target for longer than the platform allows, and returns to full pace once it has no effect.
 func TestFillersArePaced(t *testing.T) {
 	for name, c := range paceCases {
 		t.Run(name, func(t *testing.T) {
@@ -41,15 +39,15 @@
 				r := newRig(t, 1)
 				defer r.end()
 				r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Tail, w.Disturbance = c.tail, c.disturbance })
-				o := r.take("a")
-				serving := lasting("serving", 1)
+				o := r.newOwner("a")
+				serving := longRunning("serving", 1)
 				serving.Steps[0].TailTarget = tailTarget
 				r.submit(o, serving)
 				filler := submission("filler", 1)
 				filler.Steps[0].Filler, filler.Steps[0].Estimate = true, time.Hour
 				r.submit(o, filler)
 				time.Sleep(2 * time.Second)
-				r.Expect(r.longestHarm(20 * time.Second)).To(BeNumerically("<", harmTime))
+				r.Expect(r.longestOverTarget(20 * time.Second)).To(BeNumerically("<", maxOverTarget))
 				_, pace := r.fleet.TailOn(workerID(0))
 				r.Expect(pace).To(And(BeNumerically(">=", c.least), BeNumerically("<=", c.most)))
 				r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Tail, w.Disturbance = 0, 0 })
@@ -57,15 +55,15 @@
 				_, pace = r.fleet.TailOn(workerID(0))
 				r.Expect(pace).To(Equal(100))
 				r.Expect(o.Cancel(r.ctx, "", tw.SubmissionID("filler"))).To(Succeed())
-				r.kept()
+				r.expectNoViolations()
 			})
 		})
 	}
 }
 
-// longestHarm is the longest time without a break in which a filler worked
-// while the tail beside it was over its target.
-func (r *rig) longestHarm(watch time.Duration) time.Duration {
+// longestOverTarget is the longest continuous time for which a filler worked while the tail
+// latency on its worker was over the target.
+func (r *rig) longestOverTarget(watch time.Duration) time.Duration {
 	const step = 50 * time.Millisecond
 	var longest, present time.Duration
 	for range watch / step {
