--- a/run/writer_lanes.go
+++ b/run/writer_lanes.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// An owner's writes follow each other, so that a lost answer is cleared up by the next
-// try. With 30 entries each that is 2,000 a second in a store that answers in 4 ms, and
-// 115 in one that takes 0.26 s, where a pool's height alone brings 150 submissions a second.
-// New submissions and ends depend on nothing else that is being written, so in a slow store
-// they are written side by side.
+// An owner's writes are sequential, so that the next try resolves a lost answer. With 30 entries
+// each they carry 2,000 entries a second to a store that answers in 4 ms, but 115 to one that
+// takes 0.26 s, while a pool at peak load gets 150 submissions a second. New submissions and ends
+// depend on no other write in flight, so they are written concurrently while the store is slow.
 
 const (
-	// slowWriteTime is how long a write takes in a slow store: the usual one answers in 4 ms,
-	// under load in some tens.
+	// slowWriteTime is the write time from which the store counts as slow. It usually answers
+	// in 4 ms, under load in some tens of milliseconds.
 	slowWriteTime = 80 * time.Millisecond
-	// maxParallelWrites bounds the writes that are made side by side. With 15 submissions each
-	// they keep 460 submissions a second in a store that takes 0.26 s.
+	// maxParallelWrites bounds the concurrent writes. With 15 submissions each they store 460
+	// submissions a second while a write takes 0.26 s.
 	maxParallelWrites = 8
 )
 
-// slow tells whether the store is slow at present.
+// slow reports whether the store is slow at present.
 func (w *writer) slow() bool {
 	return w.lastWriteTime >= slowWriteTime || !w.writingSince.IsZero() && w.o.now.Sub(w.writingSince) >= slowWriteTime
 }
 
-// flushParallel writes new submissions and ends beside the chain while the store is slow. It
-// returns when more may be written so; zero if that is not known.
+// flushParallel writes new submissions and ends beside the sequential write while the store is
+// slow. It returns when it is due again; zero if that is unknown.
 func (w *writer) flushParallel() time.Time {
 	now := w.o.now
 	switch {
@@ -52,7 +51,7 @@
 	return w.nextParallelAt
 }
 
-// writeParallel sends a job beside the chain. Its effects are the loop's.
+// writeParallel sends a job beside the sequential write. The loop handles its result.
 func (w *writer) writeParallel(job writeJob) {
 	results, err := w.book.WriteConcurrent(w.o.ctx, job.changes)
 	w.o.post(w.o.ctx, func() {
--- a/run/writer_marks.go
+++ b/run/writer_marks.go
@@ -10,21 +10,21 @@
 	"github.com/tamarindworks/tamarindworks/ledger"
 )
 
-// Ends that a worker lists may be confirmed to it once all that they changed is in the
-// store. Changes are numbered as they come, so that this is known of each end apart: an
-// owner that confirmed ends only at moments when nothing was to be recorded confirmed none
-// under load. 933 of 1,047 were not confirmed after 6 s of such a load (TestEndsAreConfirmedUnderLoad);
-// their workers told of them at each look, and the successor had to take them up again.
+// An end that a worker reports may be acknowledged once all that it changed is in the store.
+// Changes are numbered in order, so that this is known for each end. An owner that acknowledged
+// ends only when there was nothing left to record acknowledged hardly any under load: 933 of 1,047
+// were unacknowledged after 6 s (TestEndsAreConfirmedUnderLoad). Their workers reported them again
+// in each poll, and the successor had to handle them again.
 
 type (
-	// changeMark is the place of a submission's oldest change that is not recorded.
+	// changeMark is the number and the time of a submission's oldest change that is not recorded.
 	changeMark struct {
 		number int64
 		at     time.Time
 	}
 
-	// endMark says that ends up to a sequence are recorded once all changes up to a number
-	// are.
+	// endMark says that the ends up to a sequence number are recorded once all changes up to a
+	// change number are.
 	endMark struct {
 		sequence int64
 		number   int64
@@ -32,14 +32,14 @@
 )
 
 const (
-	// oldChangeAge is how old a change is that is recorded before newer ones, agedShare the
-	// part of a write that such changes may take: new submissions and ends, for which callers
-	// wait, go before the rest.
+	// oldChangeAge is the age from which a change is recorded before newer ones,
+	// oldChangeEntries the part of a write that such changes may take. New submissions and
+	// ends, for which callers wait, go before the rest.
 	oldChangeAge     = 250 * time.Millisecond
 	oldChangeEntries = ledger.MaxEntries / 2
 )
 
-// markDirty has the progress or the end of a submission recorded.
+// markDirty queues the progress or the end of a submission to be recorded.
 func (w *writer) markDirty(sub *submission) {
 	if _, marked := w.dirty[sub]; marked {
 		return
@@ -48,32 +48,32 @@
 	w.dirty[sub] = changeMark{number: w.lastChange, at: w.o.now}
 }
 
-// restoreDirty marks submissions again whose changes were not written.
-func (w *writer) restoreDirty(of map[*submission]changeMark) {
-	for sub, mark := range of {
+// restoreDirty queues submissions again whose changes were not written.
+func (w *writer) restoreDirty(changed map[*submission]changeMark) {
+	for sub, mark := range changed {
 		w.dirty[sub] = mark
 	}
 }
 
-// noteEnds notes that ends up to a sequence were taken up from a worker.
+// noteEnds records that the ends of a worker handled so far depend on all changes so far.
 func (w *writer) noteEnds(worker *worker) {
 	worker.unrecorded = append(worker.unrecorded, endMark{sequence: worker.seenEnd, number: w.lastChange})
 	w.unconfirmedEnds[worker] = true
 }
 
-// confirmEnds notes which ends may be confirmed to their workers by now.
+// confirmEnds updates which ends may be acknowledged to their workers.
 func (w *writer) confirmEnds() {
 	if len(w.unconfirmedEnds) == 0 {
 		return
 	}
-	open := w.lastChange + 1
+	oldest := w.lastChange + 1
 	for _, marks := range []map[*submission]changeMark{w.dirty, w.sent} {
 		for _, mark := range marks {
-			open = min(open, mark.number)
+			oldest = min(oldest, mark.number)
 		}
 	}
 	for worker := range w.unconfirmedEnds {
-		for len(worker.unrecorded) > 0 && worker.unrecorded[0].number < open {
+		for len(worker.unrecorded) > 0 && worker.unrecorded[0].number < oldest {
 			worker.recordedEnd = max(worker.recordedEnd, worker.unrecorded[0].sequence)
 			worker.unrecorded = worker.unrecorded[1:]
 		}
@@ -85,21 +85,21 @@
 
 // addOldest adds the oldest changes, so that none waits for long behind newer ones.
 func (w *writer) addOldest(job *writeJob, add addChange) {
-	aged := func(sub *submission) bool { return w.o.now.Sub(w.dirty[sub].at) > oldChangeAge }
+	isOld := func(sub *submission) bool { return w.o.now.Sub(w.dirty[sub].at) > oldChangeAge }
 	w.addAll(job, func(change ledger.Change, effect func(err error)) bool {
 		return job.size+change.Size() <= oldChangeEntries && add(change, effect)
-	}, aged)
+	}, isOld)
 }
 
-// addAll adds what is dirty of some submissions, the oldest change first, as far as it fits.
-func (w *writer) addAll(job *writeJob, add addChange, of func(sub *submission) bool) {
+// addAll adds the changes of the selected dirty submissions, oldest first, as far as they fit.
+func (w *writer) addAll(job *writeJob, add addChange, selected func(sub *submission) bool) {
 	var subs []*submission
 	for sub := range w.dirty {
 		if sub.final != "" || w.o.submissions[sub.ID] != sub {
-			delete(w.dirty, sub) // it was not kept, or another daemon kept it first
+			delete(w.dirty, sub) // the store refused it, or another daemon stored it first
 			continue
 		}
-		if _, under := w.sent[sub]; !under && of(sub) && !w.awaitingAccept(sub) {
+		if _, inFlight := w.sent[sub]; !inFlight && selected(sub) && !w.awaitingAccept(sub) {
 			subs = append(subs, sub)
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// handleWriteResult takes up what a write has come to, in the chain or beside it.
+// handleWriteResult handles the result of a write, sequential or concurrent.
 func (w *writer) handleWriteResult(job writeJob, results []error, err error) {
 	for sub := range job.changed {
 		delete(w.sent, sub)
