--- a/ledger/book.go
+++ b/ledger/book.go
@@ -20,33 +20,33 @@
 		KV    tw.KV
 		Clock tw.Clock
 		Log   *zap.Logger
-		// Owner is the daemon that opens the book. Its fence is set by Open.
+		// Owner is the daemon that opens the book. Open sets its fence.
 		Owner Owner
 	}
 
-	// Book is the ledger of one pool, open for writing. Its methods are for
-	// one goroutine at a time.
+	// Book is the ledger of one pool, opened for writing by the pool's owner. Except
+	// for WriteConcurrent, its methods must not be called concurrently.
 	Book struct {
 		kv    tw.KV
 		clock tw.Clock
 		log   *zap.Logger
 		owner Owner
 		head  head
-		// headRevision of the head record, which the next write demands.
+		// headRevision is that of the head record; the next write is conditional on it.
 		headRevision tw.KVRevision
-		// confirmedAt is when the last write that was done was first sent.
+		// confirmedAt is the time at which the last successful write was started.
 		confirmedAt time.Time
-		// ownerRevision is the revision of the owner's record, which changes with each owner.
+		// ownerRevision is the revision of the owner record, which changes with each owner.
 		ownerRevision tw.KVRevision
 	}
 
-	// ExistsError is ErrExists with what stands under the key.
+	// ExistsError is an ErrExists that carries the existing item.
 	ExistsError struct{ Item tw.KVItem }
 
-	// Change is what one submission contributes to a write.
+	// Change is a set of entries of a write that are applied together.
 	Change struct {
-		// Create is a key that must not exist yet; empty for none. It stands
-		// among the puts.
+		// Create is a key that must not exist yet; empty for none. Puts must
+		// contain it.
 		Create  tw.Key
 		Puts    []tw.KVPut
 		Removes []tw.Key
@@ -54,41 +54,41 @@
 )
 
 const (
-	// MaxEntries is what the changes of one write may hold together: the
-	// head takes a condition and a put.
+	// MaxEntries limits the total size of the changes of one write. Two entries
+	// of the transaction are reserved for the head: a condition and a put.
 	MaxEntries = tw.MaxTxnEntries - 2
 
-	// minRetryDelay and retryMost bound the pause before an unclear write is
-	// sent again: the store answers in 4 ms, and its outages last seconds.
+	// minRetryDelay and maxRetryDelay bound the delay before a write with an unknown
+	// outcome is retried. The store answers in 4 ms; its outages last seconds.
 	minRetryDelay = 30 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
 )
 
 // Errors of this package.
 var (
-	// ErrOwnershipLost says that another daemon has opened the book.
+	// ErrOwnershipLost means that another daemon has opened the book.
 	ErrOwnershipLost = errors.New("another daemon owns the pool")
-	// ErrExists says that a key that was to be created exists.
+	// ErrExists means that a key to be created exists already.
 	ErrExists = errors.New("exists already")
 )
 
 // Error implements error.
 func (e *ExistsError) Error() string { return ErrExists.Error() }
 
-// Is implements the interface of errors.Is.
+// Is lets errors.Is match ErrExists.
 func (e *ExistsError) Is(target error) bool { return target == ErrExists }
 
-// Fence is the number of this ownership.
+// Fence returns the fencing token of this ownership.
 func (b *Book) Fence() tw.FencingToken { return b.head.Fence }
 
-// ConfirmedAt is a time at which nobody had opened the book after this daemon: when its
-// last successful write was sent.
+// ConfirmedAt returns a time at which this daemon was certainly still the owner: when its last
+// successful write was started.
 func (b *Book) ConfirmedAt() time.Time { return b.confirmedAt }
 
-// IsFirstOwner tells whether nobody has opened the book before.
+// IsFirstOwner reports whether the book had never been opened before.
 func (b *Book) IsFirstOwner() bool { return b.head.Fence == 1 }
 
-// Size counts the entries that a change takes of a transaction.
+// Size returns the number of transaction entries that the change needs.
 func (c Change) Size() int {
 	n := len(c.Puts) + len(c.Removes)
 	if c.Create != "" {
@@ -97,11 +97,11 @@
 	return n
 }
 
-// Write makes changes durable, all at once but for those whose key to create
-// exists: these get ErrExists in the list that is returned. An error for the
-// whole is ErrUnavailable or ErrRateLimited (surely nothing was done),
-// ErrDeposed, or the context's: then it is unclear what was done, and the
-// book can't be used any more.
+// Write applies changes in one transaction. Changes whose key to create already
+// exists are left out and get ErrExists in the returned list. The error is
+// ErrUnavailable or ErrRateLimited if certainly nothing was written, ErrOwnershipLost, or
+// the context's error. In the last case the outcome is unknown and the book must not
+// be used any more.
 func (b *Book) Write(ctx context.Context, changes []Change) ([]error, error) {
 	results := make([]error, len(changes))
 	for {
@@ -123,19 +123,18 @@
 	}
 }
 
-// WriteConcurrent makes changes durable beside the writes of the book's own chain, and of others
-// that are made so at the same time: it may be called by several goroutines. No change may
-// depend on another that is under way, and each must be one that can be made twice: a
-// submission that is new, or one that has ended. The outcome is as that of Write, but that
-// a new submission whose first answer was lost may get ErrExists: what stands in the store
-// may be its own, or what another daemon has kept, with a message for the owner.
+// WriteConcurrent applies changes outside the chain of Write. It may be called concurrently, also
+// with Write. No change may depend on another one in flight, and each must be idempotent: a
+// new submission, or one that has ended. The results are those of Write, except that a new
+// submission whose first answer was lost may get ErrExists: the record in the store is either
+// its own or that of another daemon, which also left a message in the owner's inbox.
 func (b *Book) WriteConcurrent(ctx context.Context, changes []Change) ([]error, error) {
 	results := make([]error, len(changes))
-	unclear := false
+	ambiguous := false
 	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
 		txn := buildTxn(changes, results)
 		if len(txn.Puts)+len(txn.Removes) == 0 {
-			return results, nil // all of it exists
+			return results, nil // all submissions exist
 		}
 		txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: OwnerKey(b.owner.Pool), Revision: b.ownerRevision})
 		_, err := b.kv.Commit(ctx, txn)
@@ -151,12 +150,12 @@
 				return nil, errors.Wrap(tw.ErrAmbiguous, "ledger.WriteApart: the store names no condition that fails")
 			}
 			continue
-		case tw.NotApplied(err) && !unclear:
+		case tw.NotApplied(err) && !ambiguous:
 			return nil, err
 		case !tw.NotApplied(err):
-			unclear = true
+			ambiguous = true
 		}
-		b.log.Warn("ledger: write apart unanswered, sent again", zap.String("pool", string(b.owner.Pool)), logsink.Err(err))
+		b.log.Warn("ledger: concurrent write unanswered, sent again", zap.String("pool", string(b.owner.Pool)), logsink.Err(err))
 		select {
 		case <-b.clock.After(pause):
 		case <-ctx.Done():
@@ -165,8 +164,8 @@
 	}
 }
 
-// resolveConflict marks the changes whose key exists. It fails with ErrDeposed if it
-// was the head that did not match.
+// resolveConflict marks the changes whose key to create exists. It returns ErrOwnershipLost if the
+// head did not match.
 func (b *Book) resolveConflict(conflict *tw.KVConflictError, changes []Change, results []error) error {
 	if conflict.Find(headKey(b.owner.Pool)).Revision != b.headRevision {
 		return ErrOwnershipLost
@@ -177,7 +176,8 @@
 	return nil
 }
 
-// markExisting marks the changes whose key exists; false if there is none.
+// markExisting sets the result of the changes whose key to create exists, and reports
+// whether there are any.
 func markExisting(conflict *tw.KVConflictError, changes []Change, results []error) bool {
 	found := false
 	for i, change := range changes {
@@ -196,8 +196,8 @@
 	return txn
 }
 
-// buildTxn is the transaction of those changes that have no result yet, without what proves
-// the ownership.
+// buildTxn builds the transaction of the changes that have no result yet, without the condition
+// that proves the ownership.
 func buildTxn(changes []Change, results []error) tw.KVTxn {
 	var txn tw.KVTxn
 	for i, change := range changes {
@@ -213,11 +213,11 @@
 	return txn
 }
 
-// commitUntilKnown sends a transaction until it is known whether it was done: a lost
-// answer is followed by the same transaction, which finds either the put that marks it
-// or what stood there before.
+// commitUntilKnown commits a transaction and retries it until its outcome is known. After a lost
+// answer the same transaction either succeeds or conflicts; it was applied before if the
+// key of mark then holds the value of mark.
 func (b *Book) commitUntilKnown(ctx context.Context, txn tw.KVTxn, mark tw.KVPut) (tw.KVRevision, *tw.KVConflictError, error) {
-	unclear := false
+	ambiguous := false
 	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
 		revision, err := b.kv.Commit(ctx, txn)
 		var conflict *tw.KVConflictError
@@ -229,10 +229,10 @@
 				return present.Revision, nil, nil
 			}
 			return 0, conflict, nil
-		case tw.NotApplied(err) && !unclear:
+		case tw.NotApplied(err) && !ambiguous:
 			return 0, nil, err
 		case !tw.NotApplied(err):
-			unclear = true
+			ambiguous = true
 		}
 		b.log.Warn("ledger: write unanswered, sent again", zap.String("pool", string(b.owner.Pool)),
 			zap.Int64("count", b.head.Count+1), logsink.Err(err))
@@ -244,7 +244,8 @@
 	}
 }
 
-// mustEncode cannot fail for the types of this package.
+// mustEncode returns v as JSON. It panics on an error, which the types of this package cannot
+// cause.
 func mustEncode(v any) []byte {
 	out, err := json.Marshal(v)
 	if err != nil {
@@ -253,7 +254,7 @@
 	return out
 }
 
-// ContainsError tells whether a list of errors holds one.
+// ContainsError reports whether any error of the list matches target.
 func ContainsError(list []error, target error) bool {
 	return slices.ContainsFunc(list, func(err error) bool { return errors.Is(err, target) })
 }
--- a/ledger/book_test.go
+++ b/ledger/book_test.go
@@ -17,20 +17,20 @@
 
 const pool tw.PoolID = "checks"
 
-// bench is a store with helpers for a test.
-type bench struct {
+// fixture is a fake store with test helpers.
+type fixture struct {
 	*WithT
 	ctx context.Context
 	kv  *standin.KV
 }
 
-func (b *bench) open(daemon tw.DaemonID) *ledger.Book {
+func (b *fixture) open(daemon tw.DaemonID) *ledger.Book {
 	book, err := b.config(daemon).Open(b.ctx)
 	b.Expect(err).NotTo(HaveOccurred())
 	return book
 }
 
-func (b *bench) config(daemon tw.DaemonID) ledger.Config {
+func (b *fixture) config(daemon tw.DaemonID) ledger.Config {
 	return ledger.Config{
 		KV: b.kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: ledger.Owner{Pool: pool, Daemon: daemon, Incarnation: 1},
 	}
@@ -40,13 +40,13 @@
 	return &tw.Submission{ID: id, Policy: tw.RoutePolicy{Pool: pool}, Steps: []tw.Step{{Count: 2}}}
 }
 
-func (b *bench) accept(book *ledger.Book, id tw.SubmissionID) {
+func (b *fixture) accept(book *ledger.Book, id tw.SubmissionID) {
 	results, err := book.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission(id))})
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(results[0]).NotTo(HaveOccurred())
 }
 
-func (b *bench) ids(book *ledger.Book) []tw.SubmissionID {
+func (b *fixture) ids(book *ledger.Book) []tw.SubmissionID {
 	loaded, err := book.Load(b.ctx)
 	b.Expect(err).NotTo(HaveOccurred())
 	var out []tw.SubmissionID
@@ -56,25 +56,25 @@
 	return out
 }
 
-// slowKV is the store as a daemon reaches it that is short of processor time.
+// slowKV delays calls to the store, as on a daemon that is short of CPU time.
 type slowKV struct {
 	tw.KV
-	late time.Duration
+	delay time.Duration
 }
 
 func (k slowKV) Get(ctx context.Context, key tw.Key) (tw.KVItem, error) {
-	time.Sleep(k.late)
+	time.Sleep(k.delay)
 	return k.KV.Get(ctx, key)
 }
 
 func (k slowKV) Commit(ctx context.Context, txn tw.KVTxn) (tw.KVRevision, error) {
-	time.Sleep(k.late)
+	time.Sleep(k.delay)
 	return k.KV.Commit(ctx, txn)
 }
 
-var bookCases = map[string]func(b *bench){
-	// A record that can't be read made every daemon fail that wanted to own the pool.
-	"sets aside what it cannot read, and loads the rest": func(b *bench) {
+var bookCases = map[string]func(b *fixture){
+	// An unreadable record must not keep every daemon from taking over the pool.
+	"skips unreadable records and loads the rest": func(b *fixture) {
 		book := b.open("a")
 		for _, id := range []tw.SubmissionID{"s1", "s2", "s3"} {
 			b.accept(book, id)
@@ -84,14 +84,14 @@
 		b.kv.Put(ledger.InboxPrefix(pool)+"s1.other", []byte("{"))
 		b.Expect(b.ids(b.open("b"))).To(ConsistOf(tw.SubmissionID("s1")))
 	},
-	"gives each owner a higher fence": func(b *bench) {
+	"gives each owner a higher fence": func(b *fixture) {
 		first := b.open("a")
 		second := b.open("b")
 		b.Expect(second.Fence()).To(BeNumerically(">", first.Fence()))
 		b.Expect(first.IsFirstOwner()).To(BeTrue())
 		b.Expect(second.IsFirstOwner()).To(BeFalse())
 	},
-	"refuses the writes of a former owner": func(b *bench) {
+	"rejects writes of a former owner": func(b *fixture) {
 		former := b.open("a")
 		b.open("b")
 		_, err := former.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
@@ -99,7 +99,7 @@
 		_, err = ledger.FindSubmission(b.ctx, b.kv, "s1")
 		b.Expect(err).To(MatchError(tw.ErrNotFound))
 	},
-	"is opened over an owner that goes on writing": func(b *bench) {
+	"opens while the former owner keeps writing": func(b *fixture) {
 		former := b.open("a")
 		stop := make(chan struct{})
 		ended := make(chan struct{})
@@ -120,14 +120,11 @@
 		close(stop)
 		<-ended
 	},
-	// A daemon that takes longer for its calls than the owner for a write found the book
-	// changed each time, eight times in a row, and took that owner for one that was faster:
-	// the pool stayed with an owner that was given up. In TestAllSoak, seed 29, at a daemon
-	// short of processor time (80 of 600 plays):
-	//
-	//	5.730  ledger: the head changed before it was taken  fence 1, fence_now 1, count 10, count_now 11
-	//	5.763  ledger: the head changed before it was taken  fence 1, fence_now 1, count 11, count_now 12
-	"is opened by a slow daemon over an owner that goes on writing": func(b *bench) {
+	// If opening the book were conditional on the head, a daemon whose calls take longer than
+	// the owner's writes would find it changed at every attempt. After eight attempts it took
+	// the owner for a faster daemon, and the pool stayed with an owner that was considered
+	// failed: 80 of 600 runs of TestAllSoak, seed 29, with a daemon short of CPU time.
+	"opens on a slow daemon while the former owner keeps writing": func(b *fixture) {
 		former := b.open("a")
 		ended := make(chan error)
 		go func() {
@@ -138,15 +135,15 @@
 				}
 			}
 		}()
-		c := b.config("b")
-		c.KV = slowKV{KV: b.kv, late: 50 * time.Millisecond}
-		book, err := c.Open(b.ctx)
+		config := b.config("b")
+		config.KV = slowKV{KV: b.kv, delay: 50 * time.Millisecond}
+		book, err := config.Open(b.ctx)
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(<-ended).To(MatchError(ledger.ErrOwnershipLost))
 		b.Expect(book.Fence()).To(Equal(former.Fence() + 1))
 		b.accept(book, "s1")
 	},
-	"is opened by one of two daemons that do so at once": func(b *bench) {
+	"opens for one of two concurrent daemons": func(b *fixture) {
 		b.open("a")
 		errs := make(chan error)
 		for _, daemon := range []tw.DaemonID{"b", "c"} {
@@ -157,12 +154,12 @@
 		}
 		b.Expect([]error{<-errs, <-errs}).To(ConsistOf(BeNil(), MatchError(ledger.ErrOwnershipLost)))
 	},
-	"is opened although the first answer is lost": func(b *bench) {
+	"opens although the first answer is lost": func(b *fixture) {
 		b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LoseAnswers: 1})
 		b.accept(b.open("b"), "s1")
 	},
-	"gives a higher fence although the owner's record is lost or can't be read": func(b *bench) {
+	"gives a higher fence although the owner record is lost or unreadable": func(b *fixture) {
 		first := b.open("a")
 		b.kv.Remove(ledger.OwnerKey(pool))
 		second := b.open("b")
@@ -170,7 +167,7 @@
 		b.kv.Put(ledger.OwnerKey(pool), []byte("\x00"))
 		b.Expect(b.open("c").Fence()).To(BeNumerically(">", second.Fence()))
 	},
-	"keeps all but those that exist": func(b *bench) {
+	"stores all submissions except those that exist": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		results, err := book.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1")), ledger.AcceptSubmission(submission("s2"))})
@@ -179,7 +176,7 @@
 		b.Expect(results[1]).NotTo(HaveOccurred())
 		b.Expect(b.ids(book)).To(ConsistOf(tw.SubmissionID("s1"), tw.SubmissionID("s2")))
 	},
-	"writes several submissions beside each other": func(b *bench) {
+	"stores several submissions concurrently": func(b *fixture) {
 		book := b.open("a")
 		var wg sync.WaitGroup
 		for _, id := range []tw.SubmissionID{"s1", "s2", "s3"} {
@@ -192,7 +189,7 @@
 		wg.Wait()
 		b.Expect(b.ids(book)).To(HaveLen(4))
 	},
-	"keeps all but those that exist beside the chain": func(b *bench) {
+	"stores all submissions except those that exist outside the chain": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		results, err := book.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1")), ledger.AcceptSubmission(submission("s2"))})
@@ -200,17 +197,17 @@
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
 		b.Expect(results[1]).NotTo(HaveOccurred())
 	},
-	"takes what it finds after a lost answer beside the chain for another's": func(b *bench) {
+	"reports submissions as existing after a lost answer outside the chain": func(b *fixture) {
 		book := b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LoseAnswers: 2})
 		results, err := book.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1")), ledger.AcceptSubmission(submission("s2"))})
 		b.Expect(err).NotTo(HaveOccurred())
-		// Another daemon may have kept them in the same words, with a message in the inbox.
+		// Another daemon may have stored identical records, with a message in the inbox.
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
 		b.Expect(results[1]).To(MatchError(ledger.ErrExists))
 		b.Expect(b.ids(book)).To(HaveLen(2))
 	},
-	"has nothing left to write beside the chain once all exists": func(b *bench) {
+	"stops writing outside the chain once all submissions exist": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		calls := b.kv.Calls()
@@ -219,7 +216,7 @@
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
 		b.Expect(b.kv.Calls() - calls).To(Equal(1))
 	},
-	"ends a submission although another daemon has kept a new one of the same write": func(b *bench) {
+	"ends a submission although another daemon has stored a new one of the same write": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s2")
 		b.kv.SetFaults(standin.KVFaults{LateWrites: 1})
@@ -241,27 +238,27 @@
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(record.Final).To(Equal(tw.SubmissionSucceeded))
 	},
-	"keeps nothing beside the chain once another has opened the book": func(b *bench) {
+	"stores nothing outside the chain once another daemon has opened the book": func(b *fixture) {
 		former := b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LateWrites: 1})
-		unclear := make(chan error, 1)
+		result := make(chan error, 1)
 		go func() {
 			_, err := former.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
-			unclear <- err
+			result <- err
 		}()
 		time.Sleep(5 * time.Millisecond)
 		present := b.open("b")
 		b.kv.DoLate()
-		b.Expect(<-unclear).To(MatchError(ledger.ErrOwnershipLost))
+		b.Expect(<-result).To(MatchError(ledger.ErrOwnershipLost))
 		b.Expect(b.ids(present)).To(BeEmpty())
 	},
-	"knows its own write again after its answer was lost": func(b *bench) {
+	"recognises its own write after a lost answer": func(b *fixture) {
 		book := b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LoseAnswers: 2})
 		b.accept(book, "s1")
 		b.accept(book, "s2")
 	},
-	"lets no late write undo a later one": func(b *bench) {
+	"does not let a delayed write undo a later one": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		b.kv.SetFaults(standin.KVFaults{LateWrites: 1})
@@ -277,7 +274,7 @@
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(got.Step(0, 0).Done.All(2)).To(BeTrue())
 	},
-	"says that nothing was done when the store refuses": func(b *bench) {
+	"reports that nothing was written when the store refuses": func(b *fixture) {
 		book := b.open("a")
 		for _, faults := range []standin.KVFaults{{Down: true}, {Limited: true}} {
 			b.kv.SetFaults(faults)
@@ -287,7 +284,7 @@
 		b.kv.SetFaults(standin.KVFaults{})
 		b.accept(book, "s1")
 	},
-	"says nothing of a write that it gave up in doubt": func(b *bench) {
+	"reports an unknown outcome of a write that it gave up": func(b *fixture) {
 		book := b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LateWrites: 1000})
 		ctx, cancel := context.WithTimeout(b.ctx, time.Second)
@@ -296,7 +293,7 @@
 		b.Expect(err).To(MatchError(context.DeadlineExceeded))
 		b.Expect(tw.NotApplied(err)).To(BeFalse())
 	},
-	"loads what a former owner recorded": func(b *bench) {
+	"loads what a former owner stored": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		b.accept(book, "s2")
@@ -311,7 +308,7 @@
 		b.Expect(loaded[1].Record.Final).To(Equal(tw.SubmissionSucceeded))
 		b.Expect(loaded[1].Record.Submission).To(BeNil())
 	},
-	"keeps one submission whoever keeps it": func(b *bench) {
+	"stores a submission only once, whichever daemon stores it": func(b *fixture) {
 		book := b.open("a")
 		_, err := b.kv.Commit(b.ctx, ledger.AcceptViaInbox(submission("s1")))
 		b.Expect(err).NotTo(HaveOccurred())
@@ -321,7 +318,7 @@
 		_, err = b.kv.Commit(b.ctx, ledger.AcceptViaInbox(submission("s1")))
 		b.Expect(err).To(BeAssignableToTypeOf(&tw.KVConflictError{}))
 	},
-	"tells operators of all pools": func(b *bench) {
+	"surveys all pools": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		b.accept(book, "s2")
@@ -339,7 +336,7 @@
 		b.Expect(got.Ended).To(Equal(map[tw.SubmissionState]int{tw.SubmissionFailed: 1}))
 		b.Expect(got.Inbox).To(Equal(1))
 	},
-	"keeps the progress of a wave": func(b *bench) {
+	"stores the progress of a wave": func(b *fixture) {
 		book := b.open("a")
 		want := ledger.WaveProgress{Done: []tw.InstanceID{"m1"}, Finished: true}
 		_, err := book.Write(b.ctx, []ledger.Change{ledger.SaveWaveProgress(3, want)})
@@ -354,13 +351,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				kv := standin.KVConfig{Latency: 4 * time.Millisecond}.New()
-				c(&bench{WithT: NewWithT(t), ctx: t.Context(), kv: kv})
+				c(&fixture{WithT: NewWithT(t), ctx: t.Context(), kv: kv})
 			})
 		})
 	}
 }
 
-func TestBits(t *testing.T) {
+func TestBitset(t *testing.T) {
 	g := NewWithT(t)
 	var b ledger.Bitset
 	g.Expect(b.All(0)).To(BeTrue())
--- a/ledger/changes.go
+++ b/ledger/changes.go
@@ -6,51 +6,52 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// AcceptSubmission is the change that keeps a new submission.
+// AcceptSubmission returns the change that stores a new submission.
 func AcceptSubmission(s *tw.Submission) Change {
 	key := SubmissionKey(s.ID)
 	record := Record{Pool: s.Policy.Pool, Submission: s, Organisation: s.Organisation}
 	return Change{Create: key, Puts: []tw.KVPut{{Key: key, Value: mustEncode(record)}}}
 }
 
-// SaveProgress is the change that keeps the progress of a submission.
+// SaveProgress returns the change that stores the progress of a submission.
 func SaveProgress(pool tw.PoolID, id tw.SubmissionID, p *Progress) Change {
 	return Change{Puts: []tw.KVPut{{Key: ProgressKey(pool, id), Value: mustEncode(p)}}}
 }
 
-// EndSubmission is the change that ends a submission: its state replaces its steps, and
-// its progress is dropped. left is what of it still runs and is being stopped.
-func EndSubmission(pool tw.PoolID, s *tw.Submission, state tw.SubmissionState, left tw.Resources) Change {
+// EndSubmission returns the change that ends a submission: its record keeps the final state instead
+// of the steps, and its progress is deleted. stopping is the resources of its runs that are
+// still being stopped.
+func EndSubmission(pool tw.PoolID, s *tw.Submission, state tw.SubmissionState, stopping tw.Resources) Change {
 	id := s.ID
-	record := Record{Pool: pool, Final: state, Organisation: s.Organisation, Stopping: left}
+	record := Record{Pool: pool, Final: state, Organisation: s.Organisation, Stopping: stopping}
 	return Change{
 		Puts:    []tw.KVPut{{Key: SubmissionKey(id), Value: mustEncode(record)}},
 		Removes: []tw.Key{ProgressKey(pool, id)},
 	}
 }
 
-// DeleteSubmission is the change that drops an ended submission for good.
+// DeleteSubmission returns the change that deletes the record of an ended submission.
 func DeleteSubmission(id tw.SubmissionID) Change {
 	return Change{Removes: []tw.Key{SubmissionKey(id)}}
 }
 
-// RemoveMessage is the change that takes a message out of the inbox.
+// RemoveMessage returns the change that removes a message from the inbox.
 func RemoveMessage(pool tw.PoolID, m InboxRecord) Change {
 	return Change{Removes: []tw.Key{InboxKey(pool, m)}}
 }
 
-// SaveWaveProgress is the change that keeps the progress of a maintenance wave.
+// SaveWaveProgress returns the change that stores the progress of a maintenance wave.
 func SaveWaveProgress(wave int64, p WaveProgress) Change {
 	return Change{Puts: []tw.KVPut{{Key: waveKey(wave), Value: mustEncode(p)}}}
 }
 
-// RecordOrders is the change that keeps which machines were changed when.
+// RecordOrders returns the change that stores when machines were last changed.
 func RecordOrders(orders map[tw.InstanceID]time.Time) Change {
 	return Change{Puts: []tw.KVPut{{Key: ordersKey, Value: mustEncode(orders)}}}
 }
 
-// AcceptViaInbox is the transaction by which a daemon that cannot reach the
-// pool's owner keeps a submission itself and leaves word for the owner.
+// AcceptViaInbox returns the transaction by which a daemon that cannot reach the
+// pool's owner stores a submission itself and leaves a message for the owner.
 func AcceptViaInbox(s *tw.Submission) tw.KVTxn {
 	accept := AcceptSubmission(s)
 	message := InboxRecord{Kind: InboxSubmitted, ID: s.ID}
@@ -60,8 +61,8 @@
 	}
 }
 
-// CancelViaInbox is the transaction by which a daemon that cannot reach the pool's
-// owner asks it to cancel a submission.
+// CancelViaInbox returns the transaction by which a daemon that cannot reach the pool's
+// owner leaves a request to cancel a submission.
 func CancelViaInbox(pool tw.PoolID, id tw.SubmissionID) tw.KVTxn {
 	message := InboxRecord{Kind: InboxCancel, ID: id}
 	return tw.KVTxn{Puts: []tw.KVPut{{Key: InboxKey(pool, message), Value: mustEncode(message)}}}
--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -1,8 +1,8 @@
-// Package ledger keeps what must survive the loss of every daemon: accepted
-// submissions and their progress, in the platform's metadata store.
+// Package ledger stores the state that must survive the loss of all daemons, such
+// as accepted submissions and their progress, in the platform's metadata store.
 //
-// Each pool has one head record. Every write of the pool's owner is a
-// transaction that demands the head's last revision and writes the head anew,
-// so writes form a chain: a deposed owner's writes fail, and a write that the
-// store carries out late fails too once another one has followed it.
+// Each pool has one head record. Each chained write of the pool's owner is a
+// transaction that is conditional on the last revision of the head and rewrites
+// it. The writes therefore form a chain: writes of a former owner fail, and so
+// does a delayed write that the store applies after a later one.
 package ledger
--- a/ledger/load.go
+++ b/ledger/load.go
@@ -14,23 +14,24 @@
 )
 
 type (
-	// LoadedSubmission is a submission of a pool as it stands in the store.
+	// LoadedSubmission is a submission of a pool as read from the store.
 	LoadedSubmission struct {
 		ID       tw.SubmissionID
 		Record   Record
 		Progress Progress
-		// InInbox: the message by which another daemon kept it is still there, so
-		// that no owner has started anything of it.
+		// InInbox means that the message of the daemon that stored the submission is
+		// still in the inbox, so no owner has started any of its subtasks.
 		InInbox bool
-		// CancelInInbox: so is a cancel that another daemon has answered.
+		// CancelInInbox means that the inbox holds a cancel request that another
+		// daemon has acknowledged to its caller.
 		CancelInInbox bool
 	}
 )
 
-// Load reads the submissions of the book's pool and their progress. Both are
-// read at the same time, as the pool stands still meanwhile and a slow store
-// takes a quarter of a second for each call; nobody else writes them. A record that can't
-// be read is set aside, with its submission, and stays as it is.
+// Load reads the submissions of the book's pool and their progress. It reads both
+// concurrently, because the pool is stopped in the meantime and a slow store takes a
+// quarter of a second per call; no other daemon writes them. A submission with an
+// unreadable record is skipped and the record is left unchanged.
 func (b *Book) Load(ctx context.Context) ([]LoadedSubmission, error) {
 	var progress map[tw.SubmissionID]Progress
 	var unreadable map[tw.SubmissionID]bool
@@ -45,8 +46,8 @@
 	if progressErr != nil {
 		return nil, progressErr
 	}
-	// Read after the submissions, so that of none that stands among them the
-	// message is missed.
+	// Reading the inbox after the submissions ensures that no message of a loaded
+	// submission is missed.
 	inbox, err := b.loadInbox(ctx)
 	if err != nil {
 		return nil, err
@@ -90,13 +91,13 @@
 	return out, unreadable, nil
 }
 
-// logUnreadable tells of a record that can't be read. Without its progress a submission must
-// not be started: what is done would be done again.
+// logUnreadable logs an unreadable record. A submission whose progress is unreadable must not be
+// started, as finished work would be done again.
 func (b *Book) logUnreadable(err error) {
-	b.log.Error("ledger: record set aside", zap.String("pool", string(b.owner.Pool)), logsink.Err(err))
+	b.log.Error("ledger: skipping unreadable record", zap.String("pool", string(b.owner.Pool)), logsink.Err(err))
 }
 
-// loadInbox lists the messages of the inbox.
+// loadInbox reads the set of messages in the inbox.
 func (b *Book) loadInbox(ctx context.Context) (map[InboxRecord]bool, error) {
 	items, _, err := b.kv.Range(ctx, InboxPrefix(b.owner.Pool))
 	if err != nil {
@@ -114,7 +115,7 @@
 	return out, nil
 }
 
-// FindSubmission reads one submission, of whatever pool. It fails with ErrNotFound.
+// FindSubmission reads one submission of any pool. It fails with ErrNotFound if there is none.
 func FindSubmission(ctx context.Context, kv tw.KV, id tw.SubmissionID) (Record, error) {
 	item, err := kv.Get(ctx, SubmissionKey(id))
 	if err != nil {
@@ -123,22 +124,22 @@
 	return DecodeRecord(item)
 }
 
-// FindProgress reads how far a submission is; none is no error.
+// FindProgress reads the progress of a submission, which is zero if none is stored.
 func FindProgress(ctx context.Context, kv tw.KV, pool tw.PoolID, id tw.SubmissionID) (Progress, error) {
 	return getDecoded[Progress](ctx, kv, ProgressKey(pool, id))
 }
 
-// FindWave reads the progress of a maintenance wave; none is no error.
+// FindWave reads the progress of a maintenance wave, which is zero if none is stored.
 func FindWave(ctx context.Context, kv tw.KV, wave int64) (WaveProgress, error) {
 	return getDecoded[WaveProgress](ctx, kv, waveKey(wave))
 }
 
-// FindOrders reads which machines were changed lately; none is no error.
+// FindOrders reads when machines were last changed; the map is nil if none is stored.
 func FindOrders(ctx context.Context, kv tw.KV) (map[tw.InstanceID]time.Time, error) {
 	return getDecoded[map[tw.InstanceID]time.Time](ctx, kv, ordersKey)
 }
 
-// getDecoded reads what stands under a key; none is no error.
+// getDecoded reads and decodes the value of a key, which is zero if the key does not exist.
 func getDecoded[T any](ctx context.Context, kv tw.KV, key tw.Key) (T, error) {
 	item, err := getItem(ctx, kv, key)
 	if err != nil {
@@ -148,7 +149,7 @@
 	return decode[T](item)
 }
 
-// getItem reads a key; where there is none, the item has no revision.
+// getItem reads a key. The item has no revision if the key does not exist.
 func getItem(ctx context.Context, kv tw.KV, key tw.Key) (tw.KVItem, error) {
 	item, err := kv.Get(ctx, key)
 	if errors.Is(err, tw.ErrNotFound) {
@@ -157,7 +158,7 @@
 	return item, err
 }
 
-// decode reads an item; one without a revision stands for none.
+// decode decodes an item. The result is zero for an item without a revision.
 func decode[T any](item tw.KVItem) (T, error) {
 	var out T
 	if item.Revision == 0 {
@@ -167,21 +168,21 @@
 	return out, errors.Wrapf(err, "ledger: %s", item.Key)
 }
 
-// DecodeInbox reads a message that a daemon left for an owner.
+// DecodeInbox decodes an inbox message.
 func DecodeInbox(item tw.KVItem) (InboxRecord, error) {
 	var m InboxRecord
 	err := json.Unmarshal(item.Value, &m)
 	return m, errors.Wrapf(err, "ledger: %s", item.Key)
 }
 
-// DecodeOwner reads who owns a pool.
+// DecodeOwner decodes the owner record of a pool.
 func DecodeOwner(item tw.KVItem) (Owner, error) {
 	var o Owner
 	err := json.Unmarshal(item.Value, &o)
 	return o, errors.Wrapf(err, "ledger: %s", item.Key)
 }
 
-// DecodeRecord reads a submission as stored.
+// DecodeRecord decodes a stored submission.
 func DecodeRecord(item tw.KVItem) (Record, error) {
 	var r Record
 	err := json.Unmarshal(item.Value, &r)
--- a/ledger/open.go
+++ b/ledger/open.go
@@ -10,35 +10,35 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// previousOwner is what a daemon that opens the book has found.
+// previousOwner describes the ownership that a daemon finds when it opens the book.
 type previousOwner struct {
 	fence                       tw.FencingToken
 	headRevision, ownerRevision tw.KVRevision
-	// ownerReadable: the owner's record says which fence is the last one.
+	// ownerReadable means that the owner record was readable, so its fence is the latest.
 	ownerReadable bool
 }
 
-// Open makes the daemon the owner of the pool, whoever owned it before: from
-// then on the writes of the former owner fail. It fails with ErrDeposed if
-// another daemon opened the book at the same time.
+// Open makes the daemon the owner of the pool. Writes of the former owner fail from then
+// on. Open fails with ErrOwnershipLost if another daemon opened the book at the same time.
 //
-// What must not have changed meanwhile is the owner's record, as it changes with each owner
-// alone. With the head as the condition, a daemon that takes longer for its calls than an
-// active owner for a write never got the pool: 80 of 600 plays of one seed of TestAllSoak.
+// The transaction is conditional on the owner record, which changes only with the owner. With
+// the head as the condition, a daemon whose calls take longer than the interval between the
+// writes of an active owner could never take over the pool: this was the case in 80 of 600
+// runs of one seed of TestAllSoak.
 func (c Config) Open(ctx context.Context) (*Book, error) {
 	b := &Book{kv: c.KV, clock: c.Clock, log: c.Log, owner: c.Owner}
-	from, err := b.readPreviousOwner(ctx)
+	previous, err := b.readPreviousOwner(ctx)
 	if err != nil {
 		return nil, errors.Wrap(err, "ledger.Open")
 	}
-	if err := b.takeOwnership(ctx, from); err != nil {
+	if err := b.takeOwnership(ctx, previous); err != nil {
 		return nil, errors.Wrap(err, "ledger.Open")
 	}
 	return b, nil
 }
 
-// readPreviousOwner reads the head and the owner's record side by side, as a slow store takes a
-// quarter of a second for each call.
+// readPreviousOwner reads the head and the owner record concurrently, as a slow store takes a
+// quarter of a second per call.
 func (b *Book) readPreviousOwner(ctx context.Context) (previousOwner, error) {
 	var owner, headItem tw.KVItem
 	var ownerErr, headErr error
@@ -59,19 +59,19 @@
 	}, nil
 }
 
-// takeOwnership writes the head and the owner's record for the first time. Where that record is
-// lost or can't be read, the head must be the one that was read as well: it alone says which
-// fence is the last one.
-func (b *Book) takeOwnership(ctx context.Context, from previousOwner) error {
-	b.owner.Fence = from.fence + 1
+// takeOwnership writes the head and the owner record of the new ownership. If the old owner record
+// is unreadable, the write is also conditional on the head that was read, as only the head
+// then holds the latest fence.
+func (b *Book) takeOwnership(ctx context.Context, previous previousOwner) error {
+	b.owner.Fence = previous.fence + 1
 	b.head = head{Fence: b.owner.Fence, Daemon: b.owner.Daemon, Incarnation: b.owner.Incarnation, Count: 1}
 	ownerKey, owner := OwnerKey(b.owner.Pool), mustEncode(b.owner)
 	txn := tw.KVTxn{
-		Conditions: []tw.KVCondition{{Key: ownerKey, Revision: from.ownerRevision}},
+		Conditions: []tw.KVCondition{{Key: ownerKey, Revision: previous.ownerRevision}},
 		Puts:       []tw.KVPut{{Key: ownerKey, Value: owner}, {Key: headKey(b.owner.Pool), Value: mustEncode(b.head)}},
 	}
-	if !from.ownerReadable {
-		txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: headKey(b.owner.Pool), Revision: from.headRevision})
+	if !previous.ownerReadable {
+		txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: headKey(b.owner.Pool), Revision: previous.headRevision})
 	}
 	sent := b.clock.Now()
 	revision, conflict, err := b.commitUntilKnown(ctx, txn, tw.KVPut{Key: ownerKey, Value: owner})
@@ -81,7 +81,7 @@
 	if conflict != nil {
 		now := conflict.Find(ownerKey)
 		b.log.Info("ledger: opened by another daemon first", zap.String("pool", string(b.owner.Pool)),
-			zap.Int64("fence", int64(b.owner.Fence)), zap.Int64("owner_read", int64(from.ownerRevision)),
+			zap.Int64("fence", int64(b.owner.Fence)), zap.Int64("owner_read", int64(previous.ownerRevision)),
 			zap.Int64("owner_now", int64(now.Revision)), zap.ByteString("record_now", now.Value))
 		return ErrOwnershipLost
 	}
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -7,13 +7,13 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// Prefixes of the product's keys.
+// Keys and key prefixes in the store.
 const (
-	// OwnerPrefix holds who owns each pool; daemons watch it.
+	// OwnerPrefix is the prefix of the owner records of pools; daemons watch it.
 	OwnerPrefix tw.Key = "tw/member/owner/"
-	// LivePrefix holds the live daemons, each under a lease.
+	// LivePrefix is the prefix of the records of live daemons, each under a lease.
 	LivePrefix tw.Key = "tw/member/live/"
-	// MemberPrefix covers both.
+	// MemberPrefix is the common prefix of OwnerPrefix and LivePrefix.
 	MemberPrefix tw.Key = "tw/member/"
 
 	headPrefix       tw.Key = "tw/head/"
@@ -29,13 +29,14 @@
 	Owner struct {
 		Pool    tw.PoolID   `json:"pool"`
 		Daemon  tw.DaemonID `json:"daemon"`
-		Address string      `json:"address"` // of its peer service
-		// Incarnation tells two lives of one daemon apart.
+		Address string      `json:"address"` // of the daemon's peer service
+		// Incarnation distinguishes restarts of one daemon.
 		Incarnation tw.Incarnation  `json:"life"`
 		Fence       tw.FencingToken `json:"fence"`
 	}
 
-	// head is the record that chains an owner's writes.
+	// head is the record on whose revision each chained write of an owner is
+	// conditional.
 	head struct {
 		Fence       tw.FencingToken `json:"fence"`
 		Daemon      tw.DaemonID     `json:"daemon"`
@@ -43,35 +44,36 @@
 		Count       int64           `json:"count"`
 	}
 
-	// Record is a submission as stored. Once it has ended only its state is
-	// kept, so that the same id is never run again.
+	// Record is a submission as stored. Once it has ended, its steps are dropped
+	// but its state is kept, so that the same id is never run again.
 	Record struct {
 		Pool       tw.PoolID          `json:"pool"`
 		Submission *tw.Submission     `json:"submission,omitempty"`
 		Final      tw.SubmissionState `json:"final,omitempty"`
-		// Organisation is the submission's, also once it has ended.
+		// Organisation owns the submission; it is kept after the end.
 		Organisation tw.OrganisationID `json:"organisation,omitempty"`
-		// Stopping is what of it still ran when it ended, and was being stopped.
+		// Stopping is the resources of the runs that were still being stopped when the
+		// submission ended.
 		Stopping tw.Resources `json:"left,omitzero"`
 	}
 
-	// InboxKind says what a daemon that could not reach a pool's owner left
-	// for it in the store.
+	// InboxKind is the kind of an inbox message.
 	InboxKind string
 
-	// InboxRecord is one such message.
+	// InboxRecord is a message that a daemon which could not reach the owner of a
+	// pool left for it in the store.
 	InboxRecord struct {
 		Kind InboxKind       `json:"kind"`
 		ID   tw.SubmissionID `json:"id"`
 	}
 
-	// Progress is what has happened to a submission.
+	// Progress is the progress of a submission.
 	Progress struct {
-		// Finished counts the repetitions that are done, from the first on
-		// without a gap; further ones stand in Repetitions.
+		// Finished counts the finished repetitions from the first one on without a
+		// gap. Later ones are in Repetitions.
 		Finished    int                 `json:"finished,omitempty"`
 		Repetitions map[int]*Repetition `json:"repetitions,omitempty"`
-		// CancelRequested: the submission is being cancelled.
+		// CancelRequested means that the submission is being cancelled.
 		CancelRequested bool `json:"cancel,omitempty"`
 	}
 
@@ -83,27 +85,28 @@
 	// StepProgress is the progress of a step's subtasks, by index.
 	StepProgress struct {
 		Done Bitset `json:"done,omitempty"`
-		// Failures are the runs that failed, so that none counts twice.
+		// Failures lists the failed runs of each subtask, so that none is counted
+		// twice.
 		Failures    map[int][]tw.RunNumber `json:"failures,omitempty"`
 		Checkpoints map[int]tw.Checkpoint  `json:"saved,omitempty"`
-		// Crashes counts the workers in a row that have ended soon after a subtask was
-		// started there.
+		// Crashes counts, for each subtask, the consecutive workers that ended soon
+		// after it was started there.
 		Crashes map[int]int `json:"crashes,omitempty"`
-		// UncountedStarts are subtasks that another owner may have started once more than Crashes
-		// says.
+		// UncountedStarts holds the subtasks that another owner may have started once more
+		// than Crashes accounts for.
 		UncountedStarts map[int]bool `json:"uncounted,omitempty"`
 	}
 
-	// WaveProgress is what has come of a maintenance wave.
+	// WaveProgress is the progress of a maintenance wave.
 	WaveProgress struct {
 		Done     []tw.InstanceID `json:"done"`
 		Finished bool            `json:"finished"`
-		// Pending are machines whose maintenance was ordered, or was to be, and of which
-		// no answer is recorded.
+		// Pending lists the machines whose maintenance was ordered, or was about to be,
+		// without a recorded answer.
 		Pending []tw.InstanceID `json:"given,omitempty"`
 	}
 
-	// Bitset is a set of small numbers.
+	// Bitset is a set of small non-negative integers.
 	Bitset []byte
 )
 
@@ -113,25 +116,25 @@
 	InboxCancel    InboxKind = "cancel"
 )
 
-// OwnerKey is where a pool's owner stands.
+// OwnerKey is the key of a pool's owner record.
 func OwnerKey(pool tw.PoolID) tw.Key { return OwnerPrefix + tw.Key(pool) }
 
-// LiveKey is where a daemon shows that it lives.
+// LiveKey is the key of a daemon's liveness record.
 func LiveKey(daemon tw.DaemonID) tw.Key { return LivePrefix + tw.Key(daemon) }
 
-// SubmissionKey is where a submission is kept. It does not depend on the
+// SubmissionKey is the key of a submission's record. It does not depend on the
 // pool, so that daemons with different configurations cannot both accept it.
 func SubmissionKey(id tw.SubmissionID) tw.Key { return submissionPrefix + tw.Key(id) }
 
-// InboxPrefix holds the messages for a pool's owner.
+// InboxPrefix is the prefix of the messages to a pool's owner.
 func InboxPrefix(pool tw.PoolID) tw.Key { return inboxPrefix + tw.Key(pool) + "/" }
 
-// InboxKey is where a message for a pool's owner is left.
+// InboxKey is the key of a message to a pool's owner.
 func InboxKey(pool tw.PoolID, m InboxRecord) tw.Key {
 	return InboxPrefix(pool) + tw.Key(string(m.ID)+"."+string(m.Kind))
 }
 
-// ProgressKey is where the progress of a submission is kept.
+// ProgressKey is the key of a submission's progress.
 func ProgressKey(pool tw.PoolID, id tw.SubmissionID) tw.Key {
 	return poolProgressPrefix(pool) + tw.Key(id)
 }
@@ -146,10 +149,10 @@
 	return tw.SubmissionID(strings.TrimPrefix(string(key), string(prefix)))
 }
 
-// Has tells whether n is in the set.
+// Has reports whether n is in the set.
 func (b Bitset) Has(n int) bool { return n/8 < len(b) && b[n/8]&(1<<(n%8)) != 0 }
 
-// Add puts n into the set.
+// Add adds n to the set.
 func (b *Bitset) Add(n int) {
 	for n/8 >= len(*b) {
 		*b = append(*b, 0)
@@ -157,7 +160,7 @@
 	(*b)[n/8] |= 1 << (n % 8)
 }
 
-// Step finds or makes the progress of a step.
+// Step returns the progress of a step, which it creates if there is none.
 func (p *Progress) Step(repetition, step int) *StepProgress {
 	if p.Repetitions == nil {
 		p.Repetitions = map[int]*Repetition{}
@@ -175,7 +178,7 @@
 	return s
 }
 
-// All tells whether the numbers below n are all in the set.
+// All reports whether all numbers from 0 to n-1 are in the set.
 func (b Bitset) All(n int) bool {
 	for i := range n {
 		if !b.Has(i) {
--- a/ledger/shares.go
+++ b/ledger/shares.go
@@ -13,24 +13,24 @@
 	"github.com/tamarindworks/tamarindworks/internal/logsink"
 )
 
-// Each pool has an owner of its own, and none sees what runs in the others. So the usage
-// cap of an organisation is divided among the pools: one record of the store says which
-// part each pool has, and an owner starts nothing beyond its pool's part. Parts are
-// counted in units of the cap, so that a cap that changes is divided as before.
+// Each pool has its own owner, which does not see what runs in other pools. The usage cap of
+// an organisation is therefore divided among the pools: a single record in the store holds the
+// share of each pool, and an owner starts nothing beyond its pool's share. Shares are counted
+// in units of the cap, so that they keep their proportions when the cap changes.
 
 type (
-	// ShareUnits are parts of an organisation's cap; CapUnits are all of it.
+	// ShareUnits is a share of an organisation's cap; CapUnits is the whole cap.
 	ShareUnits int
 
-	// PoolShares are the parts that a pool has of each cap. Only the owner with this
-	// fence, or a later one, changes them.
+	// PoolShares holds a pool's share of each cap. Only the owner with this fence, or a
+	// later one, changes them.
 	PoolShares struct {
 		Fence tw.FencingToken                  `json:"fence"`
 		Units map[tw.OrganisationID]ShareUnits `json:"units,omitempty"`
 	}
 
-	// Shares is the record. For each organisation the parts of all pools are never more
-	// than CapUnits together.
+	// Shares is the record of all shares. For each organisation the shares of all pools
+	// never add up to more than CapUnits.
 	Shares struct {
 		Pools map[tw.PoolID]PoolShares `json:"pools"`
 	}
@@ -44,27 +44,29 @@
 		Fence tw.FencingToken
 	}
 
-	// ShareBook changes one pool's parts. Its method is for one goroutine at a time.
+	// ShareBook changes the shares of one pool. Its methods must not be called
+	// concurrently.
 	ShareBook struct {
 		ShareBookConfig
-		last tw.KVItem // the record as last seen
-		// unclear: a change by that record may have been done, or may be done yet.
-		unclear bool
+		last tw.KVItem // the record as last read or written
+		// ambiguous means that a write conditional on last has an unknown outcome: it
+		// may have been applied, or may still be.
+		ambiguous bool
 	}
 )
 
-// CapUnits make up a whole cap: a thousandth is less than a subtask of nearly any cap.
+// CapUnits is the whole of a cap. For nearly any cap, a thousandth is less than one subtask.
 const CapUnits ShareUnits = 1024
 
-// SharesKey is where the parts of the usage caps stand.
+// SharesKey is the key of the record of the usage cap shares.
 const SharesKey tw.Key = "tw/shares"
 
-// New makes the book; it makes no call yet.
+// New returns a ShareBook. It makes no call to the store.
 func (c ShareBookConfig) New() *ShareBook {
 	return &ShareBook{ShareBookConfig: c, last: tw.KVItem{Key: SharesKey}}
 }
 
-// DecodeShares reads the record; an item without a revision stands for none.
+// DecodeShares decodes the record. An item without a revision gives empty shares.
 func DecodeShares(item tw.KVItem) (Shares, error) {
 	shares := Shares{Pools: map[tw.PoolID]PoolShares{}}
 	if item.Revision == 0 {
@@ -77,7 +79,7 @@
 	return shares, errors.Wrapf(err, "ledger: %s", item.Key)
 }
 
-// FindShares reads the record; none is no error.
+// FindShares reads the record. The shares are empty if there is none.
 func FindShares(ctx context.Context, kv tw.KV) (Shares, error) {
 	item, err := kv.Get(ctx, SharesKey)
 	if err != nil && !errors.Is(err, tw.ErrNotFound) {
@@ -86,8 +88,8 @@
 	return DecodeShares(item)
 }
 
-// Free are the units that pools other than this one leave of a cap. For each of the pools
-// that are to keep a floor it counts at least that.
+// Free returns the units of a cap that the other pools do not hold. A pool with a floor
+// counts as holding at least that.
 func (s Shares) Free(organisation tw.OrganisationID, pool tw.PoolID, floors map[tw.PoolID]ShareUnits) ShareUnits {
 	free := CapUnits
 	for other, shares := range s.Pools {
@@ -103,10 +105,10 @@
 	return max(0, free)
 }
 
-// Set changes the pool's parts to what choose wants by the present record, and returns
-// them as recorded. choose may be called several times. It fails with ErrDeposed if a
-// later owner has the pool's parts, and with ctx; until it returns, the parts may be the
-// former ones or those that choose has returned. A record that can't be read is left alone.
+// Set changes the pool's shares to those that choose returns for the current record, and
+// returns them as recorded. choose may be called several times. Set fails with ErrOwnershipLost if
+// a later owner holds the pool's shares, and when ctx ends. Until it returns, the shares may
+// be the old ones or any that choose has returned. An unreadable record is left unchanged.
 func (b *ShareBook) Set(ctx context.Context, choose func(Shares) map[tw.OrganisationID]ShareUnits) (map[tw.OrganisationID]ShareUnits, error) {
 	for pause := minRetryDelay; ; {
 		units, err := b.trySet(ctx, choose)
@@ -118,7 +120,7 @@
 		case errors.Is(err, ErrOwnershipLost), errors.Is(err, errUnreadable):
 			return nil, err
 		}
-		b.Log.Warn("shares: not recorded, tried again", zap.String("pool", string(b.Pool)), logsink.Err(err))
+		b.Log.Warn("shares: write failed, retrying", zap.String("pool", string(b.Pool)), logsink.Err(err))
 		select {
 		case <-b.Clock.After(pause):
 		case <-ctx.Done():
@@ -129,17 +131,17 @@
 }
 
 var (
-	// errRecordChanged says that the record is another than was thought.
+	// errRecordChanged means that another daemon has changed the record since it was read.
 	errRecordChanged = errors.New("the record has changed")
-	// errUnreadable says that the record is not one of this program.
+	// errUnreadable means that the record cannot be decoded.
 	errUnreadable = errors.New("the record is not readable")
 )
 
-// trySet makes one change by the record as last seen.
+// trySet makes one attempt to change the record as last read or written.
 func (b *ShareBook) trySet(ctx context.Context, choose func(Shares) map[tw.OrganisationID]ShareUnits) (map[tw.OrganisationID]ShareUnits, error) {
 	shares, err := DecodeShares(b.last)
 	if err != nil {
-		b.Log.Error("shares: record set aside", logsink.Err(err))
+		b.Log.Error("shares: record unreadable, left unchanged", logsink.Err(err))
 		return nil, errUnreadable
 	}
 	if shares.Pools[b.Pool].Fence > b.Fence {
@@ -149,7 +151,7 @@
 	shares.Pools = maps.Clone(shares.Pools)
 	shares.Pools[b.Pool] = PoolShares{Fence: b.Fence, Units: units}
 	value := mustEncode(shares)
-	if bytes.Equal(value, b.last.Value) && !b.unclear {
+	if bytes.Equal(value, b.last.Value) && !b.ambiguous {
 		return units, nil
 	}
 	revision, err := b.KV.Commit(ctx, tw.KVTxn{
@@ -158,28 +160,27 @@
 	})
 	var conflict *tw.KVConflictError
 	if errors.As(err, &conflict) {
-		b.last, b.unclear = conflict.Find(SharesKey), false
+		b.last, b.ambiguous = conflict.Find(SharesKey), false
 		return nil, errRecordChanged
 	}
 	if err != nil {
-		// What is unclear may be done yet. The next try makes it certain, as its condition
-		// is the same: it is done, or finds a record that has moved on.
-		b.unclear = b.unclear || !tw.NotApplied(err)
+		// A write with an unknown outcome may still be applied. The next attempt settles
+		// this, as it has the same condition: it either succeeds or finds a newer revision.
+		b.ambiguous = b.ambiguous || !tw.NotApplied(err)
 		return nil, err
 	}
-	b.last, b.unclear = tw.KVItem{Key: SharesKey, Value: value, Revision: revision}, false
+	b.last, b.ambiguous = tw.KVItem{Key: SharesKey, Value: value, Revision: revision}, false
 	return units, nil
 }
 
-// Refresh reads the record anew, so that a change by others is seen without one of one's
-// own.
+// Refresh rereads the record, so that changes by other pools are seen without a write.
 func (b *ShareBook) Refresh(ctx context.Context) error {
 	item, err := b.KV.Get(ctx, SharesKey)
 	if errors.Is(err, tw.ErrNotFound) {
 		return nil
 	}
 	if err == nil && item.Revision > b.last.Revision {
-		b.last, b.unclear = item, false
+		b.last, b.ambiguous = item, false
 	}
 	return err
 }
--- a/ledger/shares_test.go
+++ b/ledger/shares_test.go
@@ -21,25 +21,26 @@
 	return ledger.ShareBookConfig{KV: kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Pool: name, Fence: fence}.New()
 }
 
-// upTo takes as much of red's cap as is free, at most n units.
+// upTo requests the free units of red's cap, at most n.
 func upTo(name tw.PoolID, n ledger.ShareUnits) func(ledger.Shares) units {
 	return func(s ledger.Shares) units { return units{"red": min(n, s.Free("red", name, nil))} }
 }
 
-// freeCases are what the pools have of red's cap, and what pool a may have.
+// freeCases are the shares and floors of pools, with the units of red's cap that are free for
+// pool a.
 var freeCases = map[string]struct {
 	pools  map[tw.PoolID]ledger.PoolShares
 	floors map[tw.PoolID]ledger.ShareUnits
 	want   ledger.ShareUnits
 }{
-	"nobody has any":         {want: ledger.CapUnits},
-	"its own part is free":   {pools: map[tw.PoolID]ledger.PoolShares{"a": {Units: units{"red": 700}}}, want: ledger.CapUnits},
-	"another has a part":     {pools: map[tw.PoolID]ledger.PoolShares{"b": {Units: units{"red": 700}}}, want: 324},
-	"of another's cap":       {pools: map[tw.PoolID]ledger.PoolShares{"b": {Units: units{"blue": 700}}}, want: ledger.CapUnits},
-	"floors are left":        {floors: map[tw.PoolID]ledger.ShareUnits{"a": 64, "b": 64, "c": 64}, want: 896},
-	"a part above its floor": {pools: map[tw.PoolID]ledger.PoolShares{"b": {Units: units{"red": 100}}}, floors: map[tw.PoolID]ledger.ShareUnits{"b": 64}, want: 924},
-	"a pool that has left":   {pools: map[tw.PoolID]ledger.PoolShares{"z": {Units: units{"red": 24}}}, floors: map[tw.PoolID]ledger.ShareUnits{"b": 100}, want: 900},
-	"all is taken":           {pools: map[tw.PoolID]ledger.PoolShares{"b": {Units: units{"red": 1000}}}, floors: map[tw.PoolID]ledger.ShareUnits{"c": 64}, want: 0},
+	"no shares":                   {want: ledger.CapUnits},
+	"the pool's own share":        {pools: map[tw.PoolID]ledger.PoolShares{"a": {Units: units{"red": 700}}}, want: ledger.CapUnits},
+	"another pool's share":        {pools: map[tw.PoolID]ledger.PoolShares{"b": {Units: units{"red": 700}}}, want: 324},
+	"share of another cap":        {pools: map[tw.PoolID]ledger.PoolShares{"b": {Units: units{"blue": 700}}}, want: ledger.CapUnits},
+	"floors of other pools":       {floors: map[tw.PoolID]ledger.ShareUnits{"a": 64, "b": 64, "c": 64}, want: 896},
+	"share above its floor":       {pools: map[tw.PoolID]ledger.PoolShares{"b": {Units: units{"red": 100}}}, floors: map[tw.PoolID]ledger.ShareUnits{"b": 64}, want: 924},
+	"share of a pool that left":   {pools: map[tw.PoolID]ledger.PoolShares{"z": {Units: units{"red": 24}}}, floors: map[tw.PoolID]ledger.ShareUnits{"b": 100}, want: 900},
+	"shares and floors above cap": {pools: map[tw.PoolID]ledger.PoolShares{"b": {Units: units{"red": 1000}}}, floors: map[tw.PoolID]ledger.ShareUnits{"c": 64}, want: 0},
 }
 
 func TestSharesFree(t *testing.T) {
@@ -50,7 +51,7 @@
 	}
 }
 
-func TestShareBookOfAFormerOwnerChangesNothing(t *testing.T) {
+func TestShareBookRejectsFormerOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kv := standin.KVConfig{Latency: time.Millisecond}.New()
@@ -65,9 +66,10 @@
 	})
 }
 
-// A part that was to be given back is not kept because the wish has changed: the write
-// may be done yet, and another pool would use the part as well.
-func TestShareBookMakesUnclearChangesCertain(t *testing.T) {
+// TestShareBookResolvesUnknownOutcome guards against an owner that keeps using a share after a
+// write with an unknown outcome that gives it back, because choose then returns another value.
+// The write may still be applied, and another pool would use the share as well.
+func TestShareBookResolvesUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kv := standin.KVConfig{Latency: time.Millisecond}.New()
@@ -75,10 +77,10 @@
 		_, err := a.Set(t.Context(), upTo("a", 1000))
 		g.Expect(err).NotTo(HaveOccurred())
 		kv.SetFaults(standin.KVFaults{LateWrites: 1})
-		wish := ledger.ShareUnits(0)
+		requested := ledger.ShareUnits(0)
 		held, err := a.Set(t.Context(), func(ledger.Shares) units {
-			defer func() { wish = 1000 }()
-			return units{"red": wish}
+			defer func() { requested = 1000 }()
+			return units{"red": requested}
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		kv.DoLate()
@@ -88,7 +90,7 @@
 	})
 }
 
-func TestShareBookLeavesAloneWhatItCannotRead(t *testing.T) {
+func TestShareBookKeepsUnreadableRecord(t *testing.T) {
 	g := NewWithT(t)
 	kv := standin.KVConfig{}.New()
 	kv.Put(ledger.SharesKey, []byte("not a record"))
@@ -99,23 +101,23 @@
 	g.Expect(string(item.Value)).To(Equal("not a record"))
 }
 
-// TestSharesModel plays owners of three pools that take and give back parts through a store
-// that refuses, loses answers and writes late, and that are replaced while they go on. What
-// an owner may use never sums to more than the cap: the recorded part of each owner, and of
-// a former one whose work may run on, the part that it had.
+// TestSharesModel simulates owners of three pools that change their shares through a store
+// that loses answers and applies writes late, and that are replaced at any time. The shares
+// that the owners may use must never add up to more than the cap. A new owner takes over the
+// recorded share of its predecessor, whose work may still run.
 func TestSharesModel(t *testing.T) {
 	for seed := range uint64(200) {
-		synctest.Test(t, func(t *testing.T) { playShares(t, seed) })
+		synctest.Test(t, func(t *testing.T) { simulateShares(t, seed) })
 	}
 }
 
-// shareOwner is an owner in the model, with the part that it uses.
+// shareOwner is a simulated owner with the share that it uses.
 type shareOwner struct {
 	book *ledger.ShareBook
 	uses ledger.ShareUnits
 }
 
-func playShares(t *testing.T, seed uint64) {
+func simulateShares(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 3))
 	kv := standin.KVConfig{Latency: time.Millisecond}.New()
 	names := []tw.PoolID{"a", "b", "c"}
@@ -147,7 +149,7 @@
 	}
 }
 
-// claim takes over what the former owner had.
+// claim takes over the share of the former owner.
 func (o *shareOwner) claim(t *testing.T, name tw.PoolID) {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -157,7 +159,8 @@
 	}
 }
 
-// change uses the least of before and after while the change is under way.
+// change requests up to n units. It uses the smaller of the old and the new share until the
+// change is confirmed.
 func (o *shareOwner) change(t *testing.T, name tw.PoolID, n ledger.ShareUnits) {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
--- a/ledger/survey.go
+++ b/ledger/survey.go
@@ -12,42 +12,42 @@
 )
 
 type (
-	// Survey is what the store tells of all pools, for operators.
+	// Survey is an overview of all pools for operators, read from the store.
 	Survey struct {
 		Pools []PoolSurvey `json:"pools"`
-		// Daemons are those with a record that they live.
+		// Daemons lists the daemons that have a liveness record.
 		Daemons []tw.DaemonID `json:"daemons"`
 	}
 
-	// PoolSurvey is what the store tells of one pool.
+	// PoolSurvey is the overview of one pool.
 	PoolSurvey struct {
 		Owner Owner `json:"owner"`
-		// OwnerAlive tells whether the owner has a record that it lives.
+		// OwnerAlive reports whether the owner has a liveness record.
 		OwnerAlive bool `json:"lives"`
 		// Open counts the submissions that have not ended, Ended the others by
-		// their state.
+		// final state.
 		Open  int                        `json:"open"`
 		Ended map[tw.SubmissionState]int `json:"ended"`
-		// Inbox counts the messages that the owner has not taken yet.
+		// Inbox counts the messages that the owner has not processed yet.
 		Inbox int `json:"inbox"`
 	}
 )
 
-// TakeSurvey reads the records of all pools. They are read one after the other, so
-// that a change meanwhile may show in part.
+// TakeSurvey reads the records of all pools. It takes no snapshot: a concurrent change may be
+// visible in part.
 func TakeSurvey(ctx context.Context, kv tw.KV) (*Survey, error) {
 	pools := map[tw.PoolID]*PoolSurvey{}
-	at := func(pool tw.PoolID) *PoolSurvey {
+	surveyOf := func(pool tw.PoolID) *PoolSurvey {
 		if pools[pool] == nil {
 			pools[pool] = &PoolSurvey{Owner: Owner{Pool: pool}, Ended: map[tw.SubmissionState]int{}}
 		}
 		return pools[pool]
 	}
 	out := &Survey{}
-	if err := surveyMembers(ctx, kv, out, at); err != nil {
+	if err := surveyMembers(ctx, kv, out, surveyOf); err != nil {
 		return nil, err
 	}
-	if err := surveySubmissions(ctx, kv, at); err != nil {
+	if err := surveySubmissions(ctx, kv, surveyOf); err != nil {
 		return nil, err
 	}
 	for _, p := range pools {
@@ -59,7 +59,7 @@
 	return out, nil
 }
 
-func surveyMembers(ctx context.Context, kv tw.KV, out *Survey, at func(tw.PoolID) *PoolSurvey) error {
+func surveyMembers(ctx context.Context, kv tw.KV, out *Survey, surveyOf func(tw.PoolID) *PoolSurvey) error {
 	members, _, err := kv.Range(ctx, MemberPrefix)
 	if err != nil {
 		return errors.Wrap(err, "ledger.Take: members")
@@ -73,12 +73,12 @@
 		if err != nil {
 			return err
 		}
-		at(owner.Pool).Owner = owner
+		surveyOf(owner.Pool).Owner = owner
 	}
 	return nil
 }
 
-func surveySubmissions(ctx context.Context, kv tw.KV, at func(tw.PoolID) *PoolSurvey) error {
+func surveySubmissions(ctx context.Context, kv tw.KV, surveyOf func(tw.PoolID) *PoolSurvey) error {
 	submissions, _, err := kv.Range(ctx, submissionPrefix)
 	if err != nil {
 		return errors.Wrap(err, "ledger.Take: submissions")
@@ -89,9 +89,9 @@
 			return err
 		}
 		if record.Final == "" {
-			at(record.Pool).Open++
+			surveyOf(record.Pool).Open++
 		} else {
-			at(record.Pool).Ended[record.Final]++
+			surveyOf(record.Pool).Ended[record.Final]++
 		}
 	}
 	messages, _, err := kv.Range(ctx, inboxPrefix)
@@ -100,7 +100,7 @@
 	}
 	for _, item := range messages {
 		pool, _, _ := strings.Cut(strings.TrimPrefix(string(item.Key), string(inboxPrefix)), "/")
-		at(tw.PoolID(pool)).Inbox++
+		surveyOf(tw.PoolID(pool)).Inbox++
 	}
 	return nil
 }
--- a/maintenance/ample.go
+++ b/maintenance/ample.go
@@ -2,31 +2,30 @@
 
 import "math"
 
-// A fleet may be far larger than its work. The highest that any pool's work has filled, once a
-// height of demand has passed, then tells what each pool may need before a machine that is
-// switched off could be back; what is beyond a multiple of it costs without being of use.
+// A fleet may be far larger than its work. Once a peak of demand has passed, the most machines
+// that the work of any pool has filled indicates what each pool may need before a parked machine
+// can be back. Machines beyond a multiple of that are parked, as they cost without being of use.
 
-// FillHistory is what is known of the machines that a pool's work fills.
+// FillHistory tracks how many machines a pool's work fills.
 type FillHistory struct {
-	// Now is how many machines work fills, Lowest and Highest the extremes since it has been
-	// watched, the highest since the lowest.
+	// Now is the current number of machines. Lowest and Highest are the extremes observed.
 	Now, Lowest, Highest float64
-	// PeakPassed: demand has risen far above its lowest and has fallen again.
+	// PeakPassed means that demand has risen far above its lowest and has fallen again.
 	PeakPassed bool
 	known      bool
 }
 
 const (
-	// peakFactor times its lowest, and at least riseLeast machines, is a height of demand; it
-	// has passed at fallShare of its highest.
+	// Demand has a peak when it reaches peakFactor times its lowest and at least minPeakMachines
+	// machines. The peak has passed once demand falls to peakPassedShare of its highest.
 	peakFactor      = 4
 	minPeakMachines = 100
 	peakPassedShare = 0.5
-	// reserveFactor times the highest that any pool filled is kept in each of them.
+	// reserveFactor times the most machines that any pool has filled is kept in each pool.
 	reserveFactor = 2
 )
 
-// observe takes up how many machines work fills now.
+// observe records how many machines the work fills now.
 func (h *FillHistory) observe(filled float64) {
 	h.Now = filled
 	if !h.known || filled < h.Lowest {
@@ -38,8 +37,8 @@
 	}
 }
 
-// reservePerPool is how many machines are kept in each pool of a fleet that has that many for
-// all pools; zero if it hasn't, or if no height of demand has passed yet. It visits the pools.
+// reservePerPool returns how many machines to keep in each pool. It is zero if the fleet is too
+// small to keep as many in all pools, or if no peak of demand has passed yet.
 func (s *State) reservePerPool(pools []*Pool) float64 {
 	highest, passed, machines := 0.0, false, 0.0
 	for _, pool := range pools {
@@ -58,15 +57,15 @@
 	return reserve
 }
 
-// capNeeds bounds the needs that are foreseen: a few large submissions at a time look like a
-// rise far above all that was seen.
+// capNeeds limits the forecast needs, because a few large submissions at a time look like a
+// rise far above any demand observed so far.
 func capNeeds(pools []*Pool, reserve float64) {
 	for _, pool := range pools {
 		pool.Need = min(pool.Need, max(pool.FillHistory.Now, math.Floor(reserve/headroom)))
 	}
 }
 
-// parkSurplus switches off what pools have beyond a reserve. It costs as much as machines change.
+// parkSurplus parks the machines that pools have beyond the reserve.
 func (s *State) parkSurplus(reserve float64, pools []*Pool, d *Decision) {
 	parking := s.parking()
 	for _, pool := range pools {
--- a/maintenance/ample_test.go
+++ b/maintenance/ample_test.go
@@ -10,13 +10,13 @@
 	"github.com/tamarindworks/tamarindworks/maintenance"
 )
 
-// turn is what is known of a pool whose work has filled so many machines at its height.
-func turn(now, lowest, highest float64) maintenance.FillHistory {
+// fillHistory returns the history of a pool with the given fills.
+func fillHistory(now, lowest, highest float64) maintenance.FillHistory {
 	return maintenance.FillHistory{Now: now, Lowest: lowest, Highest: highest, PeakPassed: highest >= 4*lowest && 2*now <= highest}
 }
 
-// parked counts the changes of a decision by where machines go.
-func parked(d maintenance.Decision) map[tw.PoolID]int {
+// movesByPool counts the moves of a decision by target pool.
+func movesByPool(d maintenance.Decision) map[tw.PoolID]int {
 	out := map[tw.PoolID]int{}
 	for _, o := range d.Vacate {
 		out[o.Pool]++
@@ -27,55 +27,55 @@
 	return out
 }
 
-// ampleCases are fleets with pools p, q and r, and what becomes of their machines soon after the
-// manager has begun. On a quiet day with 5,036 machines in pools of which 341 were ever filled
-// in one of them, all stayed until the day was over.
-var ampleCases = map[string]func(g *WithT, f fleet){
-	"what no pool has needed is switched off once a height has passed": func(g *WithT, f fleet) {
-		f.pool("p", 1000, 20).FillHistory = turn(20, 20, 200)
-		f.pool("q", 1200, 30).FillHistory = turn(30, 30, 40)
-		f.pool("r", 400, 30).FillHistory = turn(30, 30, 40)
+// reserveCases are fleets with pools p, q and r shortly after the start of the manager. They guard
+// against machines that are never parked: on a quiet day, all of 5,036 machines stayed in use
+// until the end of the day, although no pool ever filled more than 341.
+var reserveCases = map[string]func(g *WithT, f fleet){
+	"unneeded machines are parked after a peak of demand": func(g *WithT, f fleet) {
+		f.pool("p", 1000, 20).FillHistory = fillHistory(20, 20, 200)
+		f.pool("q", 1200, 30).FillHistory = fillHistory(30, 30, 40)
+		f.pool("r", 400, 30).FillHistory = fillHistory(30, 30, 40)
 		f.parking(0)
-		to := parked(maintenance.Decide(f.State))
+		to := movesByPool(maintenance.Decide(f.State))
 		g.Expect(to).To(Equal(map[tw.PoolID]int{"parking": 540 + 740}))
 	},
-	"not before one has": func(g *WithT, f fleet) {
-		f.pool("p", 1000, 20).FillHistory = turn(150, 20, 200)
-		f.pool("q", 1200, 30).FillHistory = turn(30, 30, 40)
+	"nothing is parked during a peak": func(g *WithT, f fleet) {
+		f.pool("p", 1000, 20).FillHistory = fillHistory(150, 20, 200)
+		f.pool("q", 1200, 30).FillHistory = fillHistory(30, 30, 40)
 		f.parking(0)
-		g.Expect(parked(maintenance.Decide(f.State))).To(BeEmpty())
+		g.Expect(movesByPool(maintenance.Decide(f.State))).To(BeEmpty())
 	},
-	"not where heights need what there is": func(g *WithT, f fleet) {
-		f.pool("p", 100, 20).FillHistory = turn(20, 10, 90)
-		f.pool("q", 120, 30).FillHistory = turn(30, 30, 40)
+	"nothing is parked if peaks need the whole fleet": func(g *WithT, f fleet) {
+		f.pool("p", 100, 20).FillHistory = fillHistory(20, 10, 90)
+		f.pool("q", 120, 30).FillHistory = fillHistory(30, 30, 40)
 		f.parking(30)
-		g.Expect(parked(maintenance.Decide(f.State))).To(BeEmpty())
+		g.Expect(movesByPool(maintenance.Decide(f.State))).To(BeEmpty())
 	},
-	"a pool with work for more keeps it": func(g *WithT, f fleet) {
+	"a pool with a need above the reserve keeps its machines": func(g *WithT, f fleet) {
 		p := f.pool("p", 1000, 200)
-		p.Late, p.FillHistory = 500, turn(20, 20, 200)
-		f.pool("q", 1200, 30).FillHistory = turn(30, 30, 40)
+		p.Late, p.FillHistory = 500, fillHistory(20, 20, 200)
+		f.pool("q", 1200, 30).FillHistory = fillHistory(30, 30, 40)
 		f.parking(0)
-		to := parked(maintenance.Decide(f.State))
+		to := movesByPool(maintenance.Decide(f.State))
 		g.Expect(to["parking"]).To(BeNumerically("~", 1000-805+1200-460, 1))
 	},
-	"a need far above all that was seen brings nothing back": func(g *WithT, f fleet) {
-		f.pool("p", 460, 1146).FillHistory = turn(190, 40, 200)
-		f.pool("q", 460, 30).FillHistory = turn(30, 30, 200)
+	"a forecast need far above the highest observed unparks nothing": func(g *WithT, f fleet) {
+		f.pool("p", 460, 1146).FillHistory = fillHistory(190, 40, 200)
+		f.pool("q", 460, 30).FillHistory = fillHistory(30, 30, 200)
 		f.parking(2000)
-		g.Expect(parked(maintenance.Decide(f.State))).To(BeEmpty())
+		g.Expect(movesByPool(maintenance.Decide(f.State))).To(BeEmpty())
 	},
-	"work that does fill more does": func(g *WithT, f fleet) {
+	"work that fills more machines unparks some": func(g *WithT, f fleet) {
 		p := f.pool("p", 460, 700)
-		p.FillHistory = turn(600, 40, 600)
-		f.pool("q", 460, 30).FillHistory = turn(30, 30, 200)
+		p.FillHistory = fillHistory(600, 40, 600)
+		f.pool("q", 460, 30).FillHistory = fillHistory(30, 30, 200)
 		f.parking(2000)
-		g.Expect(parked(maintenance.Decide(f.State))["p"]).To(BeNumerically(">=", 340))
+		g.Expect(movesByPool(maintenance.Decide(f.State))["p"]).To(BeNumerically(">=", 340))
 	},
 }
 
-func TestAmple(t *testing.T) {
-	for name, c := range ampleCases {
+func TestReserve(t *testing.T) {
+	for name, c := range reserveCases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet()
 			f.WatchedSince = base.Add(-10 * time.Second)
--- a/maintenance/collect.go
+++ b/maintenance/collect.go
@@ -10,35 +10,35 @@
 )
 
 type (
-	// endedWorker is a worker that ended with an order that was answered.
+	// endedWorker is a worker that was ended by an acknowledged order.
 	endedWorker struct {
 		pool tw.PoolID
 		at   time.Time
 	}
 
-	// report is the last that the owner of a pool told.
+	// report is the last report of a pool's owner.
 	report struct {
 		run.Report
-		requestedAt time.Time // when it was asked for
-		// vacateRequested are the machines that the owner was asked to empty with it.
+		requestedAt time.Time // when it was requested
+		// vacateRequested holds the machines that the request asked the owner to vacate.
 		vacateRequested map[tw.InstanceID]bool
 	}
 )
 
 const (
-	// endedNoticeTime is how long owners are told of a worker that is gone. Its entry
-	// goes after three status reports of silence, about 5 s.
+	// endedNoticeTime is how long owners are notified of an ended worker. The entry of
+	// the worker is removed after three missed status reports, about 5 s.
 	endedNoticeTime = 8 * time.Second
-	// workerListLag is how long after the list of machines the list of workers
-	// tells of a new one: measured, 0.43 s for nine in ten on the grown sites.
+	// workerListLag is how long the list of workers may lag behind the list of
+	// machines. The lag is at most 0.43 s for nine in ten new workers.
 	workerListLag = 600 * time.Millisecond
-	// reportTimeout bounds the call for a report.
+	// reportTimeout limits a call for a report.
 	reportTimeout = 400 * time.Millisecond
 )
 
-// collect asks the owners of all pools for reports, at the same time, and
-// tells each which machines to empty, which workers are gone, and which run
-// although the owner does not seem to know them.
+// collect requests reports from the owners of all pools concurrently. Each request carries
+// the pool's directions: the machines to vacate, the workers that have ended, and the
+// running workers that are missing from the owner's reports.
 func (m *Manager) collect(config *tw.QueueConfig) {
 	directions := m.directions()
 	var mu sync.Mutex
@@ -47,21 +47,21 @@
 	defer cancel()
 	for _, pool := range config.Pools {
 		wg.Go(func() {
-			asked := m.Clock.Now()
+			requestedAt := m.Clock.Now()
 			d := directions[pool.ID]
 			got, err := m.Owners.ReportOf(ctx, pool.ID, d)
 			if err != nil {
-				return // an old report is not acted upon
+				return // the last report expires after a while
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			m.reports[pool.ID] = report{Report: got, requestedAt: asked, vacateRequested: setOf(d.Vacate)}
+			m.reports[pool.ID] = report{Report: got, requestedAt: requestedAt, vacateRequested: setOf(d.Vacate)}
 		})
 	}
 	wg.Wait()
 }
 
-// directions are what the owners are told, by pool.
+// directions returns the directions to the owners, by pool.
 func (m *Manager) directions() map[tw.PoolID]run.Directions {
 	out := map[tw.PoolID]run.Directions{}
 	vacate := func(pool tw.PoolID, id tw.InstanceID) {
@@ -75,7 +75,7 @@
 		}
 		m.addRunning(list, out)
 	}
-	// A machine that was ordered away is gone before the lists show it.
+	// A machine that was ordered away may have left before the lists show it.
 	for id, order := range m.ordered {
 		vacate(order.From, id)
 	}
@@ -91,10 +91,9 @@
 	return out
 }
 
-// addRunning adds the workers that run on a pool's machines but have been
-// missing from all reports for longer than a list of workers lags behind. Their
-// owners then have that list read anew, as the watch of it may be silent. It
-// also brings m.missing up to date.
+// addRunning adds the workers that run on a pool's machines but have been missing from all
+// reports for longer than the list of workers lags behind. The owner then rereads that list,
+// as its watch may have stalled. addRunning also updates m.missing.
 func (m *Manager) addRunning(list *run.MachineList, out map[tw.PoolID]run.Directions) {
 	now := m.Clock.Now()
 	reported := m.reportedWorkers()
@@ -121,7 +120,7 @@
 	m.missing = missing
 }
 
-// reportedWorkers are the workers in the last reports of all owners.
+// reportedWorkers returns the workers in the last reports of all owners.
 func (m *Manager) reportedWorkers() map[tw.WorkerID]bool {
 	out := map[tw.WorkerID]bool{}
 	for _, r := range m.reports {
--- a/maintenance/decide.go
+++ b/maintenance/decide.go
@@ -11,19 +11,19 @@
 
 const (
 	// vacateTimeout is how long a machine may take to become empty before another
-	// is tried: subtasks of the platform's pages run up to about 5 s.
+	// one is tried. The platform's subtasks run for up to about 5 s.
 	vacateTimeout = 9 * time.Second
-	// waveTimeReserve of a wave's time is kept for what takes longer than planned.
+	// waveTimeReserve is the share of a wave's time kept as a reserve for delays.
 	waveTimeReserve = 0.3
-	// minFreeShare is the share of a pool's capacity that stays free after a
-	// machine leaves it, unless the wave is short of time.
+	// minFreeShare is the share of a pool's capacity that must stay free after
+	// a machine leaves it for a wave, unless the wave is behind schedule.
 	minFreeShare = 0.1
-	// maxUnavailableShare: of a pool, at least one machine and up to this share may
-	// be away or emptied at the same time.
+	// maxUnavailableShare is the share of a pool's machines, but at least one machine,
+	// that may be away or being vacated at the same time.
 	maxUnavailableShare = 0.34
 )
 
-// Decide works out what to do now. It is pure.
+// Decide returns the changes to make now. It depends on nothing but the state.
 func Decide(s *State) Decision {
 	d := Decision{Vacate: map[tw.InstanceID]Order{}}
 	s.buildIndex()
@@ -39,7 +39,8 @@
 	return d
 }
 
-// keepVacating goes on with what was begun, unless it has become pointless.
+// keepVacating keeps the machines that are being vacated, unless the machine is no longer
+// up, vacating it takes too long, or the change is no longer wanted.
 func (s *State) keepVacating(d *Decision) {
 	for id, order := range s.Vacating {
 		machine, found := s.Machines[id]
@@ -53,18 +54,18 @@
 	}
 }
 
-// decideWave picks the machines to empty next for a wave.
+// decideWave selects the next machines to vacate for a wave.
 func (s *State) decideWave(w *Wave, d *Decision) {
 	down := s.countDown(w)
 	var waiting []tw.Machine
-	inHand := down
+	inProgress := down
 	for _, id := range w.Machines {
 		machine, found := s.Machines[id]
 		if !found || w.Done[id] {
 			continue
 		}
 		if order, vacating := d.Vacate[id]; vacating && order.Wave == w.Number {
-			inHand++
+			inProgress++
 			continue
 		}
 		if _, ordered := s.Ordered[id]; machine.State == tw.MachineUp && !ordered && !s.blocked(id) {
@@ -72,22 +73,22 @@
 		}
 	}
 	slices.SortFunc(waiting, s.compareForWave)
-	hurry := s.behindSchedule(w, len(waiting))
+	behind := s.behindSchedule(w, len(waiting))
 	for _, machine := range waiting {
-		// A machine that is being emptied takes no place among those that are
-		// down, so some are emptied ahead.
-		if inHand >= 2*w.MaxConcurrent {
+		// A machine that is being vacated is not down yet, so more machines than
+		// may be down are vacated ahead.
+		if inProgress >= 2*w.MaxConcurrent {
 			return
 		}
-		if !s.canRelease(machine, d, hurry) {
+		if !s.canRelease(machine, d, behind) {
 			continue
 		}
 		d.Vacate[machine.ID] = Order{Machine: machine.ID, Wave: w.Number, Since: s.Now, Reason: "maintenance wave"}
-		inHand++
+		inProgress++
 	}
 }
 
-// compareForWave takes the machines with the least work first.
+// compareForWave orders machines by their work, least work first.
 func (s *State) compareForWave(a, b tw.Machine) int {
 	la, _ := s.load(a)
 	lb, _ := s.load(b)
@@ -98,7 +99,7 @@
 	)
 }
 
-// countDown counts the machines that are down for a wave, or may be.
+// countDown counts the machines that are or may be down for a wave.
 func (s *State) countDown(w *Wave) int {
 	n := 0
 	for _, id := range w.Machines {
@@ -111,18 +112,19 @@
 	return n
 }
 
-// behindSchedule tells whether a wave needs more than its even pace to be in time.
+// behindSchedule reports whether the remaining time of a wave is too short for its remaining
+// machines at the usual pace.
 func (s *State) behindSchedule(w *Wave, waiting int) bool {
 	left := w.FirstSeen.Add(time.Duration((1 - waveTimeReserve) * float64(w.NoticePeriod))).Sub(s.Now)
 	rounds := math.Ceil(float64(waiting) / float64(w.MaxConcurrent))
 	return left < time.Duration(rounds)*waveRoundTime
 }
 
-// waveRoundTime is about how long it takes to empty machines and have them back.
+// waveRoundTime is the approximate time to vacate machines, maintain them and have them back.
 const waveRoundTime = 6 * time.Second
 
-// canRelease tells whether a pool can do without one more machine.
-func (s *State) canRelease(machine tw.Machine, d *Decision, hurry bool) bool {
+// canRelease reports whether a pool can do without one more machine.
+func (s *State) canRelease(machine tw.Machine, d *Decision, behind bool) bool {
 	if s.isEmpty(machine) && (machine.Worker == "" || s.Evacuations.Has(machine.Hall)) {
 		return true
 	}
@@ -145,7 +147,7 @@
 	if away >= max(1, int(maxUnavailableShare*float64(size))) {
 		return false
 	}
-	if hurry {
+	if behind {
 		return true
 	}
 	capacity, used := pool.totals()
@@ -153,8 +155,8 @@
 	return used <= (1-minFreeShare)*capacity
 }
 
-// totals are the pool's sound machines and what of them is used or wanted,
-// both counted in machines.
+// totals returns the number of healthy machines of the pool, and the number of machines that
+// its running and waiting work fills.
 func (p *Pool) totals() (machines, used float64) {
 	var size tw.Resources
 	for _, load := range p.Report.Workers {
@@ -166,7 +168,8 @@
 	return machines, machinesFor(p.Report.Running.Plus(p.Report.Waiting).Plus(p.Report.Late), size)
 }
 
-// machinesFor is how many machines of a size some resources fill, by the scarcest.
+// machinesFor returns how many machines of the given size the resources fill, by the scarcest
+// resource.
 func machinesFor(r, size tw.Resources) float64 {
 	out := 0.0
 	if size.CPU > 0 {
@@ -178,7 +181,7 @@
 	return out
 }
 
-// orderVacated turns the changes whose machines are empty into orders.
+// orderVacated turns the changes of machines that are empty into orders.
 func (s *State) orderVacated(d *Decision) {
 	down := map[int64]int{}
 	for _, w := range s.Waves {
@@ -193,7 +196,7 @@
 		order := d.Vacate[id]
 		_, asked := s.Vacating[id]
 		machine := s.Machines[id]
-		// An owner that was not asked yet could still put work there.
+		// An owner that was not asked to vacate the machine could still place work there.
 		if !s.isEmpty(machine) || !asked && machine.Worker != "" || s.blocked(id) {
 			continue
 		}
--- a/maintenance/decide_test.go
+++ b/maintenance/decide_test.go
@@ -19,7 +19,7 @@
 	size = tw.Resources{CPU: 16000, MemoryMB: 32000}
 )
 
-// fleet is a state under construction.
+// fleet builds the state for a test.
 type fleet struct{ *maintenance.State }
 
 func newFleet() fleet {
@@ -29,7 +29,7 @@
 	}}
 }
 
-// pool adds a pool of machines that need is spread over evenly.
+// pool adds a pool with the given number of idle machines and the given need.
 func (f fleet) pool(id tw.PoolID, machines int, need float64) *maintenance.Pool {
 	p := &maintenance.Pool{ID: id, ReportFresh: true, Need: need, Peak: need}
 	for n := range machines {
@@ -66,17 +66,17 @@
 	return w
 }
 
-func (f fleet) busy(id tw.InstanceID, runs, lasting int) {
+func (f fleet) busy(id tw.InstanceID, runs, longRunning int) {
 	machine := f.Machines[id]
 	p := f.Pools[machine.Pool]
 	for i := range p.Report.Workers {
 		if p.Report.Workers[i].Worker == machine.Worker {
-			p.Report.Workers[i].Runs, p.Report.Workers[i].LongRunning = runs, lasting
+			p.Report.Workers[i].Runs, p.Report.Workers[i].LongRunning = runs, longRunning
 		}
 	}
 }
 
-func ordered(d maintenance.Decision) []tw.InstanceID {
+func orderedMachines(d maintenance.Decision) []tw.InstanceID {
 	var out []tw.InstanceID
 	for _, o := range d.Orders {
 		out = append(out, o.Machine)
@@ -85,25 +85,25 @@
 	return out
 }
 
-func (f fleet) told(id tw.InstanceID, wave int64) {
+func (f fleet) markVacating(id tw.InstanceID, wave int64) {
 	f.Vacating[id] = maintenance.Order{Machine: id, Wave: wave, Since: base.Add(-time.Second)}
 }
 
 var decideCases = map[string]func(g *WithT, f fleet){
-	"asks for a machine to be emptied before it takes it down": func(g *WithT, f fleet) {
+	"vacates a machine before taking it down": func(g *WithT, f fleet) {
 		f.pool("p", 4, 1)
 		f.wave(1, "p-0")
 		d := maintenance.Decide(f.State)
 		g.Expect(d.Orders).To(BeEmpty())
 		g.Expect(d.Vacate).To(HaveKey(tw.InstanceID("p-0")))
 	},
-	"takes it down once its owner was told and reports it empty": func(g *WithT, f fleet) {
+	"takes a machine down once the owner was asked and reports it empty": func(g *WithT, f fleet) {
 		f.pool("p", 4, 1)
 		f.wave(1, "p-0")
-		f.told("p-0", 1)
-		g.Expect(ordered(maintenance.Decide(f.State))).To(Equal([]tw.InstanceID{"p-0"}))
+		f.markVacating("p-0", 1)
+		g.Expect(orderedMachines(maintenance.Decide(f.State))).To(Equal([]tw.InstanceID{"p-0"}))
 	},
-	"does not take up again and again a machine that must not be changed yet": func(g *WithT, f fleet) {
+	"does not vacate a blocked machine": func(g *WithT, f fleet) {
 		f.pool("p", 4, 1)
 		f.wave(1, "p-0", "p-1")
 		f.Blocked = map[tw.InstanceID]time.Time{"p-0": base.Add(time.Second)}
@@ -111,84 +111,84 @@
 		g.Expect(d.Vacate).NotTo(HaveKey(tw.InstanceID("p-0")))
 		g.Expect(d.Vacate).To(HaveKey(tw.InstanceID("p-1")))
 	},
-	"leaves an empty machine that must not be changed yet": func(g *WithT, f fleet) {
+	"does not take down a blocked machine that is empty": func(g *WithT, f fleet) {
 		f.pool("p", 4, 1)
 		f.wave(1, "p-0")
-		f.told("p-0", 1)
+		f.markVacating("p-0", 1)
 		f.Blocked = map[tw.InstanceID]time.Time{"p-0": base.Add(time.Second)}
 		d := maintenance.Decide(f.State)
 		g.Expect(d.Orders).To(BeEmpty())
 		g.Expect(d.Vacate).To(HaveKey(tw.InstanceID("p-0")))
 	},
-	"leaves it while something runs there": func(g *WithT, f fleet) {
+	"does not take down a machine with runs": func(g *WithT, f fleet) {
 		f.pool("p", 4, 1)
 		f.wave(1, "p-0")
-		f.told("p-0", 1)
+		f.markVacating("p-0", 1)
 		f.busy("p-0", 1, 0)
 		g.Expect(maintenance.Decide(f.State).Orders).To(BeEmpty())
 	},
-	"leaves it while it is not known what runs there": func(g *WithT, f fleet) {
+	"does not take down a machine with an unknown load": func(g *WithT, f fleet) {
 		p := f.pool("p", 4, 1)
 		f.wave(1, "p-0")
-		f.told("p-0", 1)
+		f.markVacating("p-0", 1)
 		for i := range p.Report.Workers {
 			p.Report.Workers[i].Known = false
 		}
 		g.Expect(maintenance.Decide(f.State).Orders).To(BeEmpty())
 	},
-	"leaves it while its worker is not known yet": func(g *WithT, f fleet) {
+	"does not take down a machine with an unknown worker": func(g *WithT, f fleet) {
 		f.pool("p", 4, 1)
 		f.wave(1, "p-0")
-		f.told("p-0", 1)
+		f.markVacating("p-0", 1)
 		machine := f.Machines["p-0"]
 		machine.Worker = ""
 		f.Machines["p-0"] = machine
 		g.Expect(maintenance.Decide(f.State).Orders).To(BeEmpty())
 	},
-	"leaves it while its pool's report is old": func(g *WithT, f fleet) {
+	"does not take down a machine of a pool with a stale report": func(g *WithT, f fleet) {
 		f.pool("p", 4, 1).ReportFresh = false
 		f.wave(1, "p-0")
-		f.told("p-0", 1)
+		f.markVacating("p-0", 1)
 		g.Expect(maintenance.Decide(f.State).Orders).To(BeEmpty())
 	},
-	"takes a machine that is off down at once": func(g *WithT, f fleet) {
+	"takes a parked machine down at once": func(g *WithT, f fleet) {
 		f.pool("p", 4, 1)
 		f.parking(2)
 		f.wave(1, "parking-0", "parking-1")
 		g.Expect(maintenance.Decide(f.State).Orders).To(HaveLen(1))
 	},
-	"takes down no more at once than the wave allows": func(g *WithT, f fleet) {
+	"takes down no more machines at once than the wave allows": func(g *WithT, f fleet) {
 		f.pool("p", 6, 1)
 		f.wave(2, "p-0", "p-1", "p-2", "p-3")
 		for _, id := range []tw.InstanceID{"p-0", "p-1", "p-2"} {
-			f.told(id, 1)
+			f.markVacating(id, 1)
 		}
 		f.Ordered["p-3"] = maintenance.Order{Machine: "p-3", Wave: 1}
 		g.Expect(maintenance.Decide(f.State).Orders).To(HaveLen(1))
 	},
-	"empties no machine of a pool that needs them all, while there is time": func(g *WithT, f fleet) {
+	"vacates no machine of a pool that needs them all while there is time": func(g *WithT, f fleet) {
 		p := f.pool("p", 4, 4)
 		p.Report.Running = tw.Resources{CPU: 4 * size.CPU}
 		f.wave(1, "p-0")
 		g.Expect(maintenance.Decide(f.State).Vacate).To(BeEmpty())
 	},
-	"empties one all the same when time is short": func(g *WithT, f fleet) {
+	"vacates a machine of a pool that needs them all when time is short": func(g *WithT, f fleet) {
 		p := f.pool("p", 4, 4)
 		p.Report.Running = tw.Resources{CPU: 4 * size.CPU}
 		f.wave(1, "p-0").FirstSeen = base.Add(-50 * time.Second)
 		g.Expect(maintenance.Decide(f.State).Vacate).To(HaveLen(1))
 	},
-	"gives a pool that lacks machines the parked ones first": func(g *WithT, f fleet) {
+	"gives parked machines first to a pool that lacks some": func(g *WithT, f fleet) {
 		f.pool("p", 4, 6)
 		f.pool("q", 8, 2)
 		f.parking(3)
 		d := maintenance.Decide(f.State)
-		g.Expect(ordered(d)).To(Equal([]tw.InstanceID{"parking-0", "parking-1", "parking-2"}))
+		g.Expect(orderedMachines(d)).To(Equal([]tw.InstanceID{"parking-0", "parking-1", "parking-2"}))
 		for _, o := range d.Orders {
 			g.Expect(o.Pool).To(Equal(tw.PoolID("p")))
 		}
 	},
-	"takes spare machines from another pool, the least busy first": func(g *WithT, f fleet) {
+	"takes spare machines of another pool, the least busy first": func(g *WithT, f fleet) {
 		f.pool("p", 4, 4)
 		f.pool("q", 8, 5)
 		for n := range 7 {
@@ -196,7 +196,7 @@
 		}
 		g.Expect(maintenance.Decide(f.State).Vacate).To(HaveKey(tw.InstanceID("q-7")))
 	},
-	"moves no machine that runs something lasting": func(g *WithT, f fleet) {
+	"moves no machine with long-running work": func(g *WithT, f fleet) {
 		f.pool("p", 4, 9)
 		f.pool("q", 8, 1)
 		for n := range 8 {
@@ -204,13 +204,13 @@
 		}
 		g.Expect(maintenance.Decide(f.State).Vacate).To(BeEmpty())
 	},
-	"moves no machine to a pool that takes others only": func(g *WithT, f fleet) {
+	"moves no machine to a pool that does not accept it": func(g *WithT, f fleet) {
 		f.pool("p", 4, 9)
 		f.parking(1)
 		f.Unfit = map[tw.InstanceID]map[tw.PoolID]bool{"parking-0": {"p": true}}
 		g.Expect(maintenance.Decide(f.State).Orders).To(BeEmpty())
 	},
-	"parks what no pool has needed": func(g *WithT, f fleet) {
+	"parks machines that no pool has needed": func(g *WithT, f fleet) {
 		f.pool("p", 12, 1)
 		f.parking(0)
 		d := maintenance.Decide(f.State)
@@ -219,18 +219,18 @@
 			g.Expect(o.Pool).To(Equal(tw.PoolID("parking")))
 		}
 	},
-	"parks nothing before needs were watched for a while": func(g *WithT, f fleet) {
+	"parks nothing before needs have been observed for a while": func(g *WithT, f fleet) {
 		f.pool("p", 12, 1)
 		f.parking(0)
 		f.WatchedSince = base
 		g.Expect(maintenance.Decide(f.State).Vacate).To(BeEmpty())
 	},
-	"parks nothing that was needed a moment ago": func(g *WithT, f fleet) {
+	"parks nothing that was needed recently": func(g *WithT, f fleet) {
 		f.pool("p", 12, 1).Peak = 11
 		f.parking(0)
 		g.Expect(maintenance.Decide(f.State).Vacate).To(BeEmpty())
 	},
-	"gives work that can be in time the machines of late work": func(g *WithT, f fleet) {
+	"gives machines of late work to on-time work": func(g *WithT, f fleet) {
 		f.pool("p", 40, 6).Late = 90
 		f.pool("q", 10, 30)
 		f.parking(0)
@@ -241,7 +241,7 @@
 		g.Expect(to["q"]).To(BeNumerically(">=", 24))
 		g.Expect(to["p"]).To(BeZero())
 	},
-	"gives late work what nothing else needs": func(g *WithT, f fleet) {
+	"gives late work the machines that nothing else needs": func(g *WithT, f fleet) {
 		f.pool("p", 8, 4).Late = 10
 		f.pool("q", 20, 5)
 		f.parking(0)
@@ -252,7 +252,7 @@
 		g.Expect(to["p"]).To(BeNumerically(">=", 7))
 		g.Expect(to["q"]).To(BeZero())
 	},
-	"spreads spare machines of a pool whose demand has passed over those that have few": func(g *WithT, f fleet) {
+	"rebalances spare machines after a peak of demand": func(g *WithT, f fleet) {
 		f.pool("p", 468, 290).Peak = 500
 		f.pool("q", 24, 17).Peak = 50
 		f.pool("r", 24, 17).Peak = 50
@@ -265,14 +265,14 @@
 		g.Expect(to["r"]).To(BeNumerically(">=", 20))
 		g.Expect(to["p"]).To(BeZero())
 	},
-	"leaves spare machines alone while all pools have some": func(g *WithT, f fleet) {
+	"moves no spare machines while all pools have some": func(g *WithT, f fleet) {
 		f.pool("p", 60, 30).Peak = 60
 		f.pool("q", 40, 20).Peak = 60
 		f.pool("r", 36, 20).Peak = 60
 		f.parking(0)
 		g.Expect(maintenance.Decide(f.State).Vacate).To(BeEmpty())
 	},
-	"leaves a pool alone that has room for whatever any pool needed": func(g *WithT, f fleet) {
+	"moves no spare machines to a pool with enough for any peak": func(g *WithT, f fleet) {
 		f.pool("p", 1200, 900).Peak = 900
 		f.pool("q", 1100, 40).Peak = 40
 		f.pool("r", 1400, 40).Peak = 40
@@ -280,7 +280,7 @@
 		f.WatchedSince = base
 		g.Expect(maintenance.Decide(f.State).Vacate).To(BeEmpty())
 	},
-	"spreads spare machines over the pools": func(g *WithT, f fleet) {
+	"rebalances spare machines over the pools": func(g *WithT, f fleet) {
 		f.pool("p", 12, 1).Peak = 12
 		f.pool("q", 4, 1).Peak = 12
 		f.parking(0)
@@ -298,10 +298,10 @@
 	}
 }
 
-// Whatever the fleet looks like: orders go only to machines that are up and
-// known to be empty, each machine has one order at most, and no wave takes
-// more down at once than it allows.
-func TestDecideKeepsBounds(t *testing.T) {
+// TestDecideInvariants checks with random fleets that orders go only to machines that are up
+// and known to be empty, that each machine has at most one order, and that no wave takes more
+// machines down at once than it allows.
+func TestDecideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
 		for n := range rapid.IntRange(1, 3).Draw(t, "pools") {
@@ -322,7 +322,7 @@
 			f.Machines[id] = machine
 			f.busy(id, rapid.IntRange(0, 1).Draw(t, "runs"), 0)
 			if rapid.Bool().Draw(t, "told") {
-				f.told(id, 1)
+				f.markVacating(id, 1)
 			}
 			w.Done[id] = rapid.Bool().Draw(t, "done")
 		}
@@ -343,10 +343,10 @@
 		for _, o := range maintenance.Decide(f.State).Orders {
 			machine := f.Machines[o.Machine]
 			if taken[o.Machine] || machine.State != tw.MachineUp {
-				t.Fatalf("%s is ordered twice, or not up", o.Machine)
+				t.Fatalf("%s is ordered twice or not up", o.Machine)
 			}
 			taken[o.Machine] = true
-			if machine.Worker != "" && (!f.Pools[machine.Pool].ReportFresh || runs(f, machine) > 0) {
+			if machine.Worker != "" && (!f.Pools[machine.Pool].ReportFresh || runsOn(f, machine) > 0) {
 				t.Fatalf("%s may not be empty", o.Machine)
 			}
 			if o.Wave == 0 && machine.Hall == "h" {
@@ -356,13 +356,13 @@
 				down++
 			}
 		}
-		if len(taken) > 0 && down > max(w.MaxConcurrent, downBefore(f)) {
-			t.Fatalf("%d are down at once, %d may be", down, w.MaxConcurrent)
+		if len(taken) > 0 && down > max(w.MaxConcurrent, countInMaintenance(f)) {
+			t.Fatalf("%d machines are down at once, the limit is %d", down, w.MaxConcurrent)
 		}
 	})
 }
 
-func downBefore(f fleet) int {
+func countInMaintenance(f fleet) int {
 	n := 0
 	for _, machine := range f.Machines {
 		if machine.State == tw.MachineMaintenance {
@@ -372,7 +372,7 @@
 	return n
 }
 
-func runs(f fleet, machine tw.Machine) int {
+func runsOn(f fleet, machine tw.Machine) int {
 	for _, load := range f.Pools[machine.Pool].Report.Workers {
 		if load.Worker == machine.Worker {
 			return load.Runs
@@ -381,7 +381,7 @@
 	return 0
 }
 
-// BenchmarkDecide decides for fleets in which most machines are wanted elsewhere.
+// BenchmarkDecide measures decisions for fleets in which most machines are needed in another pool.
 func BenchmarkDecide(b *testing.B) {
 	for _, machines := range []int{350, 1500, 6000, 12000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
--- a/maintenance/doc.go
+++ b/maintenance/doc.go
@@ -1,6 +1,5 @@
-// Package maintenance decides about machines: which leave for maintenance
-// and when, and which pool each serves. One daemon of the deployment does
-// this at a time, under a fence of its own.
+// Package maintenance schedules maintenance of machines and moves machines between
+// pools. One daemon of the deployment does this at a time, under its own fence.
 //
-// A machine is changed only after the owner of its pool has emptied it.
+// A machine is changed only after the owner of its pool has vacated it.
 package maintenance
--- a/maintenance/evacuation_test.go
+++ b/maintenance/evacuation_test.go
@@ -11,7 +11,7 @@
 	"github.com/tamarindworks/tamarindworks/maintenance"
 )
 
-// evacuate evacuates a hall, to which it moves some machines of a pool.
+// evacuate puts some machines of a pool into a hall that is evacuated.
 func (f fleet) evacuate(pool tw.PoolID, machines int) {
 	f.Evacuations = &tw.Evacuations{Halls: []tw.HallID{"h"}}
 	for n := range machines {
@@ -26,9 +26,9 @@
 	}
 }
 
-// evacuateCases are what is done while a hall is evacuated.
+// evacuateCases check decisions while a hall is evacuated.
 var evacuateCases = map[string]func(g *WithT, f fleet){
-	"machines of an evacuated hall aren't moved": func(g *WithT, f fleet) {
+	"moves no machines of an evacuated hall": func(g *WithT, f fleet) {
 		f.pool("p", 8, 20)
 		f.pool("q", 12, 1)
 		f.evacuate("q", 8)
@@ -38,13 +38,13 @@
 		}
 		g.Expect(d.Vacate).NotTo(BeEmpty())
 	},
-	"nor are parked ones": func(g *WithT, f fleet) {
+	"moves no parked machines of an evacuated hall": func(g *WithT, f fleet) {
 		f.pool("p", 4, 20)
 		f.parking(6)
 		f.evacuate("parking", 4)
-		g.Expect(ordered(maintenance.Decide(f.State))).To(Equal([]tw.InstanceID{"parking-4", "parking-5"}))
+		g.Expect(orderedMachines(maintenance.Decide(f.State))).To(Equal([]tw.InstanceID{"parking-4", "parking-5"}))
 	},
-	"they are no room: their pool is given others": func(g *WithT, f fleet) {
+	"replaces machines of an evacuated hall": func(g *WithT, f fleet) {
 		f.pool("p", 10, 8)
 		f.pool("q", 20, 2)
 		f.evacuate("p", 6)
@@ -56,7 +56,7 @@
 		}
 		g.Expect(moved).To(BeNumerically(">=", 5))
 	},
-	"a move of one that has begun ends": func(g *WithT, f fleet) {
+	"cancels a pending move from an evacuated hall": func(g *WithT, f fleet) {
 		f.pool("p", 4, 20)
 		f.pool("q", 12, 1)
 		f.evacuate("q", 1)
@@ -64,13 +64,13 @@
 		f.Vacating["q-0"] = maintenance.Order{Machine: "q-0", Pool: "p", Since: base.Add(-time.Second)}
 		g.Expect(maintenance.Decide(f.State).Vacate).NotTo(HaveKey(tw.InstanceID("q-0")))
 	},
-	"maintenance of one goes on, though the rest of its pool is busy": func(g *WithT, f fleet) {
+	"continues maintenance in an evacuated hall while the rest of the pool is busy": func(g *WithT, f fleet) {
 		f.pool("p", 4, 4)
 		f.Pools["p"].Report.Running = size.Times(3)
 		f.evacuate("p", 1)
 		f.wave(1, "p-0")
-		f.told("p-0", 1)
-		g.Expect(ordered(maintenance.Decide(f.State))).To(Equal([]tw.InstanceID{"p-0"}))
+		f.markVacating("p-0", 1)
+		g.Expect(orderedMachines(maintenance.Decide(f.State))).To(Equal([]tw.InstanceID{"p-0"}))
 	},
 }
 
--- a/maintenance/forecast.go
+++ b/maintenance/forecast.go
@@ -9,34 +9,36 @@
 )
 
 type (
-	// forecast works out how many machines a pool needs, from its reports.
+	// forecast estimates how many machines a pool needs from its reports.
 	forecast struct {
-		// window is the time over which the highest need counts.
+		// window is the time over which the peak need is taken.
 		window time.Duration
 		latest sample
-		// peaks are the samples of the window above which none came later, so
-		// that the first is the highest.
+		// peaks holds the samples of the window that no later sample exceeds. The
+		// first is the highest.
 		peaks []sample
-		// history tells how many machines work has history.
+		// history tracks how many machines the work has filled.
 		history FillHistory
-		// offered are the offered work over time, for its rate.
+		// offered holds recent totals of offered work, from which rates are derived.
 		offered []offeredTotal
 		fence   tw.FencingToken
 	}
 
-	// sample is how many machines work in time needs, and late work beyond it.
+	// sample is the number of machines that on-time work needs, and that late work needs
+	// in addition.
 	sample struct {
 		at         time.Time
 		need, late float64
 	}
 
+	// offeredTotal is the total of the work offered to an owner so far.
 	offeredTotal struct {
 		at    time.Time
 		work  run.Work
 		count int64
 	}
 
-	// span is what was offered in some time.
+	// span is the work offered in an interval.
 	span struct {
 		work    run.Work
 		count   float64
@@ -45,39 +47,40 @@
 )
 
 const (
-	// rateWindow is the time over which the rate of offered work is measured:
-	// short, as demand turns within a second. shortWindow is shorter, so that a
-	// step up is seen at once where enough submissions come in it.
+	// rateWindow is the time over which the rate of offered work is measured. It
+	// is short because demand changes within a second. shortWindow detects a
+	// sudden rise sooner if enough submissions arrive in it.
 	rateWindow  = 800 * time.Millisecond
 	shortWindow = 300 * time.Millisecond
-	// slopeWindow: two such times that follow each other tell how demand rises.
+	// slopeWindow is the length of the two consecutive intervals from which the
+	// rise of demand is derived.
 	slopeWindow = 600 * time.Millisecond
-	// moveLeadTime is how long before it can work a machine must be ordered: a move
-	// takes 1.5 s, and 0.43 s pass until the list of workers has it.
+	// moveLeadTime is how long before it can do work a machine must be ordered: a move
+	// takes 1.5 s, and it takes 0.43 s until the list of workers shows the machine.
 	moveLeadTime = 2 * time.Second
-	// slopeErrorMargin is how many standard errors are taken off a rise, slopeMost how many
-	// times the present rate a rise may lead to.
+	// slopeErrorMargin is the number of standard errors subtracted from a rise. maxRateGrowth
+	// limits the projected rate to a multiple of the current one.
 	slopeErrorMargin = 1.5
 	maxRateGrowth    = 2
-	// spreadMargin is how many workers a pool has beyond those over which its
-	// widest step must spread, as one may be leaving.
+	// spreadMargin is the number of workers that a pool needs beyond those over which
+	// its widest step must be spread, as one may be leaving.
 	spreadMargin = 1
-	// maxSampleAge is how old a sample may be to count as the present need.
+	// maxSampleAge is the maximum age of a sample that counts as the current need.
 	maxSampleAge = 3 * time.Second
-	// rateErrorMargin is how many standard errors are taken off a rate of new work:
-	// over a short window a few large submissions look like a flood.
+	// rateErrorMargin is the number of standard errors subtracted from a rate of new work,
+	// as a few large submissions in a short window look like a surge.
 	rateErrorMargin = 1.0
-	// usableShare is the share of a pool's capacity that placement makes use of.
+	// usableShare is the share of a pool's capacity that placement can use.
 	usableShare = 0.85
 )
 
-// observe takes up a report.
+// observe adds a report that was requested at the given time.
 func (f *forecast) observe(at time.Time, r *run.Report) {
 	if !at.After(f.latest.at) {
 		return
 	}
 	if r.Fence != f.fence {
-		f.fence, f.offered = r.Fence, nil // a new owner counts from zero
+		f.fence, f.offered = r.Fence, nil // the totals of a new owner start from zero
 	}
 	f.offered = append(f.offered, offeredTotal{at: at, work: r.Offered, count: r.OfferedCount})
 	for len(f.offered) > 2 && at.Sub(f.offered[1].at) >= 2*slopeWindow {
@@ -87,8 +90,8 @@
 	f.history.observe(machinesFor(r.Running.Plus(r.Waiting), machineSize(r)) / usableShare)
 }
 
-// add takes up a sample. Earlier ones that are not above it can't be the highest
-// of any window that is still to come, so they are dropped.
+// add adds a sample. It drops earlier samples that are not above it, as they cannot be the
+// peak of any later window.
 func (f *forecast) add(s sample) {
 	f.latest = s
 	for len(f.peaks) > 0 && f.peaks[len(f.peaks)-1].total() <= s.total() {
@@ -97,30 +100,30 @@
 	f.peaks = append(f.peaks, s)
 }
 
-// total is what on-time and late work need together.
+// total returns what on-time and late work need together.
 func (s sample) total() float64 { return s.need + s.late }
 
-// machinesNeeded is how many machinesNeeded a report asks for: what runs and waits now,
-// or what the rate of new work will fill, whichever is more.
+// machinesNeeded returns how many machines the on-time work of a report needs: for the work that
+// runs and waits now or for the expected rate of new work, whichever is more.
 func (f *forecast) machinesNeeded(r *run.Report) float64 {
 	size := machineSize(r)
 	present := machinesFor(r.Running.Plus(r.Waiting), size)
-	coming := machinesFor(r.LongRunning, size) + f.newWorkMachines(size)
-	need := max(present, coming) / usableShare
+	expected := machinesFor(r.LongRunning, size) + f.newWorkMachines(size)
+	need := max(present, expected) / usableShare
 	if r.MinWorkers == 0 {
 		return need
 	}
 	return max(need, float64(r.MinWorkers+spreadMargin)/headroom)
 }
 
-// newWorkMachines is the machines that new work will fill once a machine that is ordered now
-// can work: the highest of two rates of late and of where a rise leads, each less
-// what may be chance.
+// newWorkMachines returns how many machines new work will fill by the time that a machine
+// ordered now can do work. It is the highest of two recent rates and a projected one, each
+// reduced by its statistical error.
 func (f *forecast) newWorkMachines(size tw.Resources) float64 {
 	return max(f.rateOver(rateWindow, size), f.rateOver(shortWindow, size), f.projectedRate(size))
 }
 
-// rateOver is the rate of the last time.
+// rateOver returns the machines that new work at the rate of the last window fills.
 func (f *forecast) rateOver(window time.Duration, size tw.Resources) float64 {
 	s := f.offeredBetween(window, 0)
 	if s.count <= 0 {
@@ -129,24 +132,24 @@
 	return max(0, 1-rateErrorMargin/math.Sqrt(s.count)) * s.machines(size)
 }
 
-// projectedRate is the rate to which demand has projectedRate by the time that a machine ordered
-// now can work, if it goes on rising as of late; zero if it does not rise for sure.
+// projectedRate extrapolates the rise of demand to the time at which a machine ordered now can do
+// work. It returns zero if the rise is within the statistical error.
 func (f *forecast) projectedRate(size tw.Resources) float64 {
 	early, late := f.offeredBetween(2*slopeWindow, slopeWindow), f.offeredBetween(slopeWindow, 0)
 	if early.seconds <= 0 || late.seconds <= 0 {
 		return 0
 	}
-	more := late.count/late.seconds - early.count/early.seconds
-	chance := slopeErrorMargin * math.Sqrt(late.count+early.count) / slopeWindow.Seconds()
-	if more <= chance {
+	increase := late.count/late.seconds - early.count/early.seconds
+	margin := slopeErrorMargin * math.Sqrt(late.count+early.count) / slopeWindow.Seconds()
+	if increase <= margin {
 		return 0
 	}
 	now := late.machines(size)
-	rise := (1 - chance/more) * (now - early.machines(size)) / slopeWindow.Seconds()
+	rise := (1 - margin/increase) * (now - early.machines(size)) / slopeWindow.Seconds()
 	return min(maxRateGrowth*now, now+rise*(moveLeadTime+slopeWindow/2).Seconds())
 }
 
-// offeredBetween is what was offered offeredBetween two ages of the last report.
+// offeredBetween returns the work offered between two ages, relative to the last report.
 func (f *forecast) offeredBetween(from, to time.Duration) span {
 	first, last := f.totalAt(from), f.totalAt(to)
 	return span{
@@ -156,7 +159,7 @@
 	}
 }
 
-// totalAt is the latest report of an age, or the first.
+// totalAt returns the latest total of at least the given age, or the first one.
 func (f *forecast) totalAt(age time.Duration) offeredTotal {
 	if len(f.offered) == 0 {
 		return offeredTotal{}
@@ -170,7 +173,7 @@
 	return f.offered[0]
 }
 
-// machines is how many machines the span's work fills.
+// machines returns how many machines the span's work fills.
 func (s span) machines(size tw.Resources) float64 {
 	if s.seconds <= 0 {
 		return 0
@@ -178,8 +181,8 @@
 	return machinesFor(tw.Resources{CPU: tw.Millicores(s.work.CPU / s.seconds), MemoryMB: int64(s.work.MemoryMB / s.seconds)}, size)
 }
 
-// need is what on-time work needs at present and late work beyond it, and the highest
-// of both of the window.
+// need returns the machines that on-time work needs now, those that late work needs in
+// addition, and the peak of their sum within the window.
 func (f *forecast) need(now time.Time) (need, late, peak float64) {
 	for len(f.peaks) > 0 && now.Sub(f.peaks[0].at) > f.window {
 		f.peaks = f.peaks[1:]
@@ -193,7 +196,8 @@
 	return need, late, peak
 }
 
-// machineSize is the size of the pool's machines; the largest, if they differ.
+// machineSize returns the size of the pool's machines, or the largest of each resource if they
+// differ.
 func machineSize(r *run.Report) tw.Resources {
 	var size tw.Resources
 	for _, load := range r.Workers {
--- a/maintenance/forecast_test.go
+++ b/maintenance/forecast_test.go
@@ -11,17 +11,17 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// needCases are samples of a pool's need, by their age, and what is made of
-// them with a window of ten seconds.
+// needCases are samples of a pool's need by age, with the forecast need and peak for
+// a window of ten seconds.
 var needCases = map[string]struct {
 	samples    map[time.Duration]float64
 	need, peak float64
 }{
-	"nothing known":               {},
-	"the latest is the present":   {samples: map[time.Duration]float64{2 * time.Second: 4, time.Second: 7}, need: 7, peak: 7},
-	"the highest of the window":   {samples: map[time.Duration]float64{9 * time.Second: 9, 8 * time.Second: 3, time.Second: 5}, need: 5, peak: 9},
-	"not what is before it":       {samples: map[time.Duration]float64{11 * time.Second: 9, 8 * time.Second: 3, time.Second: 2}, need: 2, peak: 3},
-	"an old one is not a present": {samples: map[time.Duration]float64{8 * time.Second: 3}, need: 0, peak: 3},
+	"no samples":                {},
+	"latest sample is the need": {samples: map[time.Duration]float64{2 * time.Second: 4, time.Second: 7}, need: 7, peak: 7},
+	"highest of the window":     {samples: map[time.Duration]float64{9 * time.Second: 9, 8 * time.Second: 3, time.Second: 5}, need: 5, peak: 9},
+	"sample before the window":  {samples: map[time.Duration]float64{11 * time.Second: 9, 8 * time.Second: 3, time.Second: 2}, need: 2, peak: 3},
+	"stale sample is no need":   {samples: map[time.Duration]float64{8 * time.Second: 3}, need: 0, peak: 3},
 }
 
 func TestForecastNeed(t *testing.T) {
@@ -42,21 +42,22 @@
 	}
 }
 
-// riseCases are the submissions offered in each tenth of a second, of one second of
-// a machine each, and how many machines the pool is then to need. Four are busy.
+// riseCases are the numbers of submissions offered in each tenth of a second, with the
+// bounds of the machines that the forecast then needs. Four machines are busy.
 var riseCases = map[string]struct {
 	offered     []int64
 	work        float64 // machine seconds of each submission
 	least, most float64
 }{
-	"a steady rate":                   {offered: []int64{4, 4, 4, 4, 4, 4, 4, 4, 4, 4}, work: 0.1, least: 4 / usableShare, most: 6},
-	"a rise is seen in a few tenths":  {offered: []int64{1, 1, 1, 1, 1, 1, 1, 15, 15, 15}, work: 1, least: 100, most: 200},
-	"a ramp is followed to its end":   {offered: []int64{0, 0, 1, 1, 0, 1, 2, 2, 4, 5, 6, 7, 9, 10, 11}, work: 1, least: 130, most: 300},
-	"one large submission is no rise": {offered: []int64{0, 0, 0, 0, 0, 0, 0, 0, 0, 1}, work: 50, least: 4 / usableShare, most: 5},
-	"nothing comes any more":          {offered: []int64{15, 15, 15, 0, 0, 0, 0, 0, 0, 0, 0, 0}, work: 1, least: 4 / usableShare, most: 5},
+	"steady rate":                          {offered: []int64{4, 4, 4, 4, 4, 4, 4, 4, 4, 4}, work: 0.1, least: 4 / usableShare, most: 6},
+	"step is detected within a few tenths": {offered: []int64{1, 1, 1, 1, 1, 1, 1, 15, 15, 15}, work: 1, least: 100, most: 200},
+	"ramp is extrapolated":                 {offered: []int64{0, 0, 1, 1, 0, 1, 2, 2, 4, 5, 6, 7, 9, 10, 11}, work: 1, least: 130, most: 300},
+	"a single large submission is no rise": {offered: []int64{0, 0, 0, 0, 0, 0, 0, 0, 0, 1}, work: 50, least: 4 / usableShare, most: 5},
+	"only running work is left":            {offered: []int64{15, 15, 15, 0, 0, 0, 0, 0, 0, 0, 0, 0}, work: 1, least: 4 / usableShare, most: 5},
 }
 
-// Chance alone asks for few machines more than a steady demand needs.
+// TestForecastSteady checks that random variation of a steady demand raises the forecast need
+// by at most a few machines.
 func TestForecastSteady(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/maintenance/manager.go
+++ b/maintenance/manager.go
@@ -17,21 +17,21 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// ManagerPool names the ownership of the manager among those of pools.
+// ManagerPool is the pool ID under which the manager's ownership is recorded.
 const ManagerPool tw.PoolID = "~machines"
 
 type (
 	// Owners reaches the owners of pools.
 	Owners interface {
-		// ReportOf asks the owner of a pool how busy it is, and gives it its
-		// directions.
+		// ReportOf sends directions to the owner of a pool and returns the owner's
+		// report of the pool's load.
 		ReportOf(ctx context.Context, pool tw.PoolID, d run.Directions) (run.Report, error)
 	}
 
 	// Config configures a Manager.
 	Config struct {
 		Book *ledger.Book
-		// RecentlyChanged are the machines that former managers changed lately.
+		// RecentlyChanged holds when former managers changed machines recently.
 		RecentlyChanged map[tw.InstanceID]time.Time
 		Holder          string
 		KV              tw.KV
@@ -41,24 +41,27 @@
 		Clock           tw.Clock
 		Log             *zap.Logger
 		Metrics         *metrics.Set
-		// Waves lists the waves that the operators asked for.
+		// Waves returns the waves that operators have requested.
 		Waves func() []tw.MaintenanceWave
-		// Queue is the configuration in force, or nil.
+		// Queue returns the configuration in force, or nil.
 		Queue func() *tw.QueueConfig
-		// Evacuations are the evacuated halls, or nil while they are not known.
+		// Evacuations returns the evacuated halls, or nil while they are not known.
 		Evacuations func() *tw.Evacuations
-		// WaveStatus is the record by which operators learn of a wave.
+		// WaveStatus returns the record that shows operators the status of a wave.
 		WaveStatus func(wave int64, done bool) tw.KVPut
-		// HolderTime must pass between the orders of two holders.
+		// HolderTime is the minimum time between orders of different holders for
+		// the same machine.
 		HolderTime time.Duration
-		// ParkAfter is for how long no pool may have needed a machine before it
-		// is switched off.
+		// ParkAfter is how long no pool must have needed a machine before the
+		// machine is parked.
 		ParkAfter time.Duration
-		// OnOwnershipLost is told when another daemon manages the machines.
+		// OnOwnershipLost is called when another daemon has taken over the management of
+		// machines.
 		OnOwnershipLost func()
 	}
 
-	// Manager manages machines.
+	// Manager carries out maintenance waves and moves machines between pools. It holds
+	// the ownership of ManagerPool.
 	Manager struct {
 		Config
 		fence     tw.FencingToken
@@ -67,39 +70,39 @@
 		cancel    context.CancelFunc
 		done      chan struct{}
 
-		// lastWrite is when the ownership was last confirmed.
+		// lastWrite is when the ownership was last confirmed in the store.
 		lastWrite atomic.Pointer[time.Time]
 
-		// What follows belongs to the duty.
+		// The fields below are used only by the goroutine of run.
 		waves    map[int64]*Wave
 		ordered  map[tw.InstanceID]Order
 		vacating map[tw.InstanceID]Order
 		reports  map[tw.PoolID]report
 		ended    map[tw.WorkerID]endedWorker
-		// missing are the workers that run but are in no report, since when.
+		// missing holds the workers that run but are in no report, and since when.
 		missing       map[tw.WorkerID]time.Time
 		confirmedAt   time.Time
 		poolsLoggedAt time.Time
 		forecasts     map[tw.PoolID]*forecast
 		unfit         map[tw.InstanceID]map[tw.PoolID]bool
-		// recentlyChanged are the machines that were changed lately, blocked those that
-		// must not be changed before a time.
+		// recentlyChanged holds when machines were last changed, blocked until when machines
+		// must not be changed.
 		recentlyChanged, blocked map[tw.InstanceID]time.Time
 		limiter                  orderLimiter
 	}
 )
 
 const (
-	// passInterval is the pace of decisions.
+	// passInterval is the pause between two passes.
 	passInterval = 100 * time.Millisecond
-	// maxReportAge is how old a report may be to act on it.
+	// maxReportAge is the maximum age of a report to act on.
 	maxReportAge = 500 * time.Millisecond
-	// maxListAge is how old the list of machines may be to act on it; it is read
-	// several times a second.
+	// maxListAge is the maximum age of the list of machines to act on. The list is
+	// read several times a second.
 	maxListAge = time.Second
 )
 
-// New starts the duty; Close ends it.
+// New starts a manager, which Close ends.
 func (c Config) New() *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := c.Clock.Now()
@@ -121,14 +124,14 @@
 	return m
 }
 
-// Close ends the duty.
+// Close stops the manager and waits for its goroutine to end.
 func (m *Manager) Close() {
 	m.cancel()
 	<-m.done
 }
 
-// StoreOutage is how long the store has taken no write of the manager; zero
-// if it takes them.
+// StoreOutage returns for how long the store has accepted no write of the manager. It is zero
+// while writes succeed.
 func (m *Manager) StoreOutage(context.Context) (time.Duration, error) {
 	last := m.lastWrite.Load()
 	if last == nil {
@@ -151,7 +154,7 @@
 	}
 }
 
-// pass looks, decides and orders once.
+// pass reads the state, decides and issues orders once.
 func (m *Manager) pass() error {
 	config := m.Queue()
 	if config == nil {
@@ -162,7 +165,7 @@
 	m.collect(config)
 	list := m.MachineCache.Latest()
 	if list == nil || m.Clock.Now().Sub(list.RequestedAt) > maxListAge || !list.RequestedAt.After(m.startedAt) {
-		return nil // it may tell of machines as they were long ago
+		return nil // the list may be stale
 	}
 	m.reconcileOrders(list)
 	state := m.state(config, list)
@@ -183,8 +186,8 @@
 	return m.reportWaves(list)
 }
 
-// loadWaves takes up the waves that the operators asked for. One whose record can't be
-// read is taken up in a later pass: machines may be down for it.
+// loadWaves adds the waves that operators have requested. A wave whose record cannot be read is
+// retried in the next pass, as machines may already be down for it.
 func (m *Manager) loadWaves() {
 	for _, wave := range m.Waves() {
 		if have := m.waves[wave.Number]; have != nil {
@@ -192,7 +195,7 @@
 			continue
 		}
 		if err := m.loadWave(wave); err != nil {
-			m.Log.Warn("wave: progress not readable, read again", zap.Int64("wave", wave.Number), logsink.Err(err))
+			m.Log.Warn("wave: progress not readable, retrying in the next pass", zap.Int64("wave", wave.Number), logsink.Err(err))
 		}
 	}
 }
@@ -247,19 +250,19 @@
 func (m *Manager) logDecision(d Decision) {
 	for id, order := range d.Vacate {
 		if _, before := m.vacating[id]; !before {
-			m.Log.Info("maintenance: machine to be emptied", zap.String("instance", string(id)),
+			m.Log.Info("maintenance: vacating machine", zap.String("instance", string(id)),
 				zap.Int64("wave", order.Wave), zap.String("pool", string(order.Pool)), zap.String("why", order.Reason))
 		}
 	}
 	for id, order := range m.vacating {
 		if _, still := d.Vacate[id]; !still && !slices.ContainsFunc(d.Orders, func(o Order) bool { return o.Machine == id }) {
-			m.Log.Info("maintenance: machine no longer to be emptied", zap.String("instance", string(id)),
+			m.Log.Info("maintenance: machine no longer vacated", zap.String("instance", string(id)),
 				zap.Int64("wave", order.Wave), zap.Duration("after", m.Clock.Now().Sub(order.Since)))
 		}
 	}
 }
 
-// logPools tells what the decisions rest on, once a second.
+// logPools logs the state of each pool once a second.
 func (m *Manager) logPools(s *State) {
 	if s.Now.Sub(m.poolsLoggedAt) < time.Second {
 		return
--- a/maintenance/manager_test.go
+++ b/maintenance/manager_test.go
@@ -21,46 +21,46 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// reports answers for all pools what a test says.
-type reports struct {
-	mu    sync.Mutex
-	loads map[tw.PoolID][]run.WorkerLoad
-	told  map[tw.PoolID]run.Directions
+// fakeOwners is a fake of the owners of all pools, with loads set by the test.
+type fakeOwners struct {
+	mu         sync.Mutex
+	loads      map[tw.PoolID][]run.WorkerLoad
+	directions map[tw.PoolID]run.Directions
 }
 
-func (r *reports) ReportOf(_ context.Context, pool tw.PoolID, d run.Directions) (run.Report, error) {
+func (r *fakeOwners) ReportOf(_ context.Context, pool tw.PoolID, d run.Directions) (run.Report, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told[pool] = d
+	r.directions[pool] = d
 	return run.Report{Pool: pool, Workers: slices.Clone(r.loads[pool])}, nil
 }
 
-// office is a manager with all that it needs.
-type office struct {
+// fixture provides managers with fakes of all their dependencies.
+type fixture struct {
 	*WithT
 	t     *testing.T
 	kv    *standin.KV
 	cloud *standin.Cloud
-	// machines is the cloud, or what stands before it.
+	// machines is the cloud or a wrapper of it.
 	machines tw.Machines
 	census   *run.MachineCache
-	reports  *reports
+	reports  *fakeOwners
 	waves    []tw.MaintenanceWave
 }
 
-func newOffice(t *testing.T) *office {
-	o := &office{
+func newFixture(t *testing.T) *fixture {
+	o := &fixture{
 		WithT: NewWithT(t), t: t, kv: standin.KVConfig{Latency: time.Millisecond}.New(),
 		cloud:   standin.CloudConfig{MoveTime: 1500 * time.Millisecond, MaintenanceTime: 2 * time.Second, Latency: 20 * time.Millisecond}.New(),
-		reports: &reports{loads: map[tw.PoolID][]run.WorkerLoad{}, told: map[tw.PoolID]run.Directions{}},
+		reports: &fakeOwners{loads: map[tw.PoolID][]run.WorkerLoad{}, directions: map[tw.PoolID]run.Directions{}},
 	}
 	o.machines = o.cloud
 	o.census = run.MachineCacheConfig{Machines: o.cloud, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
 	return o
 }
 
-// machine adds a machine whose worker runs something.
-func (o *office) machine(id tw.InstanceID, runs int) {
+// addMachine adds a machine whose worker has the given number of runs.
+func (o *fixture) addMachine(id tw.InstanceID, runs int) {
 	worker := tw.WorkerID("w-" + id)
 	o.cloud.Add(tw.Machine{ID: id, Pool: "p", State: tw.MachineUp, Worker: worker, Capacity: size})
 	o.reports.loads["p"] = append(o.reports.loads["p"], run.WorkerLoad{
@@ -68,7 +68,7 @@
 	})
 }
 
-func (o *office) manage(daemon tw.DaemonID) *maintenance.Manager {
+func (o *fixture) startManager(daemon tw.DaemonID) *maintenance.Manager {
 	book, err := ledger.Config{
 		KV: o.kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: ledger.Owner{Pool: maintenance.ManagerPool, Daemon: daemon},
 	}.Open(o.t.Context())
@@ -87,11 +87,11 @@
 	}.New()
 }
 
-func (o *office) waveOf(machines ...tw.InstanceID) {
+func (o *fixture) addWave(machines ...tw.InstanceID) {
 	o.waves = append(o.waves, tw.MaintenanceWave{Number: 1, Machines: machines, NoticePeriod: 30 * time.Second, MaxConcurrent: 1})
 }
 
-func (o *office) status() string {
+func (o *fixture) status() string {
 	item, err := o.kv.Get(o.t.Context(), "status/wave/1")
 	if err != nil {
 		return ""
@@ -99,13 +99,13 @@
 	return string(item.Value)
 }
 
-var managerCases = map[string]func(o *office){
-	"brings a wave's machines through maintenance and says so": func(o *office) {
-		o.machine("m1", 0)
-		o.machine("m2", 0)
-		o.machine("m3", 0)
-		o.waveOf("m1", "m2")
-		m := o.manage("a")
+var managerCases = map[string]func(o *fixture){
+	"completes a wave and reports its status": func(o *fixture) {
+		o.addMachine("m1", 0)
+		o.addMachine("m2", 0)
+		o.addMachine("m3", 0)
+		o.addWave("m1", "m2")
+		m := o.startManager("a")
 		defer m.Close()
 		time.Sleep(time.Second)
 		o.Expect(o.status()).To(MatchJSON(`{"state":"running"}`))
@@ -119,17 +119,17 @@
 		}
 		o.Expect(maintained).To(Equal(2))
 	},
-	"does not call a wave completed whose order it could not record": func(o *office) {
-		o.machine("m1", 1)
-		o.machine("m2", 0)
-		o.waveOf("m1")
-		m := o.manage("a")
+	"does not complete a wave without issuing an order that it could not record": func(o *fixture) {
+		o.addMachine("m1", 1)
+		o.addMachine("m2", 0)
+		o.addWave("m1")
+		m := o.startManager("a")
 		defer m.Close()
 		time.Sleep(1500 * time.Millisecond)
 		o.reports.mu.Lock()
 		o.reports.loads["p"][0].Runs = 0
 		o.reports.mu.Unlock()
-		o.kv.SetFaults(standin.KVFaults{Down: true}) // as the order is due
+		o.kv.SetFaults(standin.KVFaults{Down: true}) // when the order is due
 		time.Sleep(600 * time.Millisecond)
 		o.kv.SetFaults(standin.KVFaults{})
 		for range 100 {
@@ -140,44 +140,44 @@
 		}
 		o.Expect(o.cloud.Orders()).To(ContainElement(HaveField("Wave", int64(1))))
 	},
-	"does not take a worker for gone whose maintenance was done already": func(o *office) {
-		o.machine("m1", 0)
-		o.machine("m2", 0)
+	"does not report a worker as ended after maintenance that was done before": func(o *fixture) {
+		o.addMachine("m1", 0)
+		o.addMachine("m2", 0)
 		by := tw.MachineHolder{Name: "former", Fence: 0}
 		o.Expect(o.cloud.Maintain(o.t.Context(), by, "m1", 1)).To(Succeed())
-		time.Sleep(5 * time.Second) // it is back, but nobody recorded it
+		time.Sleep(5 * time.Second) // the machine is back, but this is not recorded
 		machines, err := o.cloud.List(o.t.Context())
 		o.Expect(err).NotTo(HaveOccurred())
 		for i := range o.reports.loads["p"] {
 			o.reports.loads["p"][i].Worker = machines[i].Worker
 		}
-		o.waveOf("m1")
-		m := o.manage("a")
+		o.addWave("m1")
+		m := o.startManager("a")
 		defer m.Close()
 		for range 100 {
 			time.Sleep(50 * time.Millisecond)
 			o.reports.mu.Lock()
-			o.Expect(o.reports.told["p"].Gone).To(BeEmpty())
+			o.Expect(o.reports.directions["p"].Gone).To(BeEmpty())
 			o.reports.mu.Unlock()
 		}
 		o.Expect(o.status()).To(MatchJSON(`{"state":"completed"}`))
 	},
-	"does not act on a list of machines from before its time": func(o *office) {
+	"does not act on a list of machines from before its start": func(o *fixture) {
 		o.cloud.Add(tw.Machine{ID: "m1", Pool: "parking", State: tw.MachineUp})
 		o.census.RequestRefresh(time.Now())
-		time.Sleep(time.Second) // the list says that m1 is parked
-		o.machine("m1", 3)
-		o.waveOf("m1")
-		m := o.manage("a")
+		time.Sleep(time.Second) // the list shows m1 as parked
+		o.addMachine("m1", 3)
+		o.addWave("m1")
+		m := o.startManager("a")
 		defer m.Close()
 		time.Sleep(3 * time.Second)
 		o.Expect(o.cloud.Orders()).To(BeEmpty())
 	},
-	"changes at once what another manager changed long ago": func(o *office) {
-		o.machine("m1", 0)
-		o.machine("m2", 0)
-		o.waveOf("m1")
-		a := o.manage("a")
+	"changes without delay a machine that another manager changed long ago": func(o *fixture) {
+		o.addMachine("m1", 0)
+		o.addMachine("m2", 0)
+		o.addWave("m1")
+		a := o.startManager("a")
 		time.Sleep(9 * time.Second)
 		a.Close()
 		o.Expect(o.cloud.Orders()).NotTo(BeEmpty())
@@ -191,46 +191,46 @@
 		before := len(o.cloud.Orders())
 		o.waves = []tw.MaintenanceWave{{Number: 2, Machines: []tw.InstanceID{"m1"}, NoticePeriod: 30 * time.Second, MaxConcurrent: 1}}
 		began := time.Now()
-		b := o.manage("b")
+		b := o.startManager("b")
 		defer b.Close()
 		time.Sleep(10 * time.Second)
 		o.Expect(o.cloud.Orders()[before:]).To(ContainElement(And(
 			HaveField("Wave", int64(2)), HaveField("At", BeTemporally("<", began.Add(time.Second))),
 		)))
 	},
-	"tells an owner of a worker that runs and is not in its report": func(o *office) {
-		o.machine("m1", 0)
-		o.machine("m2", 0)
+	"notifies an owner of a running worker that is missing from its report": func(o *fixture) {
+		o.addMachine("m1", 0)
+		o.addMachine("m2", 0)
 		late := o.reports.loads["p"][1]
 		o.reports.loads["p"] = o.reports.loads["p"][:1]
-		m := o.manage("a")
+		m := o.startManager("a")
 		defer m.Close()
-		told := func() []tw.WorkerID {
+		running := func() []tw.WorkerID {
 			o.reports.mu.Lock()
 			defer o.reports.mu.Unlock()
-			return o.reports.told["p"].Running
+			return o.reports.directions["p"].Running
 		}
 		time.Sleep(300 * time.Millisecond)
-		o.Expect(told()).To(BeEmpty()) // the list of workers may lag
+		o.Expect(running()).To(BeEmpty()) // the list of workers may lag
 		time.Sleep(1200 * time.Millisecond)
-		o.Expect(told()).To(Equal([]tw.WorkerID{late.Worker}))
+		o.Expect(running()).To(Equal([]tw.WorkerID{late.Worker}))
 		o.reports.mu.Lock()
 		o.reports.loads["p"] = append(o.reports.loads["p"], late)
 		o.reports.mu.Unlock()
 		time.Sleep(500 * time.Millisecond)
-		o.Expect(told()).To(BeEmpty())
+		o.Expect(running()).To(BeEmpty())
 	},
-	"leaves a machine alone that another manager has just changed": func(o *office) {
-		o.machine("m1", 0)
-		o.machine("m2", 0)
-		o.waveOf("m1")
-		a := o.manage("a")
+	"does not change a machine that another manager has just changed": func(o *fixture) {
+		o.addMachine("m1", 0)
+		o.addMachine("m2", 0)
+		o.addWave("m1")
+		a := o.startManager("a")
 		for len(o.cloud.Orders()) == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
 		a.Close()
 		first := o.cloud.Orders()[0].At
-		b := o.manage("b")
+		b := o.startManager("b")
 		defer b.Close()
 		time.Sleep(15 * time.Second)
 		for _, order := range o.cloud.Orders()[1:] {
@@ -245,7 +245,7 @@
 	for name, c := range managerCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := newOffice(t)
+				o := newFixture(t)
 				defer o.census.Close()
 				c(o)
 			})
--- a/maintenance/moves.go
+++ b/maintenance/moves.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// headroom times its need is what a pool is given.
+	// headroom times its need is the number of machines that a pool is given.
 	headroom = 1.15
-	// defaultMinMachines is what a pool keeps at least while others lack machines,
-	// so that it can begin at once when its own demand rises.
+	// defaultMinMachines is the minimum number of machines that a pool keeps while
+	// others lack machines, so that it can start work when its demand rises.
 	defaultMinMachines = 4
-	// donorPressureRatio: a pool that lacks machines gives some to one whose pressure
-	// is so many times its own. With this and late work apart, 0.704 instead of 0.548
-	// of the work ends in time at 1.5 times the load that fills the machines in turns
-	// (16 seeds of simulated pools, subtasks of 0.64 s).
+	// donorPressureRatio is the ratio of pressures from which on a pool that lacks machines
+	// itself gives some to another. With this and separate moves for late work, 0.704
+	// instead of 0.548 of the work ends in time at 1.5 times the load that just fills
+	// the machines.
 	donorPressureRatio = 1.5
-	// A pool with less than rebalanceBelow of an even share of what all have beyond their
-	// need, and with evenGap machines less than that share, is given up to evenEnough
-	// of it: needs go up and down all the time, and each move costs.
+	// Surplus machines are rebalanced towards an even share of the total surplus. A pool with less
+	// than rebalanceBelow of that share, and more than rebalanceMinGap machines below it, is filled
+	// up to rebalanceTarget of it. The thresholds limit the moves, as needs vary all the time and
+	// each move costs.
 	rebalanceBelow  = 0.5
 	rebalanceTarget = 0.8
 	rebalanceMinGap = 3
 )
 
-// decideMoves moves machines to pools that lack some, spreads spare ones over
-// the pools, and parks what was not needed for a while.
+// decideMoves moves machines to pools that lack some, rebalances surplus machines, and parks
+// machines that were not needed for a while.
 func (s *State) decideMoves(d *Decision) {
 	pools := s.workPools()
 	if len(pools) == 0 {
@@ -56,8 +57,8 @@
 	s.park(pools, d)
 }
 
-// moveForNeed gives one machine to the pool under the most pressure; false if it
-// needs none or there is none for it.
+// moveForNeed moves one machine to the pool under the most pressure. It returns false if no pool
+// lacks machines or no machine is available.
 func (s *State) moveForNeed(pools []*Pool, d *Decision) bool {
 	var to *Pool
 	for _, pool := range pools {
@@ -70,15 +71,16 @@
 	}
 	machine, found := s.findDonor(to, pools, d)
 	if found {
-		s.move(d, machine, to.ID, "its new pool lacks machines")
+		s.move(d, machine, to.ID, "target pool lacks machines")
 	}
 	return found
 }
 
-// moveForLateWork gives one machine that no work in time needs to the pool with the most
-// late work for its machines; false if there is none. Late work counts little: while
-// it held machines like other work, the pool whose demand rose next had 51 of them for
-// a need of 595 two seconds later, beside 325 in the pool before it.
+// moveForLateWork moves one machine that no on-time work needs to the pool that lacks the most
+// machines for late work. It returns false if there is no such pool or machine. Late work has
+// little value and comes second: when it held machines like other work, the pool whose demand
+// rose next had 51 machines for a need of 595 two seconds later, while 325 were still in the
+// previous pool.
 func (s *State) moveForLateWork(pools []*Pool, d *Decision) bool {
 	var to, from *Pool
 	for _, pool := range pools {
@@ -94,7 +96,7 @@
 	}
 	if parking := s.parking(); parking != nil {
 		if machine, found := s.findMovable(parking, to.ID, d); found {
-			s.move(d, machine, to.ID, "its new pool has late work")
+			s.move(d, machine, to.ID, "target pool has late work")
 			return true
 		}
 	}
@@ -103,28 +105,27 @@
 	}
 	machine, found := s.findMovable(from, to.ID, d)
 	if found {
-		s.move(d, machine, to.ID, "its new pool has late work")
+		s.move(d, machine, to.ID, "target pool has late work")
 	}
 	return found
 }
 
-// pressure is a pool's need over what it has and will have.
+// pressure returns a pool's need, with headroom, relative to its machines.
 func (s *State) pressure(pool *Pool) float64 {
 	return headroom * pool.Need / max(1, s.machineCount(pool.ID))
 }
 
-// rebalance evens out what pools have beyond their need, as any of them may be the next
-// whose demand rises: a pool that has far less than an even share of it is given some
-// by those that have more than theirs.
+// rebalance rebalances surplus machines, as the demand of any pool may rise next: a pool with far
+// less than an even share of the surplus is given machines of pools that have more than theirs.
 func (s *State) rebalance(pools []*Pool, d *Decision) {
 	total := 0.0
 	for _, pool := range pools {
 		total += max(0, s.surplus(pool))
 	}
 	even := total / float64(len(pools))
-	ample := headroom * highestPeak(pools)
+	enough := headroom * highestPeak(pools)
 	for _, pool := range pools {
-		if s.surplus(pool) >= rebalanceBelow*even || even-s.surplus(pool) <= rebalanceMinGap || s.machineCount(pool.ID) >= ample {
+		if s.surplus(pool) >= rebalanceBelow*even || even-s.surplus(pool) <= rebalanceMinGap || s.machineCount(pool.ID) >= enough {
 			continue
 		}
 		for s.surplus(pool) < rebalanceTarget*even {
@@ -135,8 +136,8 @@
 	}
 }
 
-// highestPeak is the most that any pool has needed of late. One that has as much needs no
-// machines ahead of its own demand.
+// highestPeak returns the most machines that any pool needed within the window. A pool that has
+// as many is given no machines ahead of its demand.
 func highestPeak(pools []*Pool) float64 {
 	highest := 0.0
 	for _, pool := range pools {
@@ -145,8 +146,8 @@
 	return highest
 }
 
-// moveSurplus moves one machine to a pool from the one with the most beyond its need;
-// false if none has more than an even share, or none of its machines can be moved.
+// moveSurplus moves one machine to a pool from the pool with the largest surplus. It returns false
+// if no pool has more than an even share, or if no machine of that pool can be moved.
 func (s *State) moveSurplus(to *Pool, pools []*Pool, even float64, d *Decision) bool {
 	most := to
 	for _, pool := range pools {
@@ -164,15 +165,16 @@
 	return found
 }
 
-// spare is what a pool has beyond the need of its work in time.
+// spare returns how many machines a pool has beyond the need of its on-time work.
 func (s *State) spare(pool *Pool) float64 {
 	return s.machineCount(pool.ID) - headroom*pool.Need
 }
 
-// surplus is what a pool has that none of its work needs, late work included.
+// surplus returns how many machines a pool has beyond the need of all its work, late work
+// included.
 func (s *State) surplus(pool *Pool) float64 { return s.spare(pool) - headroom*pool.Late }
 
-// park switches off what no pool has needed for ParkAfter.
+// park parks the machines that no pool has needed for ParkAfter.
 func (s *State) park(pools []*Pool, d *Decision) {
 	parking := s.parking()
 	if parking == nil || s.Now.Sub(s.WatchedSince) < s.ParkAfter {
@@ -199,8 +201,8 @@
 	}
 }
 
-// workPools are the pools with fresh reports, but for the parking one; those
-// that lack the most first.
+// workPools returns the pools with a fresh report, except the parking pool. Pools that lack
+// the most machines come first.
 func (s *State) workPools() []*Pool {
 	var out []*Pool
 	for _, pool := range s.Pools {
@@ -226,7 +228,7 @@
 	return nil
 }
 
-// parkingID names the parking pool; it is empty if there is none.
+// parkingID returns the ID of the parking pool, or the empty ID if there is none.
 func (s *State) parkingID() tw.PoolID {
 	if parking := s.parking(); parking != nil {
 		return parking.ID
@@ -234,11 +236,11 @@
 	return ""
 }
 
-// machineCount counts the machines that a pool has or will have.
+// machineCount returns the number of machines that a pool has or will have.
 func (s *State) machineCount(pool tw.PoolID) float64 { return float64(s.machineCounts[pool]) }
 
-// findDonor finds a machine for a pool: a parked one, else an idle one of a pool
-// that has more than it needs.
+// findDonor finds a machine for a pool: a parked one, or else one of the pool under the least
+// pressure that can give one.
 func (s *State) findDonor(to *Pool, pools []*Pool, d *Decision) (tw.Machine, bool) {
 	if parking := s.parking(); parking != nil {
 		if machine, found := s.findMovable(parking, to.ID, d); found {
@@ -250,7 +252,7 @@
 		if pool == to || s.machineCount(pool.ID) <= s.minMachines(pool) {
 			continue
 		}
-		// A pool that itself lacks machines gives some if it is far better off.
+		// A pool that lacks machines itself gives some if its pressure is far lower.
 		if s.spare(pool) < 1 && s.pressure(to) < donorPressureRatio*s.pressure(pool) {
 			continue
 		}
@@ -267,14 +269,14 @@
 	return s.findMovable(best, to.ID, d)
 }
 
-// minMachines is how many machines a pool keeps whatever others lack.
+// minMachines returns how many machines a pool keeps regardless of the need of others.
 func (s *State) minMachines(pool *Pool) float64 {
 	return max(defaultMinMachines, float64(pool.Report.MinWorkers+spreadMargin))
 }
 
-// findMovable finds the machine of a pool that another may have at the least cost:
-// one on which nothing runs, else, if the pool has spares, the one with the
-// least work that ends by itself.
+// findMovable returns the machine of a pool that can be moved to another pool at the least cost:
+// one on which nothing runs, or else the one with the fewest runs, none of them long-running.
+// Moves from or to the parking pool only use machines on which nothing runs.
 func (s *State) findMovable(pool *Pool, to tw.PoolID, d *Decision) (tw.Machine, bool) {
 	members := s.machinesByPool[pool.ID]
 	for i := s.immovable[pool.ID]; i < len(members); i++ {
@@ -282,7 +284,7 @@
 		runs, may := s.canMove(machine, d)
 		if !may {
 			if i == s.immovable[pool.ID] {
-				s.immovable[pool.ID]++ // and it stays so during this pass
+				s.immovable[pool.ID]++ // it cannot become movable during this decision
 			}
 			continue
 		}
@@ -294,8 +296,7 @@
 	return tw.Machine{}, false
 }
 
-// canMove tells whether a machine can be moved at all, and how many runs must end
-// before that.
+// canMove reports whether a machine can be moved, and how many runs must end before that.
 func (s *State) canMove(machine tw.Machine, d *Decision) (runs int, may bool) {
 	_, vacating := d.Vacate[machine.ID]
 	_, ordered := s.Ordered[machine.ID]
@@ -305,8 +306,8 @@
 	return s.remainingRuns(machine)
 }
 
-// remainingRuns counts what must end before a machine is empty; false if
-// something there does not end by itself, or nothing is known of it.
+// remainingRuns counts the runs that must end before a machine is empty. It returns false if a
+// long-running run is among them, or if the load of the machine is not known.
 func (s *State) remainingRuns(machine tw.Machine) (int, bool) {
 	if machine.Worker == "" {
 		return 0, s.isEmpty(machine)
@@ -320,7 +321,7 @@
 	return p != nil && p.Parking
 }
 
-// stillWanted tells whether a move that waits for its machine is still wanted.
+// stillWanted reports whether a move whose machine is being vacated is still wanted.
 func (s *State) stillWanted(order Order) bool {
 	machine := s.Machines[order.Machine]
 	to, from := s.Pools[order.Pool], s.Pools[machine.Pool]
@@ -331,6 +332,6 @@
 	if runs == 0 || !may {
 		return may
 	}
-	// While its work ends, the pool may have come to need it more.
+	// The need of the machine's own pool may have risen in the meantime.
 	return s.spare(from) >= 0 || s.pressure(to) >= s.pressure(from)
 }
--- a/maintenance/orders.go
+++ b/maintenance/orders.go
@@ -14,50 +14,50 @@
 )
 
 const (
-	// orderVisibleTimeout is how long an order may take to show in the list of
-	// machines before it counts as not done.
+	// orderVisibleTimeout is how long an order may take to become visible in the list of
+	// machines before it counts as not carried out.
 	orderVisibleTimeout = 4 * time.Second
-	// maxOrderAttempts bounds how often an order without an answer is given.
+	// maxOrderAttempts limits how often an order is issued while it gets no answer.
 	maxOrderAttempts = 3
-	// unclearOrderTimeout is the same for an order that was never answered: the
-	// platform may carry it out up to 12 s late.
-	unclearOrderTimeout = 13 * time.Second
-	// ownershipValidity: orders are given only for so long after the ownership
-	// was last confirmed in the store.
+	// ambiguousOrderTimeout is the equivalent of orderVisibleTimeout for an unanswered order,
+	// which the platform may carry out up to 12 s late.
+	ambiguousOrderTimeout = 13 * time.Second
+	// ownershipValidity is how long after the last confirmation of the ownership in
+	// the store orders may be issued.
 	ownershipValidity = 2 * time.Second
-	// maxRecordAge is how old the record of an order may be when it is given: a
-	// write of the slow store takes 240 ms.
+	// maxRecordAge is the maximum time from the start of recording an order until it
+	// is issued. A write to a slow store takes 240 ms.
 	maxRecordAge = 500 * time.Millisecond
-	// maxOrderDelay bounds how long after its record an order is given, tries
-	// included; the next manager waits for it.
+	// maxOrderDelay limits how long after the start of recording an order is issued,
+	// retries included. The next manager waits for this time.
 	maxOrderDelay = maxRecordAge + 1200*time.Millisecond
 )
 
-// reconcileOrders forgets the orders whose effect the list shows.
+// reconcileOrders drops the orders whose effect the list shows, and those that have timed out.
 func (m *Manager) reconcileOrders(list *run.MachineList) {
 	for id, order := range m.ordered {
 		machine, found := list.Machines[id]
-		if order.Unclear && order.confirmedBy(machine) {
-			order.Unclear = false
+		if order.Ambiguous && order.confirmedBy(machine) {
+			order.Ambiguous = false
 			m.ordered[id] = order
 		}
 		if !list.RequestedAt.After(order.Since) {
 			continue
 		}
-		patience := orderVisibleTimeout
+		timeout := orderVisibleTimeout
 		back := machine.State == tw.MachineUp
-		if order.Unclear {
-			patience = unclearOrderTimeout
+		if order.Ambiguous {
+			timeout = ambiguousOrderTimeout
 			back = false
 		}
-		if !found || back || m.Clock.Now().Sub(order.Since) > patience {
+		if !found || back || m.Clock.Now().Sub(order.Since) > timeout {
 			delete(m.ordered, id)
 		}
 	}
 }
 
-// confirmedBy tells whether a list proves that an order without an answer was carried out.
-// Another worker on the machine is no proof: the former one may have crashed, and the
+// confirmedBy reports whether the listed machine proves that an unanswered order was carried out.
+// A different worker on the machine is no proof: the former worker may have crashed, and the
 // order may still be carried out.
 func (o *Order) confirmedBy(machine tw.Machine) bool {
 	if o.Wave != 0 {
@@ -66,7 +66,8 @@
 	return machine.Pool == o.Pool
 }
 
-// confirmOwnership makes sure that this daemon still manages the machines.
+// confirmOwnership writes to the store, if due, to ensure that this daemon still owns the
+// management of machines.
 func (m *Manager) confirmOwnership() error {
 	now := m.Clock.Now()
 	if now.Sub(m.confirmedAt) < ownershipValidity/2 {
@@ -80,7 +81,7 @@
 	return err
 }
 
-// issueOrders gives the orders, all at the same time.
+// issueOrders records the orders and issues them concurrently.
 func (m *Manager) issueOrders(orders []Order) error {
 	now := m.Clock.Now()
 	if now.Sub(m.confirmedAt) > ownershipValidity {
@@ -90,7 +91,7 @@
 		return err
 	}
 	if m.Clock.Now().Sub(now) > maxRecordAge {
-		m.Log.Info("maintenance: not ordered, its record took too long", zap.Int("orders", len(orders)))
+		m.Log.Info("maintenance: orders not issued, recording them took too long", zap.Int("orders", len(orders)))
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(m.ctx, maxOrderDelay-maxRecordAge)
@@ -109,12 +110,12 @@
 	return nil
 }
 
-// issueOrder orders one change. An order without an answer is given again, which
-// does nothing if it was carried out.
+// issueOrder issues one order. It repeats the order while it gets no answer, which has no effect if
+// the order was carried out.
 func (m *Manager) issueOrder(ctx context.Context, order Order) error {
 	by := tw.MachineHolder{Name: m.Holder, Fence: m.fence}
 	var err error
-	for try := range maxOrderAttempts {
+	for attempt := range maxOrderAttempts {
 		if order.Wave != 0 {
 			err = m.Machines.Maintain(ctx, by, order.Machine, order.Wave)
 		} else {
@@ -123,8 +124,8 @@
 		switch {
 		case errors.Is(err, tw.ErrAmbiguous) && ctx.Err() == nil:
 			continue
-		case try > 0 && !isFinalAnswer(err):
-			// This says nothing of the tries without an answer: they may be carried out
+		case attempt > 0 && !isFinalAnswer(err):
+			// This answer does not hold for the unanswered attempts: they may be carried out
 			// late, when another machine of the wave is down.
 			return errors.Wrapf(tw.ErrAmbiguous, "maintenance: an earlier try was not answered, the last one: %v", err)
 		}
@@ -133,7 +134,7 @@
 	return err
 }
 
-// isFinalAnswer tells whether the answer to one try of an order holds for all of them.
+// isFinalAnswer reports whether the answer to one attempt of an order holds for all attempts.
 func isFinalAnswer(err error) bool {
 	var refused *tw.MachineRefusedError
 	if errors.As(err, &refused) {
@@ -142,13 +143,13 @@
 	return err == nil
 }
 
-// handleAnswer takes up the answer to an order.
+// handleAnswer handles the result of an order.
 func (m *Manager) handleAnswer(order Order, err error) {
 	m.Log.Info("maintenance: ordered", zap.String("instance", string(order.Machine)), zap.Int64("wave", order.Wave),
 		zap.String("pool", string(order.Pool)), zap.String("why", order.Reason), logsink.Err(err))
-	// Only a list that is asked for from now on shows the change.
+	// Only a list requested after this time is sure to show the change.
 	order.Since = m.Clock.Now()
-	order.Unclear = err != nil
+	order.Ambiguous = err != nil
 	m.ordered[order.Machine] = order
 	var refused *tw.MachineRefusedError
 	switch {
@@ -160,15 +161,15 @@
 	case tw.NotApplied(err):
 		delete(m.ordered, order.Machine)
 	}
-	// What was not answered stays ordered until the list shows it, and is then
-	// asked for again, which does nothing if it was carried out.
+	// An unanswered order stays in m.ordered until the list shows its effect or it times
+	// out. It may then be issued again, which has no effect if it was carried out.
 }
 
-// handleSuccess notes an order that was answered with success.
+// handleSuccess records an order that has succeeded.
 func (m *Manager) handleSuccess(order Order) {
-	// Maintenance that was done already is answered with success too, and then
-	// nothing has ended: a former manager may have ordered it. A machine that is
-	// still listed in its former pool has not been moved before.
+	// Maintenance that a former manager ordered and that is done already succeeds too,
+	// without ending any worker. So only a move proves that the worker has ended: a machine
+	// that is still listed in its old pool was not moved before.
 	if order.Worker != "" && order.Wave == 0 {
 		m.ended[order.Worker] = endedWorker{pool: order.From, at: m.Clock.Now()}
 	}
@@ -177,7 +178,7 @@
 	}
 }
 
-// markUnfit remembers that a pool takes other machines only.
+// markUnfit records that a pool does not accept a machine.
 func (m *Manager) markUnfit(order Order, refused *tw.MachineRefusedError) {
 	if order.Wave != 0 || refused.Reason != tw.MachineRefusedUnknown {
 		return
--- a/maintenance/orders_test.go
+++ b/maintenance/orders_test.go
@@ -14,8 +14,8 @@
 	"github.com/tamarindworks/tamarindworks/ledger"
 )
 
-// lateMachines leaves the first maintenance order without an answer and carries it
-// out when told to. The tries after it get the answers that a test says.
+// lateMachines does not answer the first maintenance order and carries it out when the
+// test calls late. The next attempts get the given answers.
 type lateMachines struct {
 	tw.Machines
 	answers []error
@@ -39,45 +39,43 @@
 	return l.Machines.Maintain(ctx, by, machine, wave)
 }
 
-// given tells whether the order that is late was given.
-func (l *lateMachines) given() bool {
+// issued reports whether the first order was issued.
+func (l *lateMachines) issued() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.late != nil
 }
 
-// lateOrderCases are what happens between an order of maintenance that is not
-// answered and the moment, seconds later, when the platform carries it out. The
-// manager took the order for settled: when a later try was refused for its rate or
-// because the machine was down, as if that proved that the first try was not done
-// either; and when the machine showed another worker, as if only maintenance could
-// have ended the first one, and not a crash. It then gave the next machine of the
-// wave its maintenance, and two were down for a wave that allows one: the orders of
-// m2 and m1 came 1.3 s apart, and each takes 2 s.
+// lateOrderCases are events between an unanswered maintenance order and its execution by the
+// platform seconds later. They guard against a manager that takes the order for settled too
+// soon: because a later attempt is refused, which proves nothing about the first one, or
+// because the machine has another worker, which may also be due to a crash. The manager then
+// ordered maintenance of the next machine, and two machines were down for a wave that allows
+// one: the orders for m2 and m1 came 1.3 s apart, and each takes 2 s.
 var lateOrderCases = map[string]struct {
 	answers []error
-	// then happens to m1 after the order.
-	then func(o *office)
+	// then changes m1 after the order.
+	then func(o *fixture)
 }{
-	"a later try refused for its rate": {
+	"later attempt is rate limited": {
 		answers: []error{tw.ErrRateLimited},
-		then:    func(o *office) { o.load("m1", "w-m1", 1) },
+		then:    func(o *fixture) { o.setLoad("m1", "w-m1", 1) },
 	},
-	"a later try refused as the machine is not up": {
+	"later attempt is refused because the machine is not up": {
 		answers: []error{&tw.MachineRefusedError{Reason: tw.MachineRefusedBusy}},
-		then:    func(o *office) { o.load("m1", "w-m1", 1) },
+		then:    func(o *fixture) { o.setLoad("m1", "w-m1", 1) },
 	},
-	"a crash that brings another worker": {
+	"crash replaces the worker": {
 		answers: []error{tw.ErrAmbiguous, tw.ErrAmbiguous},
-		then: func(o *office) {
+		then: func(o *fixture) {
 			o.cloud.Add(tw.Machine{ID: "m1", Pool: "p", State: tw.MachineUp, Worker: "another", Capacity: size})
-			o.load("m1", "another", 1)
+			o.setLoad("m1", "another", 1)
 		},
 	},
 }
 
-// load changes what the owner reports of a machine.
-func (o *office) load(id tw.InstanceID, worker tw.WorkerID, runs int) {
+// setLoad sets the worker and the number of runs that the owner reports for a machine.
+func (o *fixture) setLoad(id tw.InstanceID, worker tw.WorkerID, runs int) {
 	o.reports.mu.Lock()
 	defer o.reports.mu.Unlock()
 	for i := range o.reports.loads["p"] {
@@ -91,75 +89,75 @@
 	for name, c := range lateOrderCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := newOffice(t)
+				o := newFixture(t)
 				defer o.census.Close()
 				late := &lateMachines{Machines: o.cloud, answers: c.answers}
 				o.machines = late
 				for _, id := range []tw.InstanceID{"m1", "m2", "m3"} {
-					o.machine(id, 0)
+					o.addMachine(id, 0)
 				}
-				o.waveOf("m1", "m2")
-				m := o.manage("a")
+				o.addWave("m1", "m2")
+				m := o.startManager("a")
 				defer m.Close()
-				o.Eventually(late.given, 5*time.Second, 10*time.Millisecond).Should(BeTrue())
+				o.Eventually(late.issued, 5*time.Second, 10*time.Millisecond).Should(BeTrue())
 				c.then(o)
 				time.Sleep(1500 * time.Millisecond)
 				o.Expect(late.late()).To(Succeed())
 				time.Sleep(3 * time.Second)
-				o.keptLimit()
+				o.expectOneDownAtATime()
 			})
 		})
 	}
 }
 
-// A manager orders maintenance, gets no answer and ends. Its successor does not know
-// of that order: it gave the next machine of the wave its maintenance, and 1.3 s
-// later the platform carried the former manager's order out, so that two machines
-// were down for a wave that allows one.
-func TestSuccessorOfAManagerWhoseOrderIsLate(t *testing.T) {
-	playLateOrder(t, func(*office) {})
+// TestTakeoverWithLateOrder guards against a successor that does not know of an unanswered
+// order of the former manager. It ordered maintenance of the next machine of the wave, and
+// 1.3 s later the platform carried out the former manager's order, so that two machines were
+// down for a wave that allows one.
+func TestTakeoverWithLateOrder(t *testing.T) {
+	testLateOrder(t, func(*fixture) {})
 }
 
-// The same, while the successor's first read of the wave's record fails. It took that
-// for a wave of which nothing was recorded.
-func TestSuccessorThatCannotReadAWaveAtOnce(t *testing.T) {
-	playLateOrder(t, func(o *office) {
+// TestTakeoverWithUnreadableWave is like TestTakeoverWithLateOrder, but the successor's first
+// read of the wave's record fails. It must not treat this as a wave without a record.
+func TestTakeoverWithUnreadableWave(t *testing.T) {
+	testLateOrder(t, func(o *fixture) {
 		o.kv.SetFaults(standin.KVFaults{Down: true})
 		time.Sleep(50 * time.Millisecond)
 		o.kv.SetFaults(standin.KVFaults{})
 	})
 }
 
-// playLateOrder has a manager's order carried out when its successor has begun, of
-// which something happens to the beginning.
-func playLateOrder(t *testing.T, atFirst func(o *office)) {
+// testLateOrder has a former manager's order carried out after its successor has started.
+// afterTakeover runs right after that start.
+func testLateOrder(t *testing.T, afterTakeover func(o *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOffice(t)
+		o := newFixture(t)
 		defer o.census.Close()
 		late := &lateMachines{Machines: o.cloud, answers: []error{tw.ErrAmbiguous, tw.ErrAmbiguous}}
 		o.machines = late
 		for _, id := range []tw.InstanceID{"m1", "m2", "m3"} {
-			o.machine(id, 0)
+			o.addMachine(id, 0)
 		}
-		o.waveOf("m1", "m2")
-		a := o.manage("a")
-		o.Eventually(late.given, 5*time.Second, 10*time.Millisecond).Should(BeTrue())
+		o.addWave("m1", "m2")
+		a := o.startManager("a")
+		o.Eventually(late.issued, 5*time.Second, 10*time.Millisecond).Should(BeTrue())
 		a.Close()
-		o.load("m1", "w-m1", 1)
+		o.setLoad("m1", "w-m1", 1)
 		o.machines = o.cloud
-		b := o.manage("b")
+		b := o.startManager("b")
 		defer b.Close()
-		atFirst(o)
+		afterTakeover(o)
 		time.Sleep(1500 * time.Millisecond)
 		o.Expect(late.late()).To(Succeed())
 		time.Sleep(3 * time.Second)
-		o.keptLimit()
+		o.expectOneDownAtATime()
 	})
 }
 
-// keptLimit expects the orders for one machine at a time to be as far apart as
-// maintenance takes.
-func (o *office) keptLimit() {
+// expectOneDownAtATime expects consecutive orders to be at least the duration of maintenance apart,
+// so that only one machine is down at a time.
+func (o *fixture) expectOneDownAtATime() {
 	o.t.Helper()
 	orders := o.cloud.Orders()
 	o.Expect(orders).NotTo(BeEmpty())
@@ -168,8 +166,8 @@
 	}
 }
 
-// slowMachines answers the first maintenance order not at all, and only gives that
-// up after a while.
+// slowMachines does not carry out the first maintenance order, and fails it with an unknown
+// outcome after a while.
 type slowMachines struct {
 	tw.Machines
 	once sync.Once
@@ -189,21 +187,21 @@
 	return tw.ErrAmbiguous
 }
 
-// A manager records its orders before it gives them, and may give one up to 1.7 s
-// later, as a try without an answer is repeated. Its successor took the record's time
-// for the order's: it counted the time between two holders from the moment at which
-// it took over, 0.7 s added. The former manager's second try was carried out 1 s
-// after the record, and the successor's order for the same machine came 2.8 s after
-// that, where 3 s must lie between two holders.
-func TestSuccessorOfAManagerWhoseOrderIsUnderWay(t *testing.T) {
+// TestTakeoverWithOrderInFlight guards against a successor that takes the time of an order's
+// record for that of the order. A manager records an order first and, as it repeats unanswered
+// attempts, may issue it up to 1.7 s later. The successor waited for the minimum time between
+// two holders, counted from its takeover, plus 0.7 s. The former manager's second attempt was
+// carried out 1 s after the record, and the successor's order for the same machine came only
+// 2.8 s after that instead of at least 3 s.
+func TestTakeoverWithOrderInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newOffice(t)
+		o := newFixture(t)
 		defer o.census.Close()
-		o.machine("m1", 0)
-		o.machine("m2", 0)
-		o.waveOf("m1")
+		o.addMachine("m1", 0)
+		o.addMachine("m2", 0)
+		o.addWave("m1")
 		o.machines = &slowMachines{Machines: o.cloud, wait: time.Second}
-		a := o.manage("a")
+		a := o.startManager("a")
 		defer a.Close()
 		recorded := func() bool {
 			orders, err := ledger.FindOrders(t.Context(), o.kv)
@@ -211,13 +209,13 @@
 		}
 		o.Eventually(recorded, 5*time.Second, 10*time.Millisecond).Should(BeTrue())
 		o.waves = append(o.waves, tw.MaintenanceWave{Number: 2, Machines: []tw.InstanceID{"m1"}, NoticePeriod: 30 * time.Second, MaxConcurrent: 1})
-		b := o.manage("b")
+		b := o.startManager("b")
 		defer b.Close()
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			machines, err := o.cloud.List(t.Context())
 			o.Expect(err).NotTo(HaveOccurred())
-			o.load("m1", machines[0].Worker, 0)
+			o.setLoad("m1", machines[0].Worker, 0)
 		}
 		orders := o.cloud.Orders()
 		o.Expect(orders).To(HaveLen(2))
--- a/maintenance/pace.go
+++ b/maintenance/pace.go
@@ -9,9 +9,9 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// orderLimiter bounds the orders of one pass by what the platform takes: refused ones cost too, and
-// are given again. It falls by half when some were refused for their rate, and rises again
-// while all that it allows are taken.
+// orderLimiter adapts the number of orders per pass to the rate limit of the platform, as refused
+// orders cost too and must be repeated. It halves the limit when an order was rate limited, and
+// raises it while all allowed orders are accepted.
 type orderLimiter struct{ limit int }
 
 const (
@@ -20,9 +20,9 @@
 	maxOrderLimit     = 1024
 )
 
-// split tells which orders are given now, those for waves and as many others as the pace
-// allows, and which later. Machines that are switched off can wait.
-func (p *orderLimiter) split(orders []Order, parking tw.PoolID) (now, later []Order) {
+// split divides orders into those to issue now and those to issue later. All orders of waves and
+// up to the limit of moves are issued now; moves to the parking pool come last.
+func (l *orderLimiter) split(orders []Order, parking tw.PoolID) (now, later []Order) {
 	orders = slices.Clone(orders)
 	slices.SortStableFunc(orders, func(a, b Order) int { return cmp.Compare(a.rank(parking), b.rank(parking)) })
 	moves := 0
@@ -30,7 +30,7 @@
 		if order.Wave == 0 {
 			moves++
 		}
-		if moves > p.limit {
+		if moves > l.limit {
 			later = append(later, order)
 		} else {
 			now = append(now, order)
@@ -39,7 +39,7 @@
 	return now, later
 }
 
-// rank puts the orders first that are to be given first.
+// rank returns the sort key of an order; lower ranks are issued first.
 func (o *Order) rank(parking tw.PoolID) int {
 	switch {
 	case o.Wave != 0:
@@ -50,15 +50,15 @@
 	return 2
 }
 
-// adjust takes up how the orders of a pass ended, an error or nil for each.
-func (p *orderLimiter) adjust(errs []error) {
+// adjust adapts the limit to the results of a pass, an error or nil for each order.
+func (l *orderLimiter) adjust(errs []error) {
 	for _, err := range errs {
 		if errors.Is(err, tw.ErrRateLimited) {
-			p.limit = max(minOrderLimit, p.limit/2)
+			l.limit = max(minOrderLimit, l.limit/2)
 			return
 		}
 	}
-	if len(errs) >= p.limit {
-		p.limit = min(maxOrderLimit, p.limit+p.limit/4)
+	if len(errs) >= l.limit {
+		l.limit = min(maxOrderLimit, l.limit+l.limit/4)
 	}
 }
--- a/maintenance/pace_test.go
+++ b/maintenance/pace_test.go
@@ -8,9 +8,9 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// All moves of a decision were ordered at once: 1,509 of 2,111 were refused for their rate, and
-// each of these calls costs.
-func TestOrderPace(t *testing.T) {
+// TestOrderLimiter guards against issuing all moves of a decision at once: 1,509 of 2,111 were
+// then rate limited, and each of these calls costs.
+func TestOrderLimiter(t *testing.T) {
 	g := NewWithT(t)
 	orders := []Order{{Machine: "a", Pool: "off"}, {Machine: "b", Pool: "q"}, {Machine: "c", Wave: 3}, {Machine: "d", Pool: "q"}}
 	now, later := (&orderLimiter{limit: 1}).split(orders, "off")
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -10,100 +10,100 @@
 )
 
 type (
-	// Wave is a maintenance wave with what has come of it.
+	// Wave is a maintenance wave with its progress.
 	Wave struct {
 		tw.MaintenanceWave
-		// FirstSeen is when the wave was first known here; it is due Within later.
+		// FirstSeen is when this manager first saw the wave, which is due NoticePeriod later.
 		FirstSeen time.Time
-		// Done are the machines whose maintenance was ordered.
+		// Done holds the machines whose maintenance order has succeeded.
 		Done map[tw.InstanceID]bool
-		// Finished: it was reported as completed.
+		// Finished means that the wave was reported as completed.
 		Finished bool
-		// recordedDone counts the machines in the record, announced is whether
-		// there is one.
+		// recordedDone is the number of done machines when the progress was last stored with
+		// the status for operators, hasRecord tells whether this manager has done so.
 		recordedDone int
 		hasRecord    bool
 	}
 
-	// Pool is a pool as its owner last reported it.
+	// Pool is the state of a pool as last reported by its owner.
 	Pool struct {
 		ID      tw.PoolID
 		Parking bool
-		// ReportFresh: there is a report that is recent enough to act on.
+		// ReportFresh means that the report is recent enough to act on.
 		ReportFresh bool
 		Report      run.Report
-		// Need is how many machines the pool's work fills now, Peak the most
-		// that it needed of late.
+		// Need is the number of machines that the pool's on-time work needs now. Peak
+		// is the most that all its work needed within the forecast window.
 		Need, Peak float64
-		// FillHistory is what is known of the machines that the pool's work has filled.
+		// FillHistory tracks how many machines the pool's work has filled.
 		FillHistory FillHistory
-		// Late is how many machines beyond Need the work fills that can only end late.
+		// Late is the number of machines beyond Need for work that can only end late.
 		Late float64
 	}
 
-	// State is all that decisions rest on.
+	// State is the input of a decision.
 	State struct {
 		Now time.Time
-		// WatchedSince is since when the pools' needs have been watched.
+		// WatchedSince is when the manager began to observe the pools' needs.
 		WatchedSince time.Time
-		// ParkAfter is for how long no pool may have needed a machine before it
-		// is switched off.
+		// ParkAfter is how long no pool must have needed a machine before the
+		// machine is parked.
 		ParkAfter time.Duration
 		Machines  map[tw.InstanceID]tw.Machine
-		// ListRequestedAt is when the list of machines was asked for.
+		// ListRequestedAt is when the list of machines was requested.
 		ListRequestedAt time.Time
 		Pools           map[tw.PoolID]*Pool
 		Waves           []*Wave
-		// Ordered are the changes whose effect the list does not show yet.
+		// Ordered holds the orders whose effect the list does not show yet.
 		Ordered map[tw.InstanceID]Order
-		// Vacating are the machines that owners were asked to empty, with the
-		// change that waits for it.
+		// Vacating holds the machines that owners were asked to vacate, with the
+		// pending change.
 		Vacating map[tw.InstanceID]Order
-		// Blocked are the machines that must not be changed before a time.
+		// Blocked holds until when machines must not be changed.
 		Blocked map[tw.InstanceID]time.Time
-		// Evacuations are the evacuated halls: machines there take no work, and are only
+		// Evacuations holds the evacuated halls. Machines there take no work and are only
 		// changed for waves.
 		Evacuations *tw.Evacuations
-		// Unfit are the pools that refused a machine.
+		// Unfit holds the pools that do not accept a machine.
 		Unfit map[tw.InstanceID]map[tw.PoolID]bool
 
-		// What index prepares: loads by worker, machines by pool with the
-		// least work first, and how many machines each pool has or will have.
+		// The fields below are set by buildIndex: loads by worker, the machines of each pool
+		// with the least work first, and how many machines each pool has or will have.
 		loads          map[tw.WorkerID]run.WorkerLoad
 		machinesByPool map[tw.PoolID][]tw.Machine
 		machineCounts  map[tw.PoolID]int
-		// immovable counts the first members of each pool that can't be moved: a pass
-		// that moves hundreds of machines would look at them each time.
+		// immovable counts the leading machines of each pool that cannot be moved, so that
+		// a decision that moves hundreds of machines does not check them each time.
 		immovable map[tw.PoolID]int
 	}
 
-	// Order is a change of a machine: maintenance if Wave is not zero, else a
-	// move to Pool.
+	// Order is a change of a machine: maintenance if Wave is not zero, otherwise
+	// a move to Pool.
 	Order struct {
 		Machine tw.InstanceID
 		Wave    int64
 		Pool    tw.PoolID
-		// From is the pool that the machine was in, Worker what ran there.
+		// From is the previous pool of the machine, Worker the worker that ran there.
 		From   tw.PoolID
 		Worker tw.WorkerID
-		// Since is when the change was decided, or ordered.
+		// Since is when the change was decided or last ordered.
 		Since  time.Time
 		Reason string
-		// Unclear: the order was not answered.
-		Unclear bool
+		// Ambiguous means that the order was not answered.
+		Ambiguous bool
 	}
 
-	// Decision is what is to be done now.
+	// Decision is the output of Decide.
 	Decision struct {
-		// Vacate are changes for which machines must be emptied first; those
-		// of State.Vacating that stay are among them.
+		// Vacate holds the changes whose machines must be vacated first, including
+		// those kept from State.Vacating.
 		Vacate map[tw.InstanceID]Order
-		// Orders are changes to be made at once.
+		// Orders lists the changes to make now.
 		Orders []Order
 	}
 )
 
-// buildIndex prepares the state for decisions: they search it many times.
+// buildIndex builds the lookup tables that decisions use.
 func (s *State) buildIndex() {
 	s.loads = map[tw.WorkerID]run.WorkerLoad{}
 	for _, pool := range s.Pools {
@@ -125,13 +125,13 @@
 	s.countMachines(s.Vacating)
 }
 
-// compareWork puts the machine with the least work first.
+// compareWork orders machines by the number of runs, fewest first.
 func (s *State) compareWork(a, b tw.Machine) int {
 	return cmp.Or(cmp.Compare(s.loads[a.Worker].Runs, s.loads[b.Worker].Runs), cmp.Compare(b.ID, a.ID))
 }
 
-// countMachines works out how many machines each pool has or will have: those that
-// are there and stay, and those on their way.
+// countMachines computes how many machines each pool has or will have: those that are there and
+// stay, and those being moved to it.
 func (s *State) countMachines(vacating map[tw.InstanceID]Order) {
 	s.machineCounts = map[tw.PoolID]int{}
 	for id, machine := range s.Machines {
@@ -156,19 +156,19 @@
 	s.machineCounts[to]++
 }
 
-// load finds what runs on a machine; false if its pool does not say.
+// load returns the load of a machine, or false if its pool has not reported it.
 func (s *State) load(machine tw.Machine) (run.WorkerLoad, bool) {
 	load, found := s.loads[machine.Worker]
 	return load, found && load.Known
 }
 
-// blocked tells whether a machine must not be changed yet.
+// blocked reports whether a machine must not be changed yet.
 func (s *State) blocked(id tw.InstanceID) bool { return s.Now.Before(s.Blocked[id]) }
 
-// isEmpty tells whether nothing runs on a machine, for sure.
+// isEmpty reports whether certainly nothing runs on a machine.
 func (s *State) isEmpty(machine tw.Machine) bool {
 	if machine.Worker == "" {
-		// Elsewhere than in the parking pool its worker is just starting.
+		// In any other pool than the parking pool the worker is just starting.
 		return machine.State == tw.MachineUp && s.isParking(machine.Pool)
 	}
 	load, known := s.load(machine)
--- a/maintenance/waves.go
+++ b/maintenance/waves.go
@@ -13,17 +13,16 @@
 )
 
 const (
-	// recentOrderTTL is how long orders are kept in the record: the time between
-	// two holders and a reserve for clocks that differ.
+	// recentOrderTTL is how long orders are kept in the record. It covers the minimum
+	// time between two holders and a reserve for differing clocks.
 	recentOrderTTL = 15 * time.Second
-	// maxClockSkew is by how much a former manager's time of day may be behind:
-	// the platform's pages keep it close to the true time, and days on which it
-	// jumps do so by 2 s.
+	// maxClockSkew is by how much the clock of a former manager may be behind. The
+	// platform keeps clocks close to true time, but they can jump by 2 s.
 	maxClockSkew = 2500 * time.Millisecond
 )
 
-// recordOrders notes in the store which machines are about to be changed, so
-// that another manager leaves them alone for a while.
+// recordOrders stores which machines are about to be changed, so that another
+// manager does not change them for a while.
 func (m *Manager) recordOrders(orders []Order) error {
 	if len(orders) == 0 {
 		return nil
@@ -47,7 +46,8 @@
 	return err
 }
 
-// waveProgress is what is recorded of a wave before some orders are given.
+// waveProgress returns the progress of a wave to store before the given orders are
+// issued.
 func (m *Manager) waveProgress(w *Wave, orders []Order) ledger.WaveProgress {
 	given := map[tw.InstanceID]bool{}
 	for _, order := range slices.AppendSeq(slices.Clone(orders), maps.Values(m.ordered)) {
@@ -58,26 +58,27 @@
 	return ledger.WaveProgress{Done: slices.Sorted(maps.Keys(w.Done)), Pending: slices.Sorted(maps.Keys(given))}
 }
 
-// adoptPending takes the orders that a former manager may have given for ordered: they may
-// be carried out late, when another machine of the wave is down.
+// adoptPending adds the orders that a former manager may have issued to m.ordered, as they may be
+// carried out late, when another machine of the wave is down.
 func (m *Manager) adoptPending(w *Wave, given []tw.InstanceID) {
 	for _, id := range given {
 		if !w.Done[id] {
 			m.ordered[id] = Order{
-				Machine: id, Wave: w.Number, Since: m.Clock.Now().Add(maxOrderDelay), Unclear: true,
+				Machine: id, Wave: w.Number, Since: m.Clock.Now().Add(maxOrderDelay), Ambiguous: true,
 				Reason: "a former manager may have ordered it",
 			}
 		}
 	}
 }
 
-// blockRecent keeps the machines that a former manager changed lately from
-// being changed by this one before the time between two holders has passed.
+// blockRecent blocks the machines that a former manager changed recently until the
+// minimum time between two holders has passed.
 func (m *Manager) blockRecent(recent map[tw.InstanceID]time.Time) {
 	now := m.Clock.Now()
 	for id, at := range recent {
-		// The former manager's time of day may be ahead, but what it recorded
-		// happened before this one began. The order itself may come later than that.
+		// The clock of the former manager may be ahead, but it made the record before
+		// this manager started. The order itself may have been issued up to maxOrderDelay
+		// after the record.
 		latest := now.Add(m.HolderTime + maxOrderDelay)
 		until := at.Add(m.HolderTime + maxOrderDelay + maxClockSkew)
 		if latest.Before(until) {
@@ -89,7 +90,7 @@
 	}
 }
 
-// reportWaves reports the progress of waves.
+// reportWaves stores the progress of waves and their status for operators.
 func (m *Manager) reportWaves(list *run.MachineList) error {
 	for _, w := range m.waves {
 		if w.Finished {
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// waveComplete tells whether every machine of a wave that is still there has been
-// down for it and is up again.
+// waveComplete reports whether every machine of a wave that still exists has been maintained and
+// is back.
 func (m *Manager) waveComplete(w *Wave, list *run.MachineList) bool {
 	for _, id := range w.Machines {
 		machine, found := list.Machines[id]
@@ -122,7 +123,7 @@
 			continue
 		}
 		order, ordered := m.ordered[id]
-		// A machine that was moved on since has been back.
+		// A later move of the machine implies that it has been back.
 		awaited := ordered && order.Wave == w.Number
 		if !w.Done[id] || awaited || machine.State == tw.MachineMaintenance {
 			return false
--- a/maintenance/waves_test.go
+++ b/maintenance/waves_test.go
@@ -9,22 +9,22 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// backCases are what is known of a machine of wave 1 that was ordered down, and
-// whether the wave is over.
-var backCases = map[string]struct {
-	state tw.MachineState
-	order *Order
-	over  bool
+// waveCompleteCases are the listed state and the pending order of the only machine of wave 1,
+// whose maintenance was ordered, and whether the wave is complete.
+var waveCompleteCases = map[string]struct {
+	state    tw.MachineState
+	order    *Order
+	complete bool
 }{
-	"back":                          {state: tw.MachineUp, over: true},
-	"moved on since":                {state: tw.MachineMoving, order: &Order{Pool: "q"}, over: true},
-	"order to move on not seen yet": {state: tw.MachineUp, order: &Order{Pool: "q"}, over: true},
+	"back":                          {state: tw.MachineUp, complete: true},
+	"moved afterwards":              {state: tw.MachineMoving, order: &Order{Pool: "q"}, complete: true},
+	"later move not listed yet":     {state: tw.MachineUp, order: &Order{Pool: "q"}, complete: true},
 	"in maintenance":                {state: tw.MachineMaintenance},
-	"maintenance not seen yet":      {state: tw.MachineUp, order: &Order{Wave: 1}},
+	"maintenance is not listed yet": {state: tw.MachineUp, order: &Order{Wave: 1}},
 }
 
-func TestAllBack(t *testing.T) {
-	for name, c := range backCases {
+func TestWaveComplete(t *testing.T) {
+	for name, c := range waveCompleteCases {
 		t.Run(name, func(t *testing.T) {
 			m := &Manager{ordered: map[tw.InstanceID]Order{}}
 			if c.order != nil {
@@ -35,7 +35,7 @@
 				Done:            map[tw.InstanceID]bool{"m": true},
 			}
 			list := &run.MachineList{Machines: map[tw.InstanceID]tw.Machine{"m": {ID: "m", State: c.state}}}
-			NewWithT(t).Expect(m.waveComplete(w, list)).To(Equal(c.over))
+			NewWithT(t).Expect(m.waveComplete(w, list)).To(Equal(c.complete))
 		})
 	}
 }
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,7 +1,7 @@
-// Package relay gives orders to start over other daemons while the own link is full. A batch
-// to a relay names a spec once for each submission, while each order to a worker carries it
-// with a request of its own.
+// Package relay sends start orders through other daemons, the relays, while the daemon's own
+// network link is saturated. A relay gets the spec of a submission only once and many orders in
+// one batch, while a direct order to a worker is a separate request that carries the spec.
 //
-// An order keeps the owner's fence, run number and deadline on the way, so that a worker
-// treats it as one that the owner has sent itself, however late it comes.
+// A relayed order keeps the owner's fence, run number and deadline, so a worker treats it like
+// one that the owner sent directly, however late it arrives.
 package relay
--- a/relay/link.go
+++ b/relay/link.go
@@ -14,93 +14,93 @@
 )
 
 type (
-	// batcher gathers the orders for one relay into batches.
+	// batcher collects the orders for one relay into batches.
 	batcher struct {
 		orders  *Orders
 		address string
 
 		mu sync.Mutex
-		// queue waits for the next batch, which is under way if gathering.
+		// queue holds the orders of the next batch, which is scheduled if collecting.
 		queue      []*pendingOrder
 		collecting bool
-		// sentSpecs are those that the relay was sent; their texts are not kept.
+		// sentSpecs holds the submissions whose spec was sent to the relay, without texts.
 		sentSpecs *specCache
-		// inFlight counts the orders without an answer.
+		// inFlight is the number of orders in flight.
 		inFlight int
-		// backoffUntil is until when the relay gets no orders.
+		// backoffUntil is the time until which the relay gets no orders.
 		backoffUntil time.Time
 	}
 
-	// pendingOrder is an order that waits for its answer.
+	// pendingOrder is an order that is waiting for its answer.
 	pendingOrder struct {
 		start tw.RelayedStart
 		ctx   context.Context
-		// answer gets one value.
+		// answer receives exactly one value.
 		answer   chan tw.RelayedAnswer
 		answered bool
 	}
 )
 
 const (
-	// batchDelay passes before a batch is sent.
+	// batchDelay is how long orders are collected before a batch is sent.
 	batchDelay = 15 * time.Millisecond
-	// preferredInFlight orders without an answer are enough for one relay if there are others,
-	// openMost are in any case.
+	// A relay with preferredInFlight orders in flight gets more only if no other relay has
+	// fewer than that. A relay never gets more than maxInFlight.
 	preferredInFlight = 8
 	maxInFlight       = 64
-	// transitMargin is more than a batch and its answers are on their way.
+	// transitMargin is an upper bound for the network transit of a batch and its answers.
 	transitMargin = 200 * time.Millisecond
 )
 
-// state is how many orders have no answer yet, and whether the relay may get more.
-func (l *batcher) state(now time.Time) (open int, usable bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.inFlight, now.After(l.backoffUntil)
+// state returns the number of orders in flight and whether the relay may get more.
+func (b *batcher) state(now time.Time) (inFlight int, usable bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.inFlight, now.After(b.backoffUntil)
 }
 
-// start gives an order over the relay. It fails with errNotRelayed if the relay surely did
-// not give it.
-func (l *batcher) start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
+// start sends an order through the relay. It fails with errNotRelayed if the relay certainly
+// did not send it. It repeats an order whose spec the relay does not have.
+func (b *batcher) start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	for {
-		a := l.submit(ctx, to, order)
+		a := b.submit(ctx, to, order)
 		if !errors.Is(a.Err, tw.ErrSpecUnknown) {
 			return a.Clock, a.Err
 		}
-		l.mu.Lock()
-		l.sentSpecs.remove(order.Subtask.Submission)
-		l.mu.Unlock()
+		b.mu.Lock()
+		b.sentSpecs.remove(order.Subtask.Submission)
+		b.mu.Unlock()
 	}
 }
 
-// submit waits for the answer to an order of the next batch.
-func (l *batcher) submit(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) tw.RelayedAnswer {
+// submit adds an order to the next batch and waits for its answer.
+func (b *batcher) submit(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) tw.RelayedAnswer {
 	i := &pendingOrder{start: tw.RelayedStart{To: to, Order: order}, ctx: ctx, answer: make(chan tw.RelayedAnswer, 1)}
-	l.mu.Lock()
-	l.queue = append(l.queue, i)
-	l.inFlight++
-	if !l.collecting {
-		l.collecting = true
-		l.orders.batches.Go(l.sendBatch)
+	b.mu.Lock()
+	b.queue = append(b.queue, i)
+	b.inFlight++
+	if !b.collecting {
+		b.collecting = true
+		b.orders.batches.Go(b.sendBatch)
 	}
-	l.mu.Unlock()
+	b.mu.Unlock()
 	defer func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.inFlight--
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		b.inFlight--
 	}()
 	select {
 	case a := <-i.answer:
 		return a
 	case <-ctx.Done():
-		return tw.RelayedAnswer{Err: l.unclearErr()}
+		return tw.RelayedAnswer{Err: b.ambiguousErr()}
 	}
 }
 
-// sendBatch sends what has come within gatherTime.
-func (l *batcher) sendBatch() {
-	<-l.orders.config.Clock.After(batchDelay)
-	batch, items := l.takeBatch()
+// sendBatch sends the orders that arrive within batchDelay.
+func (b *batcher) sendBatch() {
+	<-b.orders.config.Clock.After(batchDelay)
+	batch, items := b.takeBatch()
 	if len(batch) == 0 {
 		return
 	}
@@ -108,43 +108,43 @@
 	for n := range batch {
 		longest = max(longest, batch[n].Limit)
 	}
-	ctx, cancel := context.WithTimeout(l.orders.ctx, longest+transitMargin)
+	ctx, cancel := context.WithTimeout(b.orders.ctx, longest+transitMargin)
 	defer cancel()
-	began := l.orders.config.Clock.Now()
-	err := l.orders.config.Relays.Start(ctx, l.address, batch, func(a tw.RelayedAnswer) {
+	startedAt := b.orders.config.Clock.Now()
+	err := b.orders.config.Relays.Start(ctx, b.address, batch, func(a tw.RelayedAnswer) {
 		if a.Index < 0 || a.Index >= len(items) || items[a.Index].answered {
 			return
 		}
 		if errors.Is(a.Err, tw.ErrUnavailable) {
-			a.Err = errors.Wrapf(errNotRelayed, "relay: %s: %v", l.address, a.Err)
+			a.Err = errors.Wrapf(errNotRelayed, "relay: %s: %v", b.address, a.Err)
 		}
-		l.deliver(items[a.Index], a)
+		b.deliver(items[a.Index], a)
 	})
-	l.failUnanswered(items, err)
-	l.logBatch(items, l.orders.config.Clock.Now().Sub(began), err)
+	b.failUnanswered(items, err)
+	b.logBatch(items, b.orders.config.Clock.Now().Sub(startedAt), err)
 }
 
-// takeBatch takes the queue. Orders whose time is over are left out.
-func (l *batcher) takeBatch() ([]tw.RelayedStart, []*pendingOrder) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	queue := l.queue
-	l.queue, l.collecting = nil, false
+// takeBatch takes the queued orders. Orders past their deadline are answered and left out.
+func (b *batcher) takeBatch() ([]tw.RelayedStart, []*pendingOrder) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	queue := b.queue
+	b.queue, b.collecting = nil, false
 	var batch []tw.RelayedStart
 	var items []*pendingOrder
 	for _, i := range queue {
 		i.start.Limit = maxOrderTime
 		if deadline, bounded := i.ctx.Deadline(); bounded {
-			i.start.Limit = deadline.Sub(l.orders.config.Clock.Now())
+			i.start.Limit = deadline.Sub(b.orders.config.Clock.Now())
 		}
 		if i.ctx.Err() != nil || i.start.Limit <= 0 {
-			l.deliver(i, tw.RelayedAnswer{Err: errNotRelayed})
+			b.deliver(i, tw.RelayedAnswer{Err: errNotRelayed})
 			continue
 		}
-		if id := i.start.Order.Subtask.Submission; l.sentSpecs.has(id) {
+		if id := i.start.Order.Subtask.Submission; b.sentSpecs.has(id) {
 			i.start.Order.Spec, i.start.SpecCached = "", true
 		} else {
-			l.sentSpecs.add(id, "")
+			b.sentSpecs.add(id, "")
 		}
 		batch = append(batch, i.start)
 		items = append(items, i)
@@ -152,53 +152,54 @@
 	return batch, items
 }
 
-// failUnanswered ends the orders of a batch that have no answer.
-func (l *batcher) failUnanswered(items []*pendingOrder, err error) {
-	rest := l.unclearErr()
+// failUnanswered fails the orders of a batch that got no answer and, if there are any, avoids
+// the relay for a while.
+func (b *batcher) failUnanswered(items []*pendingOrder, err error) {
+	outcome := b.ambiguousErr()
 	if errors.Is(err, tw.ErrNotListening) || errors.Is(err, tw.ErrUnavailable) {
-		rest = errNotRelayed
+		outcome = errNotRelayed
 	}
-	open := false
+	unanswered := false
 	for _, i := range items {
 		if !i.answered {
-			open = true
-			l.deliver(i, tw.RelayedAnswer{Err: rest})
+			unanswered = true
+			b.deliver(i, tw.RelayedAnswer{Err: outcome})
 		}
 	}
-	if !open {
+	if !unanswered {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.backoffUntil = l.orders.config.Clock.Now().Add(relayBackoff)
-	l.sentSpecs.clear()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.backoffUntil = b.orders.config.Clock.Now().Add(relayBackoff)
+	b.sentSpecs.clear()
 }
 
-// unclearErr is the error of an order of which nothing is known. As the worker closed no
-// connection, that is a time-out.
-func (l *batcher) unclearErr() error {
-	return fmt.Errorf("relay: no answer from %s: %w: %w", l.address, tw.ErrAmbiguous, context.DeadlineExceeded)
+// ambiguousErr returns the error of an order with an unknown outcome. It includes a timeout, as the
+// worker closed no connection.
+func (b *batcher) ambiguousErr() error {
+	return fmt.Errorf("relay: no answer from %s: %w: %w", b.address, tw.ErrAmbiguous, context.DeadlineExceeded)
 }
 
-func (l *batcher) deliver(i *pendingOrder, a tw.RelayedAnswer) {
+func (b *batcher) deliver(i *pendingOrder, a tw.RelayedAnswer) {
 	i.answered = true
 	switch {
 	case tw.Answered(a.Err):
-		l.orders.counts.answered.Inc()
+		b.orders.counts.answered.Inc()
 	case errors.Is(a.Err, errNotRelayed), errors.Is(a.Err, tw.ErrSpecUnknown):
-		l.orders.counts.notRelayed.Inc()
+		b.orders.counts.notRelayed.Inc()
 	default:
-		l.orders.counts.unclear.Inc()
+		b.orders.counts.ambiguous.Inc()
 	}
 	i.answer <- a
 }
 
-// logBatch names the subtasks of a batch, so that the relay of each start can be told.
-func (l *batcher) logBatch(items []*pendingOrder, took time.Duration, err error) {
+// logBatch logs the subtasks of a batch, so that the relay of each start can be traced.
+func (b *batcher) logBatch(items []*pendingOrder, took time.Duration, err error) {
 	subtasks := make([]string, len(items))
 	for n, i := range items {
 		subtasks[n] = i.start.Order.Subtask.String()
 	}
-	l.orders.config.Log.Info("orders: batch relayed", zap.String("relay", l.address), zap.Strings("subtasks", subtasks),
+	b.orders.config.Log.Info("orders: batch relayed", zap.String("relay", b.address), zap.Strings("subtasks", subtasks),
 		zap.Duration("took", took), logsink.Err(err))
 }
--- a/relay/load.go
+++ b/relay/load.go
@@ -7,46 +7,47 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// linkLoad tells whether a daemon is short of its link: when it sends much of what that could
-// carry, and workers seem slow to answer. Slow workers alone are no reason, nor is a lack of
-// processor time, which a batch and its answers take as well.
+// linkLoad detects that the daemon's link is saturated: the start rate is a large part of what the
+// link can carry, and workers seem slow to answer. Slow workers alone do not count, nor does a
+// lack of CPU time, which batches need as well.
 type linkLoad struct {
-	// maxRate is about how many starts a second the link could carry; infinite if that is
-	// not known.
+	// maxRate is about how many starts per second the link can carry; infinite if unknown.
 	maxRate float64
-	// latency is the smoothed time of a direct start, open those that are not answered.
+	// latency is the smoothed latency of direct starts, inFlight the number of those in flight.
 	latency  time.Duration
 	inFlight int
-	// endedAt is when a direct start last came to an end.
+	// endedAt is when a direct start last ended.
 	endedAt time.Time
-	// decayedCount decays with rateTime and counts the starts up to countedAt.
+	// decayedCount is the number of starts up to countedAt, with exponential decay over rateWindow.
 	decayedCount float64
 	countedAt    time.Time
 	relaying     bool
-	// busyAt is when the daemon last was asked for many starts.
+	// busyAt is when the start rate was last high.
 	busyAt time.Time
 }
 
 const (
-	// orderBytes is the usual size of an order with its headers; busyShare of what the link
-	// could carry of such is many.
+	// orderBytes is the usual size of an order with its headers. The start rate is high above
+	// busyShare of what the link can carry of such orders.
 	orderBytes = 730
 	busyShare  = 0.2
-	// slowStartLatency is how long a direct start takes at a daemon that is short.
+	// slowStartLatency is the latency above which direct starts indicate a saturated link.
 	slowStartLatency = 25 * time.Millisecond
-	// rateWindow is over what the rate of starts is smoothed.
+	// rateWindow is the smoothing time of the start rate.
 	rateWindow = 250 * time.Millisecond
-	// relayHoldTime is how long there must be few starts before all are given directly again.
+	// relayHoldTime is how long the start rate must be low before relaying ends.
 	relayHoldTime = time.Second
-	// stalledStarts without an answer for two times slowStart are slow, too.
+	// stalledStarts starts in flight also indicate a saturated link, if none has ended for
+	// twice slowStartLatency.
 	stalledStarts = 4
-	// directWhileRelaying starts at a time go over the daemon's own connections.
+	// directWhileRelaying is the number of concurrent starts that are sent directly while
+	// relaying.
 	directWhileRelaying = 1
-	// latencyWeight smooths the time of a start over about the last ten.
+	// latencyWeight smooths the latency over about the last ten starts.
 	latencyWeight = 0.1
 )
 
-// maxStartRate is about how many starts a second a link could carry.
+// maxStartRate returns about how many starts per second a link can carry.
 func maxStartRate(link tw.BytesPerSecond) float64 {
 	if link == 0 {
 		return math.Inf(1)
@@ -54,7 +55,7 @@
 	return float64(link) / orderBytes
 }
 
-// recordStart counts a recordStart and tells whether it may go over a relay.
+// recordStart counts a start and reports whether it may be relayed.
 func (l *linkLoad) recordStart(now time.Time) bool {
 	if math.IsInf(l.maxRate, 1) {
 		return false
@@ -71,7 +72,7 @@
 	return l.relaying
 }
 
-// rate is how many starts a second there are.
+// rate returns the smoothed number of starts per second.
 func (l *linkLoad) rate(now time.Time) float64 {
 	if l.countedAt.IsZero() {
 		return 0
