--- a/relay/orders.go
+++ b/relay/orders.go
@@ -15,26 +15,26 @@
 type (
 	// Config configures Orders.
 	Config struct {
-		// Direct gives orders without a relay.
+		// Direct sends orders without a relay.
 		Direct  tw.WorkerOrders
 		Relays  tw.Relays
 		Clock   tw.Clock
 		Log     *zap.Logger
 		Metrics *metrics.Set
-		// LinkBandwidth is what the daemon's link carries in one direction; zero if that is not
-		// known, and nothing is relayed then.
+		// LinkBandwidth is the bandwidth of the daemon's link in one direction. It is zero if
+		// unknown; nothing is relayed then.
 		LinkBandwidth tw.BytesPerSecond
 	}
 
-	// Orders gives orders to workers. While the daemon is short, starts go over relays;
-	// all other orders are always given directly.
+	// Orders sends orders to workers. It relays starts while the daemon's link is saturated,
+	// and sends all other orders directly.
 	Orders struct {
 		tw.WorkerOrders
 		config Config
 		counts counts
 		ctx    context.Context
 		cancel context.CancelFunc
-		// batches are those under way; done is closed when the last has ended.
+		// batches counts the batches in flight; done is closed when Close has waited for them.
 		batches sync.WaitGroup
 		done    chan struct{}
 
@@ -44,28 +44,28 @@
 		relayLists map[tw.HallID]relayList
 	}
 
-	// relayList are the relays of a data hall, as listed at a time.
+	// relayList holds the relays of a data hall as listed at a time.
 	relayList struct {
 		addresses []string
 		at        time.Time
 	}
 
-	// counts are the figures of relayed starts by their outcome.
-	counts struct{ answered, unclear, notRelayed *metrics.Counter }
+	// counts holds the counters of relayed starts by outcome.
+	counts struct{ answered, ambiguous, notRelayed *metrics.Counter }
 )
 
 const (
-	// maxRelayListAge is how old the list of a data hall's relays may be.
+	// maxRelayListAge is the maximum age of the list of a data hall's relays.
 	maxRelayListAge = 500 * time.Millisecond
-	// maxBatchers is more than the relays of all data halls.
+	// maxBatchers is above the number of relays of all data halls.
 	maxBatchers = 128
-	// maxRelayedPerWorker starts to one worker may be under way over relays.
+	// maxRelayedPerWorker is the number of concurrent starts to one worker while relaying.
 	maxRelayedPerWorker = 4
-	// relayBackoff is how long a relay that did not answer gets no orders.
+	// relayBackoff is how long an unresponsive relay gets no orders.
 	relayBackoff = 2 * time.Second
 )
 
-// errNotRelayed is the error of an order that surely was not given by a relay.
+// errNotRelayed is the error of an order that a relay certainly did not send.
 var errNotRelayed = errors.New("not relayed")
 
 var (
@@ -73,7 +73,7 @@
 	_ tw.ParallelStarter = (*Orders)(nil)
 )
 
-// New makes Orders, which Close ends; no call is made before the first order.
+// New returns an Orders, which must be closed. It makes no call before the first order.
 func (c Config) New() *Orders {
 	ctx, cancel := context.WithCancel(context.Background())
 	count := func(outcome string) *metrics.Counter {
@@ -81,20 +81,20 @@
 	}
 	return &Orders{
 		WorkerOrders: c.Direct, config: c, ctx: ctx, cancel: cancel, done: make(chan struct{}),
-		counts:   counts{answered: count("answered"), unclear: count("unclear"), notRelayed: count("not relayed")},
+		counts:   counts{answered: count("answered"), ambiguous: count("unclear"), notRelayed: count("not relayed")},
 		load:     linkLoad{maxRate: maxStartRate(c.LinkBandwidth)},
 		batchers: map[string]*batcher{}, relayLists: map[tw.HallID]relayList{},
 	}
 }
 
-// Close ends the calls to relays. No order may be given after it.
+// Close cancels the calls to relays and waits for them. No order may be started after it.
 func (o *Orders) Close() {
 	o.cancel()
 	o.batches.Wait()
 	close(o.done)
 }
 
-// Done is closed when Close has ended.
+// Done returns a channel that is closed at the end of Close.
 func (o *Orders) Done() <-chan struct{} { return o.done }
 
 // Start implements tw.WorkerOrders.
@@ -114,45 +114,45 @@
 	return o.direct(ctx, to, order)
 }
 
-// direct gives an order that is counted as sent.
+// direct sends an order directly. The caller has already counted it as sent.
 func (o *Orders) direct(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
-	began := o.config.Clock.Now()
+	startedAt := o.config.Clock.Now()
 	clock, err := o.WorkerOrders.Start(ctx, to, order)
 	now := o.config.Clock.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.load.directEnded(now, now.Sub(began), tw.Answered(err))
+	o.load.directEnded(now, now.Sub(startedAt), tw.Answered(err))
 	return clock, err
 }
 
-// pickRelay is the relay for a start to a worker, or nil if it is to be given directly, which is
-// counted then. The fewest relays of the worker's data hall are used: their batches are larger
-// then, and they open fewer connections to workers.
+// pickRelay returns the relay for a start to a worker, or nil if the start is to be sent
+// directly; it then counts the start as sent. It uses as few relays of the worker's data hall as
+// possible, so that batches are larger and fewer connections to workers are opened.
 func (o *Orders) pickRelay(to tw.WorkerRef) *batcher {
 	now := o.config.Clock.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	was := o.load.relaying
-	relays := o.load.recordStart(now)
-	if relays != was {
-		o.config.Log.Info("orders: relaying", zap.Bool("on", relays), zap.Float64("starts_per_second", o.load.rate(now)),
+	wasRelaying := o.load.relaying
+	relaying := o.load.recordStart(now)
+	if relaying != wasRelaying {
+		o.config.Log.Info("orders: relaying", zap.Bool("on", relaying), zap.Float64("starts_per_second", o.load.rate(now)),
 			zap.Float64("most", o.load.maxRate), zap.Duration("direct_took", o.load.latency), zap.Int("direct_open", o.load.inFlight))
 	}
-	if !relays || o.load.inFlight < directWhileRelaying {
+	if !relaying || o.load.inFlight < directWhileRelaying {
 		o.load.directSent()
 		return nil
 	}
 	var least *batcher
 	fewest := maxInFlight
 	for _, address := range o.relays(now, to.Hall) {
-		l := o.batcherFor(address)
-		open, usable := l.state(now)
+		b := o.batcherFor(address)
+		inFlight, usable := b.state(now)
 		switch {
 		case !usable:
-		case open < preferredInFlight:
-			return l
-		case open < fewest:
-			least, fewest = l, open
+		case inFlight < preferredInFlight:
+			return b
+		case inFlight < fewest:
+			least, fewest = b, inFlight
 		}
 	}
 	if least == nil {
@@ -161,8 +161,8 @@
 	return least
 }
 
-// MaxParallelStarts implements tw.ParallelStarts: batches grow where several starts to one worker
-// are under way, and no more connections to it are needed.
+// MaxParallelStarts implements tw.ParallelStarter. While relaying, several concurrent starts to one
+// worker make batches larger without needing more connections to it.
 func (o *Orders) MaxParallelStarts() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -172,24 +172,24 @@
 	return 1
 }
 
-// relays are the addresses of a data hall's relays.
+// relays returns the addresses of a data hall's relays.
 func (o *Orders) relays(now time.Time, hall tw.HallID) []string {
-	have, known := o.relayLists[hall]
-	if !known || now.Sub(have.at) > maxRelayListAge {
-		have = relayList{addresses: o.config.Relays.Candidates(hall), at: now}
-		o.relayLists[hall] = have
+	list, known := o.relayLists[hall]
+	if !known || now.Sub(list.at) > maxRelayListAge {
+		list = relayList{addresses: o.config.Relays.Candidates(hall), at: now}
+		o.relayLists[hall] = list
 	}
-	return have.addresses
+	return list.addresses
 }
 
 func (o *Orders) batcherFor(address string) *batcher {
-	l := o.batchers[address]
-	if l == nil {
+	b := o.batchers[address]
+	if b == nil {
 		if len(o.batchers) >= maxBatchers {
-			clear(o.batchers) // relays that have left; orders under way keep their links
+			clear(o.batchers) // drops relays that have left; orders in flight keep their batcher
 		}
-		l = &batcher{orders: o, address: address, sentSpecs: newSpecCache()}
-		o.batchers[address] = l
+		b = &batcher{orders: o, address: address, sentSpecs: newSpecCache()}
+		o.batchers[address] = b
 	}
-	return l
+	return b
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -18,25 +18,25 @@
 )
 
 type (
-	// workers answer starts after a time, each as its error says.
-	workers struct {
+	// fakeWorkers is a fake that answers starts after a time, with an error per worker.
+	fakeWorkers struct {
 		tw.WorkerOrders
-		takes time.Duration
-		errs  map[tw.WorkerID]error
+		latency time.Duration
+		errs    map[tw.WorkerID]error
 
 		mu    sync.Mutex
 		specs []string
 	}
 
-	// rig is a daemon with relays whose orders go to the same workers.
-	rig struct {
+	// fixture is a daemon with relays. All relays send orders to the same fake workers.
+	fixture struct {
 		*WithT
-		direct, relayed *workers
+		direct, relayed *fakeWorkers
 		servers         map[string]*relay.Server
-		// fails are the errors of calls to relays, before anything is done.
-		fails map[string]error
-		// silent relays take orders and do not answer.
-		silent map[string]bool
+		// relayErrs holds errors of calls to relays that fail before anything is done.
+		relayErrs map[string]error
+		// unresponsive holds the relays that accept orders and do not answer.
+		unresponsive map[string]bool
 
 		mu      sync.Mutex
 		batches map[string][]int // sizes, by relay
@@ -45,16 +45,16 @@
 
 const (
 	hall tw.HallID = "h"
-	// link carries 100 orders a second.
+	// link is the bandwidth of about 100 orders per second.
 	link tw.BytesPerSecond = 73_000
-	// slow is how long a direct start takes at a daemon that is short.
+	// slow is the latency of direct starts over a saturated link.
 	slow  = 80 * time.Millisecond
 	limit = 400 * time.Millisecond
 )
 
-func (w *workers) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
+func (w *fakeWorkers) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	select {
-	case <-time.After(w.takes):
+	case <-time.After(w.latency):
 	case <-ctx.Done():
 		return 0, tw.ErrAmbiguous
 	}
@@ -64,16 +64,16 @@
 	return tw.WorkerTime(order.Run), w.errs[to.ID]
 }
 
-func (w *workers) starts() int {
+func (w *fakeWorkers) starts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.specs)
 }
 
-func newRig(t *testing.T, relays ...string) *rig {
-	r := &rig{
-		WithT: NewWithT(t), direct: &workers{takes: slow}, relayed: &workers{takes: time.Millisecond, errs: map[tw.WorkerID]error{}},
-		servers: map[string]*relay.Server{}, fails: map[string]error{}, silent: map[string]bool{}, batches: map[string][]int{},
+func newFixture(t *testing.T, relays ...string) *fixture {
+	r := &fixture{
+		WithT: NewWithT(t), direct: &fakeWorkers{latency: slow}, relayed: &fakeWorkers{latency: time.Millisecond, errs: map[tw.WorkerID]error{}},
+		servers: map[string]*relay.Server{}, relayErrs: map[string]error{}, unresponsive: map[string]bool{}, batches: map[string][]int{},
 	}
 	for _, name := range relays {
 		r.servers[name] = r.newServer()
@@ -81,18 +81,18 @@
 	return r
 }
 
-func (r *rig) newServer() *relay.Server {
+func (r *fixture) newServer() *relay.Server {
 	return relay.ServerConfig{Orders: r.relayed, Clock: tw.SystemClock{}, Log: zap.NewNop(), Metrics: metrics.NewSet()}.New()
 }
 
-func (r *rig) orders() *relay.Orders {
+func (r *fixture) orders() *relay.Orders {
 	return relay.Config{
 		Direct: r.direct, Relays: r, Clock: tw.SystemClock{}, Log: zap.NewNop(), Metrics: metrics.NewSet(), LinkBandwidth: link,
 	}.New()
 }
 
 // Candidates implements tw.Relays.
-func (r *rig) Candidates(tw.HallID) []string {
+func (r *fixture) Candidates(tw.HallID) []string {
 	var out []string
 	for n := range len(r.servers) {
 		out = append(out, fmt.Sprintf("r%d", n))
@@ -101,14 +101,14 @@
 }
 
 // Start implements tw.Relays.
-func (r *rig) Start(ctx context.Context, address string, batch []tw.RelayedStart, answer func(tw.RelayedAnswer)) error {
+func (r *fixture) Start(ctx context.Context, address string, batch []tw.RelayedStart, answer func(tw.RelayedAnswer)) error {
 	r.mu.Lock()
 	r.batches[address] = append(r.batches[address], len(batch))
 	r.mu.Unlock()
-	if err := r.fails[address]; err != nil {
+	if err := r.relayErrs[address]; err != nil {
 		return err
 	}
-	if r.silent[address] {
+	if r.unresponsive[address] {
 		<-ctx.Done()
 		return tw.ErrAmbiguous
 	}
@@ -116,15 +116,15 @@
 	return nil
 }
 
-// sizes are those of the batches to a relay.
-func (r *rig) sizes(address string) []int {
+// batchSizes returns the sizes of the batches sent to a relay.
+func (r *fixture) batchSizes(address string) []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.batches[address])
 }
 
-// give gives an order to each of some workers at once, and returns the errors.
-func (r *rig) give(o *relay.Orders, count int, submission string) []error {
+// startAll sends an order to each of count workers concurrently and returns the errors.
+func (r *fixture) startAll(o *relay.Orders, count int, submission string) []error {
 	errs := make([]error, count)
 	var wg sync.WaitGroup
 	for n := range count {
@@ -144,27 +144,27 @@
 	return errs
 }
 
-// shorten makes the daemon find that it is short.
-func (r *rig) shorten(o *relay.Orders) {
+// saturate sends orders until the daemon detects that its link is saturated.
+func (r *fixture) saturate(o *relay.Orders) {
 	for range 4 {
-		r.give(o, 20, "first")
+		r.startAll(o, 20, "first")
 	}
 	r.Expect(r.relayed.starts()).To(BeNumerically(">", 0))
 }
 
-// play runs a test in a bubble, with orders that are closed at its end.
-func play(t *testing.T, do func(r *rig, o *relay.Orders), relays ...string) {
+// runTest runs a test in a synctest bubble and closes its Orders at the end.
+func runTest(t *testing.T, do func(r *fixture, o *relay.Orders), relays ...string) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, relays...)
+		r := newFixture(t, relays...)
 		o := r.orders()
 		defer o.Close()
 		do(r, o)
 	})
 }
 
-// While the daemon sends as soon as workers answer, nothing is relayed, nor where it sends
-// little and the workers are slow.
-func TestNothingIsRelayedWithoutNeed(t *testing.T) {
+// TestNoRelayWithoutSaturation checks that nothing is relayed while workers answer quickly, nor
+// at a low start rate with slow workers.
+func TestNoRelayWithoutSaturation(t *testing.T) {
 	for name, c := range map[string]struct {
 		takes time.Duration
 		pause time.Duration
@@ -173,10 +173,10 @@
 		"few orders":   {takes: slow, pause: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(r *rig, o *relay.Orders) {
-				r.direct.takes = c.takes
+			runTest(t, func(r *fixture, o *relay.Orders) {
+				r.direct.latency = c.takes
 				for range 30 {
-					r.Expect(r.give(o, 3, "s")).To(HaveEach(BeNil()))
+					r.Expect(r.startAll(o, 3, "s")).To(HaveEach(BeNil()))
 					time.Sleep(c.pause)
 				}
 				r.Expect(r.relayed.starts()).To(BeZero())
@@ -185,61 +185,62 @@
 	}
 }
 
-// A daemon that is short relays in batches, over as few relays as are enough, and no more
-// once it is not asked for much. The relays add the specs that they know.
-func TestShortDaemonRelays(t *testing.T) {
-	play(t, func(r *rig, o *relay.Orders) {
-		r.shorten(o)
-		before := len(r.sizes("r0"))
-		r.Expect(r.give(o, 20, "second")).To(HaveEach(BeNil()))
-		r.Expect(r.sizes("r0")[before:]).To(HaveLen(1))
-		r.Expect(r.sizes("r2")).NotTo(BeEmpty())
-		r.Expect(r.sizes("r3")).To(BeEmpty())
+// TestRelayOverSaturatedLink checks that a daemon with a saturated link relays in batches through
+// as few relays as are enough, and stops relaying at a low start rate. Relays fill in the specs
+// that they know.
+func TestRelayOverSaturatedLink(t *testing.T) {
+	runTest(t, func(r *fixture, o *relay.Orders) {
+		r.saturate(o)
+		before := len(r.batchSizes("r0"))
+		r.Expect(r.startAll(o, 20, "second")).To(HaveEach(BeNil()))
+		r.Expect(r.batchSizes("r0")[before:]).To(HaveLen(1))
+		r.Expect(r.batchSizes("r2")).NotTo(BeEmpty())
+		r.Expect(r.batchSizes("r3")).To(BeEmpty())
 		r.Expect(r.relayed.specs).To(HaveEach(Or(Equal("spec of first"), Equal("spec of second"))))
 		time.Sleep(2 * time.Second)
 		relayed := r.relayed.starts()
-		r.give(o, 1, "third")
+		r.startAll(o, 1, "third")
 		r.Expect(r.relayed.starts()).To(Equal(relayed))
 	}, "r0", "r1", "r2", "r3")
 }
 
-// A relay that has started anew asks for the specs that it was sent before.
-func TestRelayThatForgotSpecs(t *testing.T) {
-	play(t, func(r *rig, o *relay.Orders) {
-		r.shorten(o)
+// TestRestartedRelay checks that a restarted relay gets the specs that it was sent before.
+func TestRestartedRelay(t *testing.T) {
+	runTest(t, func(r *fixture, o *relay.Orders) {
+		r.saturate(o)
 		r.servers["r0"] = r.newServer()
-		r.Expect(r.give(o, 10, "first")).To(HaveEach(BeNil()))
+		r.Expect(r.startAll(o, 10, "first")).To(HaveEach(BeNil()))
 		r.Expect(r.relayed.specs).To(HaveEach("spec of first"))
 	}, "r0")
 }
 
-// What becomes of orders whose relay fails, or whose worker does.
-func TestRelayedOrdersThatFail(t *testing.T) {
+// TestFailedRelayedOrders checks the outcome of orders whose relay or worker fails.
+func TestFailedRelayedOrders(t *testing.T) {
 	refused := &tw.OrderRefusedError{Reason: tw.RefusedNoCapacity}
 	for name, c := range map[string]struct {
-		fail   error // of the calls to the relay
+		fail   error // of calls to the relay
 		silent bool
-		worker error // of the relay's orders
-		want   error // nil if the order is done in the end
-		direct bool  // it is given directly then
+		worker error // of orders from the relay to workers
+		want   error // nil if the order succeeds in the end
+		direct bool  // whether the order is then sent directly
 	}{
-		"a relay that is gone":                {fail: tw.ErrNotListening, direct: true},
-		"a relay that can't be reached":       {fail: tw.ErrUnavailable, direct: true},
-		"a relay whose answer is lost":        {fail: tw.ErrAmbiguous, want: tw.ErrAmbiguous},
-		"a silent relay":                      {silent: true, want: tw.ErrAmbiguous},
-		"a worker that refuses":               {worker: refused, want: refused},
-		"a worker that does not answer":       {worker: tw.ErrAmbiguous, want: tw.ErrAmbiguous},
-		"a worker that the relay can't reach": {worker: tw.ErrUnavailable, direct: true},
+		"relay has ended":                     {fail: tw.ErrNotListening, direct: true},
+		"relay is unreachable":                {fail: tw.ErrUnavailable, direct: true},
+		"answer of the relay is lost":         {fail: tw.ErrAmbiguous, want: tw.ErrAmbiguous},
+		"relay does not answer":               {silent: true, want: tw.ErrAmbiguous},
+		"worker refuses":                      {worker: refused, want: refused},
+		"worker does not answer":              {worker: tw.ErrAmbiguous, want: tw.ErrAmbiguous},
+		"worker is unreachable for the relay": {worker: tw.ErrUnavailable, direct: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(r *rig, o *relay.Orders) {
-				r.shorten(o)
-				r.fails["r0"], r.silent["r0"] = c.fail, c.silent
+			runTest(t, func(r *fixture, o *relay.Orders) {
+				r.saturate(o)
+				r.relayErrs["r0"], r.unresponsive["r0"] = c.fail, c.silent
 				for n := range 10 {
 					r.relayed.errs[tw.WorkerID(fmt.Sprintf("w%d", n))] = c.worker
 				}
 				direct := r.direct.starts()
-				errs := r.give(o, 10, "first")
+				errs := r.startAll(o, 10, "first")
 				count := 0
 				for _, err := range errs {
 					if c.want == nil {
@@ -252,31 +253,33 @@
 				if c.direct {
 					r.Expect(r.direct.starts() - direct).To(Equal(10))
 				} else {
-					r.Expect(count).To(BeNumerically(">=", 9)) // one may go directly in any case
+					r.Expect(count).To(BeNumerically(">=", 9)) // one may be sent directly in any case
 				}
 			}, "r0")
 		})
 	}
 }
 
-// A relay that did not answer is avoided for a while.
-func TestSilentRelayIsAvoided(t *testing.T) {
-	play(t, func(r *rig, o *relay.Orders) {
-		r.shorten(o)
-		r.silent["r0"] = true
-		r.give(o, 10, "first")
-		time.Sleep(limit) // the relay is waited for a little longer than its orders
-		before := len(r.sizes("r0"))
-		r.Expect(r.give(o, 10, "first")).To(HaveEach(BeNil()))
-		r.Expect(r.sizes("r0")).To(HaveLen(before))
-		r.Expect(r.sizes("r1")).NotTo(BeEmpty())
+// TestUnresponsiveRelayIsAvoided checks that a relay that did not answer gets no orders for a
+// while.
+func TestUnresponsiveRelayIsAvoided(t *testing.T) {
+	runTest(t, func(r *fixture, o *relay.Orders) {
+		r.saturate(o)
+		r.unresponsive["r0"] = true
+		r.startAll(o, 10, "first")
+		time.Sleep(limit) // the call to the relay times out a little later than its orders
+		before := len(r.batchSizes("r0"))
+		r.Expect(r.startAll(o, 10, "first")).To(HaveEach(BeNil()))
+		r.Expect(r.batchSizes("r0")).To(HaveLen(before))
+		r.Expect(r.batchSizes("r1")).NotTo(BeEmpty())
 	}, "r0", "r1")
 }
 
-// An order that its caller has given up before the batch is sent is not given.
-func TestGivenUpOrdersAreNotRelayed(t *testing.T) {
-	play(t, func(r *rig, o *relay.Orders) {
-		r.shorten(o)
+// TestCancelledOrdersAreNotRelayed checks that an order is not sent if its context is cancelled
+// before the batch is sent.
+func TestCancelledOrdersAreNotRelayed(t *testing.T) {
+	runTest(t, func(r *fixture, o *relay.Orders) {
+		r.saturate(o)
 		before := r.relayed.starts()
 		var wg sync.WaitGroup
 		for n := range 5 {
--- a/relay/server.go
+++ b/relay/server.go
@@ -16,14 +16,15 @@
 type (
 	// ServerConfig configures a Server.
 	ServerConfig struct {
-		// Orders gives the orders; it must not be an Orders, or they could go round.
+		// Orders sends the orders. It must not be an Orders, or orders could loop between
+		// relays.
 		Orders  tw.WorkerOrders
 		Clock   tw.Clock
 		Log     *zap.Logger
 		Metrics *metrics.Set
 	}
 
-	// Server gives orders to start for owners at other daemons.
+	// Server sends start orders on behalf of owners at other daemons.
 	Server struct {
 		config    ServerConfig
 		inFlight  atomic.Int64
@@ -35,21 +36,21 @@
 )
 
 const (
-	// maxServerInFlight bounds the orders that a relay has not had an answer to.
+	// maxServerInFlight limits the orders that a relay has in flight.
 	maxServerInFlight = 128
-	// maxOrderTime bounds an order whatever limit it came with.
+	// maxOrderTime limits the time of any order.
 	maxOrderTime = 2 * time.Second
 )
 
-// New makes a server.
+// New returns a Server.
 func (c ServerConfig) New() *Server {
 	return &Server{config: c, specs: newSpecCache(), forwarded: c.Metrics.GetOrCreateCounter("tamarind_starts_given_for_others_total")}
 }
 
-// Start gives the orders of a batch side by side, hands over each answer as it comes, and
-// returns after the last.
+// Start sends the orders of a batch concurrently. It passes on each answer as it arrives and
+// returns after the last one.
 func (s *Server) Start(ctx context.Context, batch []tw.RelayedStart, answer func(tw.RelayedAnswer)) {
-	began := s.config.Clock.Now()
+	startedAt := s.config.Clock.Now()
 	answers := make(chan tw.RelayedAnswer, len(batch))
 	for n, start := range batch {
 		if err := s.admit(&start); err != nil {
@@ -70,10 +71,10 @@
 		answer(a)
 	}
 	s.config.Log.Info("relay: orders given", zap.Int("orders", len(batch)), zap.Int("answered", count),
-		zap.Duration("took", s.config.Clock.Now().Sub(began)))
+		zap.Duration("took", s.config.Clock.Now().Sub(startedAt)))
 }
 
-// admit completes an order and counts it as open, or says why it is not given.
+// admit fills in the spec of an order and counts it as in flight, or returns why it is rejected.
 func (s *Server) admit(start *tw.RelayedStart) error {
 	if err := s.fillSpec(start); err != nil {
 		return err
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// fillSpec adds the spec that an order was sent without, and keeps one that came with it.
+// fillSpec fills in the spec of an order that came without one, and stores the spec of any other
+// order.
 func (s *Server) fillSpec(start *tw.RelayedStart) error {
 	id := start.Order.Subtask.Submission
 	s.mu.Lock()
--- a/relay/specs.go
+++ b/relay/specs.go
@@ -2,13 +2,13 @@
 
 import tw "github.com/tamarindworks/tamarindworks"
 
-// specCache holds the specCache of the latest submissions, the oldest of which makes room.
+// specCache caches the specs of submissions. It evicts the oldest entry when it is full.
 type specCache struct {
 	texts map[tw.SubmissionID]string
 	order []tw.SubmissionID
 }
 
-// maxSpecs bounds how many specs a relay keeps. A spec has 4,000 bytes at most.
+// maxSpecs limits the number of specs in the cache. A spec has at most 4,000 bytes.
 const maxSpecs = 1000
 
 func newSpecCache() *specCache { return &specCache{texts: map[tw.SubmissionID]string{}} }
@@ -30,7 +30,7 @@
 	s.order = append(s.order, id)
 }
 
-// remove makes no room, as the submission is soon added again.
+// remove removes a text but keeps its place in the order, as the submission is soon added again.
 func (s *specCache) remove(id tw.SubmissionID) { delete(s.texts, id) }
 
 func (s *specCache) clear() { *s = *newSpecCache() }
--- a/schedule/bench_test.go
+++ b/schedule/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/tamarindworks/tamarindworks/schedule"
 )
 
-// passCases are placement passes over steps of eight subtasks that wait, on workers
-// with room for as many of them as free says.
+// passCases are placement passes with waiting steps of eight subtasks, on workers that each
+// have room for free subtasks.
 var passCases = map[string]struct{ workers, steps, free int }{
 	"100 workers, 1000 waiting, room for all":  {workers: 100, steps: 125, free: 10},
 	"100 workers, 1000 waiting, room for none": {workers: 100, steps: 125, free: 0},
@@ -25,7 +25,7 @@
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				groups, workers := pass(c.workers, c.steps, c.free)
+				groups, workers := newPass(c.workers, c.steps, c.free)
 				b.StartTimer()
 				schedule.Place(groups, workers, nil)
 			}
@@ -33,7 +33,7 @@
 	}
 }
 
-func pass(workers, steps, free int) ([]*schedule.Group, []*schedule.Worker) {
+func newPass(workers, steps, free int) ([]*schedule.Group, []*schedule.Worker) {
 	const cpu, memory = 2000, 4000
 	var out []*schedule.Worker
 	for n := range workers {
@@ -45,7 +45,7 @@
 	}
 	var groups []*schedule.Group
 	for n := range steps {
-		// Needs differ, as they do from caller to caller.
+		// Needs differ, as submissions of different callers do.
 		step := &tw.Step{Count: 8, Need: tw.Resources{CPU: cpu - tw.Millicores(n%7)*50, MemoryMB: memory + int64(n%11)*100}}
 		g := &schedule.Group{Step: step, Urgency: schedule.Urgency{
 			Grade: schedule.GradeOnTime, Deadline: time.Unix(int64(n*7919%steps), 0),
--- a/schedule/budget.go
+++ b/schedule/budget.go
@@ -7,54 +7,58 @@
 )
 
 type (
-	// Budget is what of an organisation may still be started.
+	// Budget limits how much more work of an organisation may be started.
 	Budget struct {
-		// Remaining is what its cap leaves. A resource without a limit is Unlimited.
+		// Remaining is the unused part of the cap. A resource without a limit is Unlimited.
 		Remaining tw.Resources
-		// MaxCharge is what a claim counts for at the most. Work that is larger than a pool's
-		// part of the cap can ever be runs alone: the platform lets a cap be exceeded by
-		// one subtask.
+		// MaxCharge is the most that a single reservation is charged. It lets a subtask run alone
+		// that is larger than any share of the cap that a pool can have: the platform lets
+		// one subtask exceed a cap.
 		MaxCharge tw.Resources
-		// Cap is the organisation's whole cap.
+		// Cap is the organisation's cap over all pools.
 		Cap tw.Resources
-		// Withheld is what waited for the cap alone, or would have found room.
+		// Withheld is the total charge of the subtasks that the cap kept from being
+		// placed.
 		Withheld tw.Resources
-		// MinWithheld is what the least of it counts for: a subtask, or a gang.
+		// MinWithheld is the smallest charge among the withheld work: of one subtask, or
+		// of a whole gang.
 		MinWithheld tw.Resources
 	}
 
-	// Budgets are those of the organisations that have a cap.
+	// Budgets holds the budget of each organisation that has a cap.
 	Budgets map[tw.OrganisationID]*Budget
 )
 
-// Unlimited stands for a resource without a limit; sums of many stay in range.
+// Unlimited stands for a resource without a limit. It is far below the maximum so that
+// sums do not overflow.
 const Unlimited = math.MaxInt64 / 1024
 
-// Charge is what a claim counts for against the budget.
-func (b *Budget) Charge(claim tw.Resources) tw.Resources {
+// Charge returns what a reservation is charged against the budget.
+func (b *Budget) Charge(reservation tw.Resources) tw.Resources {
 	return tw.Resources{
-		CPU: min(claim.CPU, b.MaxCharge.CPU), MemoryMB: min(claim.MemoryMB, b.MaxCharge.MemoryMB), GPU: min(claim.GPU, b.MaxCharge.GPU),
+		CPU: min(reservation.CPU, b.MaxCharge.CPU), MemoryMB: min(reservation.MemoryMB, b.MaxCharge.MemoryMB), GPU: min(reservation.GPU, b.MaxCharge.GPU),
 	}
 }
 
-// allowsGang tells whether the budget leaves room for all of a gang. One that the whole cap
-// has room for, but no pool's part of it, counts as the largest that it can.
-func (b *Budget) allowsGang(claim tw.Resources, n int) bool {
-	whole := claim.Times(n)
+// allowsGang reports whether the budget has room for all n members of a gang. A gang that
+// fits into the whole cap but not into a pool's share of it is charged the maximum for a
+// single reservation.
+func (b *Budget) allowsGang(reservation tw.Resources, n int) bool {
+	whole := reservation.Times(n)
 	return b.Cap.Fits(whole) && b.Remaining.Fits(b.Charge(whole))
 }
 
-// maxClaims is how many claims the budget leaves room for, at most n.
-func (b *Budget) maxClaims(claim tw.Resources, n int) int {
-	counts := b.Charge(claim)
-	for n > 0 && !b.Remaining.Fits(counts.Times(n)) {
+// maxFitting returns how many of n equal reservations fit into the budget.
+func (b *Budget) maxFitting(reservation tw.Resources, n int) int {
+	charge := b.Charge(reservation)
+	for n > 0 && !b.Remaining.Fits(charge.Times(n)) {
 		n--
 	}
 	return n
 }
 
-// admit is the part of a group that its organisation's cap leaves room for; nil if it is
-// nothing. The rest is counted in the group as Withheld.
+// admit returns the part of a group that fits into its organisation's budget, or nil if
+// nothing fits. It sets g.Withheld to the number of remaining subtasks.
 func (b Budgets) admit(g *Group) *Group {
 	budget := b[g.Organisation]
 	if budget == nil {
@@ -64,7 +68,7 @@
 	n := 0
 	switch {
 	case !g.Step.Gang:
-		n = budget.maxClaims(g.Step.Need, waiting)
+		n = budget.maxFitting(g.Step.Need, waiting)
 	case budget.allowsGang(g.Step.Need, waiting):
 		n = waiting
 	}
@@ -81,7 +85,7 @@
 	return &admitted
 }
 
-// addWithheld notes the work of a group that the budget leaves no room for.
+// addWithheld adds the withheld subtasks of a group to the budget's totals.
 func (b *Budget) addWithheld(g *Group) {
 	if g.Withheld == 0 {
 		return
@@ -96,7 +100,7 @@
 	}
 }
 
-// spend takes placed subtasks of a group out of its organisation's budget.
+// spend charges placed subtasks of a group to its organisation's budget.
 func (b Budgets) spend(g *Group, placed int) {
 	if budget := b[g.Organisation]; budget != nil {
 		budget.Remaining = budget.Remaining.Minus(budget.Charge(g.Step.Need).Times(placed))
--- a/schedule/budget_test.go
+++ b/schedule/budget_test.go
@@ -11,15 +11,15 @@
 	"github.com/tamarindworks/tamarindworks/schedule"
 )
 
-// capped is a budget of so many cores out of a cap.
-func capped(left, limit tw.Millicores) *schedule.Budget {
+// newBudget returns a budget with left of limit remaining, in millicores.
+func newBudget(left, limit tw.Millicores) *schedule.Budget {
 	whole := tw.Resources{CPU: limit, MemoryMB: schedule.Unlimited, GPU: schedule.Unlimited}
 	b := &schedule.Budget{Remaining: whole, MaxCharge: whole, Cap: whole}
 	b.Remaining.CPU = left
 	return b
 }
 
-func waitingOf(organisation tw.OrganisationID, name string, count int, cpu tw.Millicores) *schedule.Group {
+func waitingGroup(organisation tw.OrganisationID, name string, count int, cpu tw.Millicores) *schedule.Group {
 	g := &schedule.Group{Organisation: organisation, Step: &tw.Step{Count: count, Need: tw.Resources{CPU: cpu, MemoryMB: 10}}}
 	for n := range count {
 		g.Subtasks = append(g.Subtasks, tw.SubtaskID{Submission: tw.SubmissionID(name), Index: n})
@@ -27,7 +27,7 @@
 	return g
 }
 
-func roomFor(workers int, cpu tw.Millicores) []*schedule.Worker {
+func freeWorkers(workers int, cpu tw.Millicores) []*schedule.Worker {
 	var out []*schedule.Worker
 	for n := range workers {
 		room := tw.Resources{CPU: cpu, MemoryMB: 1000}
@@ -36,25 +36,25 @@
 	return out
 }
 
-// budgetCases are groups of red under a budget on two workers of four cores, and how many
-// of their subtasks are placed and withheld.
+// budgetCases are groups placed on two workers of four cores while organisation red has a
+// budget, with the number of subtasks that are placed and withheld.
 var budgetCases = map[string]struct {
 	budget           *schedule.Budget
 	group            *schedule.Group
 	gang             bool
 	placed, withheld int
 }{
-	"no cap":                               {group: waitingOf("red", "s", 10, 1000), placed: 8},
-	"another's cap":                        {budget: capped(1000, 1000), group: waitingOf("blue", "s", 10, 1000), placed: 8},
-	"nobody's work":                        {budget: capped(1000, 1000), group: waitingOf("", "s", 10, 1000), placed: 8},
-	"a part fits":                          {budget: capped(2500, 4000), group: waitingOf("red", "s", 10, 1000), placed: 2, withheld: 8},
-	"all fits":                             {budget: capped(9000, 9000), group: waitingOf("red", "s", 4, 1000), placed: 4},
-	"nothing is left":                      {budget: capped(-500, 4000), group: waitingOf("red", "s", 4, 1000), withheld: 4},
-	"a subtask larger than the cap":        {budget: capped(1000, 1000), group: waitingOf("red", "s", 2, 3000), placed: 1, withheld: 1},
-	"a larger one while something runs":    {budget: capped(900, 1000), group: waitingOf("red", "s", 2, 3000), withheld: 2},
-	"a gang that fits":                     {budget: capped(4000, 4000), group: waitingOf("red", "s", 4, 1000), gang: true, placed: 4},
-	"a gang of which a part would fit":     {budget: capped(3000, 4000), group: waitingOf("red", "s", 4, 1000), gang: true, withheld: 4},
-	"a gang that the whole cap can't hold": {budget: capped(3000, 3000), group: waitingOf("red", "s", 4, 1000), gang: true, withheld: 4},
+	"no cap":                               {group: waitingGroup("red", "s", 10, 1000), placed: 8},
+	"cap of another organisation":          {budget: newBudget(1000, 1000), group: waitingGroup("blue", "s", 10, 1000), placed: 8},
+	"work without an organisation":         {budget: newBudget(1000, 1000), group: waitingGroup("", "s", 10, 1000), placed: 8},
+	"a part fits":                          {budget: newBudget(2500, 4000), group: waitingGroup("red", "s", 10, 1000), placed: 2, withheld: 8},
+	"all fits":                             {budget: newBudget(9000, 9000), group: waitingGroup("red", "s", 4, 1000), placed: 4},
+	"nothing is left":                      {budget: newBudget(-500, 4000), group: waitingGroup("red", "s", 4, 1000), withheld: 4},
+	"a subtask larger than the cap":        {budget: newBudget(1000, 1000), group: waitingGroup("red", "s", 2, 3000), placed: 1, withheld: 1},
+	"a larger subtask while another runs":  {budget: newBudget(900, 1000), group: waitingGroup("red", "s", 2, 3000), withheld: 2},
+	"a gang that fits":                     {budget: newBudget(4000, 4000), group: waitingGroup("red", "s", 4, 1000), gang: true, placed: 4},
+	"a gang of which a part would fit":     {budget: newBudget(3000, 4000), group: waitingGroup("red", "s", 4, 1000), gang: true, withheld: 4},
+	"a gang that the whole cap can't hold": {budget: newBudget(3000, 3000), group: waitingGroup("red", "s", 4, 1000), gang: true, withheld: 4},
 }
 
 func TestBudgets(t *testing.T) {
@@ -66,7 +66,7 @@
 			if c.budget != nil {
 				budgets["red"] = c.budget
 			}
-			placed := schedule.Place([]*schedule.Group{c.group}, roomFor(2, 4000), budgets)
+			placed := schedule.Place([]*schedule.Group{c.group}, freeWorkers(2, 4000), budgets)
 			g.Expect(placed).To(HaveLen(c.placed))
 			g.Expect(c.group.Withheld).To(Equal(c.withheld))
 			if c.budget != nil {
@@ -76,13 +76,13 @@
 	}
 }
 
-// The more urgent work of an organisation uses its budget first, and one organisation's cap
-// leaves the room to the others.
-func TestBudgetGoesToTheUrgent(t *testing.T) {
+// TestBudgetPrefersUrgentWork checks that the most urgent work of an organisation is charged
+// to its budget first, and that other organisations can use the room that a cap leaves.
+func TestBudgetPrefersUrgentWork(t *testing.T) {
 	g := NewWithT(t)
-	calm, urgent, other := waitingOf("red", "calm", 4, 1000), waitingOf("red", "urgent", 2, 1000), waitingOf("blue", "other", 8, 1000)
+	calm, urgent, other := waitingGroup("red", "calm", 4, 1000), waitingGroup("red", "urgent", 2, 1000), waitingGroup("blue", "other", 8, 1000)
 	calm.Urgency.Priority, urgent.Urgency.Priority, other.Urgency.Priority = 1, 0, 2
-	placed := schedule.Place([]*schedule.Group{calm, urgent, other}, roomFor(2, 4000), schedule.Budgets{"red": capped(3000, 3000)})
+	placed := schedule.Place([]*schedule.Group{calm, urgent, other}, freeWorkers(2, 4000), schedule.Budgets{"red": newBudget(3000, 3000)})
 	count := map[tw.SubmissionID]int{}
 	for _, p := range placed {
 		count[p.Subtask.Submission]++
@@ -90,21 +90,20 @@
 	g.Expect(count).To(Equal(map[tw.SubmissionID]int{"urgent": 2, "calm": 1, "other": 5}))
 }
 
-// Whatever waits, no organisation gets more than its budget, but for one subtask that is
-// larger than its cap.
-func TestBudgetsHold(t *testing.T) {
+// TestBudgetIsNotExceeded checks with random groups that placed work stays within the budget.
+func TestBudgetIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		left := tw.Millicores(rapid.IntRange(-500, 6000).Draw(t, "left"))
-		budgets := schedule.Budgets{"red": capped(left, 6000)}
+		budgets := schedule.Budgets{"red": newBudget(left, 6000)}
 		var groups []*schedule.Group
 		for n := range rapid.IntRange(1, 6).Draw(t, "groups") {
 			cpu := tw.Millicores(rapid.IntRange(1, 6000).Draw(t, "cpu"))
-			group := waitingOf("red", fmt.Sprint(n), rapid.IntRange(1, 9).Draw(t, "count"), cpu)
+			group := waitingGroup("red", fmt.Sprint(n), rapid.IntRange(1, 9).Draw(t, "count"), cpu)
 			group.Step.Gang = rapid.Bool().Draw(t, "gang")
 			groups = append(groups, group)
 		}
 		var used tw.Millicores
-		for _, p := range schedule.Place(groups, roomFor(4, 4000), budgets) {
+		for _, p := range schedule.Place(groups, freeWorkers(4, 4000), budgets) {
 			for _, g := range groups {
 				if g.Subtasks[0].Submission == p.Subtask.Submission {
 					used += g.Step.Need.CPU
--- a/schedule/doc.go
+++ b/schedule/doc.go
@@ -1,4 +1,4 @@
-// Package schedule decides on which worker each waiting subtask runs. It is
-// pure: no input or output, no clock, no randomness, so that a decision can
-// be repeated from its inputs.
+// Package schedule assigns waiting subtasks to workers and selects runs to
+// preempt. It does no I/O and uses neither a clock nor randomness, so a decision
+// can be reproduced from its inputs.
 package schedule
--- a/schedule/group.go
+++ b/schedule/group.go
@@ -7,30 +7,30 @@
 )
 
 type (
-	// Group is the subtasks of one step that wait for a worker.
+	// Group holds the waiting subtasks of one step.
 	Group struct {
 		Step     *tw.Step
 		Subtasks []tw.SubtaskID
 		Urgency  Urgency
-		// Organisation is whose work it is; its cap bounds what is placed.
+		// Organisation owns the work; its cap limits what is placed.
 		Organisation tw.OrganisationID
-		// Withheld is how many of the subtasks the last Place has left out because of
+		// Withheld is the number of subtasks that the last Place left out because of
 		// that cap.
 		Withheld int
-		// OnWorker counts the step's subtasks that are on a worker already. It
-		// is kept only if the step bounds them.
+		// OnWorker counts the step's subtasks on each worker. It is maintained only
+		// if the step has a limit per worker.
 		OnWorker map[tw.WorkerID]int
-		// Avoid are workers that must not be used, by subtask index: for
-		// example those on which a copy runs.
+		// Avoid holds the workers that must not be used, by subtask index: for
+		// example those that run a copy.
 		Avoid map[int]map[tw.WorkerID]bool
-		// Allowed are the workers that may run the step; nil allows all.
+		// Allowed holds the workers that may run the step; nil allows all.
 		Allowed map[tw.WorkerID]bool
 	}
 
-	// Grade sorts groups by what is at stake.
+	// Grade is the urgency class of a group.
 	Grade int
 
-	// Urgency orders groups: by grade, by priority, by deadline.
+	// Urgency orders groups by grade, then priority, then deadline.
 	Urgency struct {
 		Grade    Grade
 		Priority int
@@ -38,30 +38,31 @@
 	}
 )
 
-// Grades, the most urgent first.
+// Grades, most urgent first.
 const (
-	// GradeLongRunning is work that counts for every second that it runs.
+	// GradeLongRunning is long-running work, valued for every second that it runs.
 	GradeLongRunning Grade = iota
-	// GradeOnTime can still end within its objective.
+	// GradeOnTime is work that can still end within its objective.
 	GradeOnTime
-	// GradeLate can still end within three times its objective.
+	// GradeLate is work that can still end within LateFactor times its objective.
 	GradeLate
-	// GradeOverdue ends too late to count; it is done when nothing else waits.
+	// GradeOverdue is work that ends too late to have value. It is placed after
+	// everything except fillers.
 	GradeOverdue
-	// GradeFiller takes what is left.
+	// GradeFiller is work that uses leftover capacity.
 	GradeFiller
 )
 
-// LateFactor times the objective is when late work stops counting; it is the
-// platform's figure.
+// LateFactor times the objective is the time after which the platform gives late
+// work no value.
 const LateFactor = 3
 
-// sizeWeight is the weight of the size of work against its deadline. With 0.4 and with
-// size alone about as much ends in time; with size alone the largest tenth suffers.
+// sizeWeight weighs the size of work against its deadline. With 0.4, or ordering by size
+// alone, about as much work ends in time, but size alone delays the largest tenth.
 const sizeWeight = 1.25
 
-// UrgencyOf grades work that was handed in at start with an objective and has
-// remaining run time ahead of it.
+// UrgencyOf returns the urgency of work that was submitted at start with the given
+// objective and remaining run time.
 func UrgencyOf(now, start time.Time, objective, remaining time.Duration, priority int) Urgency {
 	end := now.Add(remaining)
 	deadline := start.Add(objective)
@@ -75,18 +76,17 @@
 	return Urgency{Grade: GradeOverdue, Priority: priority, Deadline: latest}
 }
 
-// WithSizePenalty lets small work go first among what has the same grade and priority: its
-// deadline counts as later by the share that its work is of the usual work, times the
-// usual objective. Where there is more work than room, more of it so ends in time:
-// 0.552 instead of 0.506 at 1.5 times the load that fills the machines in turns, 0.410
-// instead of 0.357 at twice it, 0.859 instead of 0.848 at that load itself (12 seeds
-// of the simulated pools of experiment schedule, subtasks of 0.64 s).
+// WithSizePenalty moves the deadline back in proportion to the size of the work, so that small
+// work goes first within a grade and priority. share is the size relative to usual work,
+// objective is the usual objective. Of the work, 0.859 instead of 0.848 then ends in time
+// when the load just fills the machines, 0.552 instead of 0.506 at 1.5 times that load, and
+// 0.410 instead of 0.357 at twice the load.
 func (u Urgency) WithSizePenalty(share float64, objective time.Duration) Urgency {
 	u.Deadline = u.Deadline.Add(time.Duration(sizeWeight * share * float64(objective)))
 	return u
 }
 
-// Before tells whether u goes before other.
+// Before reports whether u is more urgent than other.
 func (u Urgency) Before(other Urgency) bool {
 	if u.Grade != other.Grade {
 		return u.Grade < other.Grade
@@ -97,8 +97,8 @@
 	return u.Deadline.Before(other.Deadline)
 }
 
-// CountWorkers tells how many workers have room for a subtask, and how many have as
-// many of the step as they may.
+// CountWorkers returns the number of workers that have room for a subtask of the group and the
+// number of those that have reached the step's limit per worker.
 func (g *Group) CountWorkers(workers []*Worker) (fits, full int) {
 	for _, w := range workers {
 		if w.Free.Fits(g.Step.Reservation()) && w.HasLabel(g.Step.Label) {
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -8,50 +8,50 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// Place puts waiting subtasks on workers: the most urgent group first, and of
-// a group as many as fit, but a gang as a whole or not at all. No organisation gets more
-// than its budget, which the more urgent work of it uses first.
+// Place assigns waiting subtasks to workers, the most urgent group first. It places as many
+// subtasks of a group as fit, but a gang only as a whole. No organisation exceeds its budget;
+// its most urgent work is charged first.
 func Place(groups []*Group, workers []*Worker, budgets Budgets) []Placement {
 	out, _ := PlaceUpTo(groups, workers, budgets, math.MaxInt)
 	return out
 }
 
-// PlaceUpTo places at most a number of subtasks, but for a gang, which is placed as a whole
-// if any may be. held tells whether that number alone kept work from being tried.
-func PlaceUpTo(groups []*Group, workers []*Worker, budgets Budgets, most int) (out []Placement, held bool) {
+// PlaceUpTo is like Place but stops after limit subtasks. A gang that starts below the limit
+// is still placed as a whole. limited reports whether the limit alone kept work from being tried.
+func PlaceUpTo(groups []*Group, workers []*Worker, budgets Budgets, limit int) (out []Placement, limited bool) {
 	slices.SortStableFunc(groups, CompareUrgency)
 	workers = slices.Clone(workers)
 	slices.SortFunc(workers, compareTopology)
-	var full unplaceable
+	var rejected unplaceable
 	for _, g := range groups {
-		if full.includes(g) {
+		if rejected.includes(g) {
 			continue
 		}
 		admitted := budgets.admit(g)
 		if admitted == nil {
 			continue
 		}
-		if len(out) >= most {
+		if len(out) >= limit {
 			return out, len(admitted.candidates(workers)) > 0
 		}
-		admitted, cut := admitted.truncate(most - len(out))
+		admitted, cut := admitted.truncate(limit - len(out))
 		placed := admitted.place(workers)
-		held = held || cut && len(placed) == len(admitted.Subtasks)
+		limited = limited || cut && len(placed) == len(admitted.Subtasks)
 		budgets.spend(g, len(placed))
 		out = append(out, placed...)
 		missing := len(admitted.Subtasks) - len(placed)
 		if missing > 0 {
-			full.add(g)
+			rejected.add(g)
 		}
 		if g.Urgency.Grade == GradeLongRunning {
 			workers = g.reserve(workers, missing)
 		}
 	}
-	return out, held
+	return out, limited
 }
 
-// truncate is the group with at most n of its subtasks, and whether that leaves any out. A gang
-// stays whole.
+// truncate returns the group with at most n of its subtasks, and whether any were cut off. A
+// gang is never cut.
 func (g *Group) truncate(n int) (some *Group, cut bool) {
 	if g.Step.Gang || len(g.Subtasks) <= n {
 		return g, false
@@ -61,34 +61,33 @@
 	return &part, true
 }
 
-// unplaceable are claims for which a pass has found no worker. Room only shrinks
-// during a pass, so that steps which need at least as much need not be tried: a pass
-// over 4,000 waiting subtasks on 400 workers with room for 400 took 2.2 ms without it
-// and takes 1.1 ms (BenchmarkPass).
+// unplaceable holds reservations for which a pass found no worker. Free capacity only shrinks
+// during a pass, so steps that need at least as much are skipped. With 4,000 waiting subtasks
+// and 400 workers that have room for 400, a pass takes 1.1 ms instead of 2.2 ms (BenchmarkPass).
 type unplaceable []tw.Resources
 
-// includes tells whether a group surely finds no room. Lasting steps are tried in
-// any case, as they keep workers free.
-func (n unplaceable) includes(g *Group) bool {
+// includes reports whether a group certainly does not fit. Long-running groups are always tried,
+// because they reserve workers.
+func (u unplaceable) includes(g *Group) bool {
 	if g.Urgency.Grade == GradeLongRunning {
 		return false
 	}
-	claim := g.Step.Reservation()
-	return slices.ContainsFunc(n, func(least tw.Resources) bool { return claim.Fits(least) })
+	reservation := g.Step.Reservation()
+	return slices.ContainsFunc(u, func(least tw.Resources) bool { return reservation.Fits(least) })
 }
 
-// add takes up the claim of a group that found too little room, if nothing else
-// kept it from workers.
-func (n *unplaceable) add(g *Group) {
-	free := g.Step.Label == "" && g.Allowed == nil && g.Step.MaxPerWorker == 0 && len(g.Avoid) == 0 && !g.Step.Gang
-	if free && !n.includes(g) {
-		*n = append(*n, g.Step.Reservation())
+// add records the reservation of a group that did not fit, unless another constraint may have
+// been the cause.
+func (u *unplaceable) add(g *Group) {
+	unconstrained := g.Step.Label == "" && g.Allowed == nil && g.Step.MaxPerWorker == 0 && len(g.Avoid) == 0 && !g.Step.Gang
+	if unconstrained && !u.includes(g) {
+		*u = append(*u, g.Step.Reservation())
 	}
 }
 
-// reserve keeps workers free of less urgent work for subtasks that found no
-// room: else smaller ones take each bit of room as it appears. It returns the
-// workers that others may use, at least half of them.
+// reserve excludes workers from less urgent work for subtasks that found no room: otherwise
+// smaller subtasks take up free capacity as soon as it appears. It returns the workers that
+// the other groups may use, which are at least half of them.
 func (g *Group) reserve(workers []*Worker, missing int) []*Worker {
 	if missing == 0 {
 		return workers
@@ -109,23 +108,23 @@
 	return rest
 }
 
-// eventuallyFits tells whether the step may run on a worker once all that ends by
-// itself there has ended.
+// eventuallyFits reports whether the step may run on a worker once all runs there except
+// long-running ones have ended.
 func (g *Group) eventuallyFits(w *Worker) bool {
 	return !g.atStepLimit(w) && g.eligible(w) && w.Attainable.Fits(g.Step.Reservation())
 }
 
-// eligible tells whether the step may run on a worker, whatever runs there.
+// eligible reports whether the step may run on a worker, regardless of its current load.
 func (g *Group) eligible(w *Worker) bool {
 	return (g.Allowed == nil || g.Allowed[w.ID]) && w.HasLabel(g.Step.Label)
 }
 
-// atStepLimit tells whether a worker has as many of the step's subtasks as it may.
+// atStepLimit reports whether a worker has reached the step's limit of subtasks per worker.
 func (g *Group) atStepLimit(w *Worker) bool {
 	return g.Step.MaxPerWorker > 0 && g.OnWorker[w.ID] >= g.Step.MaxPerWorker
 }
 
-// CompareUrgency orders groups, the more urgent one first.
+// CompareUrgency orders groups by urgency, most urgent first.
 func CompareUrgency(a, b *Group) int {
 	switch {
 	case a.Urgency.Before(b.Urgency):
@@ -136,8 +135,8 @@
 	return 0
 }
 
-// compareTopology orders workers for steps that do not care on which they run: those of
-// a hall and of a rack together, so that a step is hit by the loss of few of them.
+// compareTopology orders workers by suspicion, hall, rack and rank. It keeps the workers of a
+// hall and of a rack together, so that a step depends on few halls and racks.
 func compareTopology(a, b *Worker) int {
 	return cmp.Or(
 		cmp.Compare(a.Suspicion, b.Suspicion),
@@ -147,8 +146,8 @@
 	)
 }
 
-// compareRank orders workers for steps that are dealt out over many, as their
-// parts are of use alone: in the order of the ranks, in whatever hall they are.
+// compareRank orders workers by suspicion and rank, regardless of the hall. It is used for
+// steps that are spread over many workers because each subtask is useful on its own.
 func compareRank(a, b *Worker) int {
 	return cmp.Or(cmp.Compare(a.Suspicion, b.Suspicion), cmp.Compare(a.Rank, b.Rank))
 }
@@ -172,16 +171,15 @@
 	return placed
 }
 
-// prefersOneHall tells whether the step is of use only once all of it is done, so that
-// it had better depend on one hall: a step that is spread over two is held up by
-// the loss of either. Over five days on each of which a hall is cut off, the mean
-// worth was 0.557 with it and 0.531 without (30 plays each).
+// prefersOneHall reports whether the step should be kept in one hall: it is useful only once all
+// of it is done, and a step spread over two halls is delayed by the loss of either. On days
+// on which one hall is cut off, the mean worth is 0.557 instead of 0.531.
 func (g *Group) prefersOneHall() bool {
 	return !g.Step.LongRunning && !g.hasPreference()
 }
 
-// leastSuspected are the first of sorted workers, those that are as sound as the very
-// first: none is used that is less so only to stay in a hall.
+// leastSuspected returns the leading workers of a sorted list that share the lowest suspicion
+// level. Workers with a higher level are not used just to stay within a hall.
 func leastSuspected(workers []*Worker) []*Worker {
 	for i, w := range workers {
 		if w.Suspicion > workers[0].Suspicion {
@@ -191,9 +189,8 @@
 	return workers
 }
 
-// placeInDomain puts all of the group on the workers of one domain, such as a rack:
-// the first that holds it, in the order of the candidates. It returns nil if none
-// does.
+// placeInDomain places the whole group in one failure domain, such as a rack. It uses the
+// first domain, in the order of the candidates, that has room, and returns nil if none has.
 func (g *Group) placeInDomain(candidates []*Worker, domain func(w *Worker) string) []Placement {
 	tried := map[string]bool{}
 	for _, w := range candidates {
@@ -215,8 +212,8 @@
 	return nil
 }
 
-// hasTotalRoom tells whether workers have room for the whole group, whatever else
-// keeps it from them. It spares the search where they are full.
+// hasTotalRoom reports whether the total free capacity of the workers is enough for the group.
+// It is a cheap check that avoids the search when they are full.
 func (g *Group) hasTotalRoom(workers []*Worker) bool {
 	var free tw.Resources
 	for _, w := range workers {
@@ -225,13 +222,13 @@
 	return free.Fits(g.Step.Reservation().Times(len(g.Subtasks)))
 }
 
-// candidates are the workers that may run the step, the best first. The
-// workers are in the order of compareAny.
+// candidates returns the workers that can run the step now, best first. The given workers
+// must be sorted with compareTopology.
 func (g *Group) candidates(workers []*Worker) []*Worker {
-	claim := g.Step.Reservation()
+	reservation := g.Step.Reservation()
 	out := make([]*Worker, 0, len(workers))
 	for _, w := range workers {
-		if w.Free.Fits(claim) && g.eligible(w) {
+		if w.Free.Fits(reservation) && g.eligible(w) {
 			out = append(out, w)
 		}
 	}
@@ -241,13 +238,13 @@
 	return out
 }
 
-// hasPreference tells whether the step runs better on some sound workers than on
-// others. Else the order that the workers are in will do.
+// hasPreference reports whether the step runs better on some healthy workers than on others. If
+// not, the workers need not be sorted again.
 func (g *Group) hasPreference() bool {
 	return g.Step.PreferredRack != "" || g.Step.Filler || g.Step.TailTarget > 0
 }
 
-// compare orders workers for the step.
+// compare orders workers by how well they suit the step.
 func (g *Group) compare(a, b *Worker) int {
 	return cmp.Or(
 		cmp.Compare(a.Suspicion, b.Suspicion),
@@ -257,7 +254,7 @@
 	)
 }
 
-// tieBreak orders workers that are equally good for the step.
+// tieBreak orders workers that suit the step equally well.
 func (g *Group) tieBreak(a, b *Worker) int {
 	if g.Step.LongRunning {
 		return compareRank(a, b)
@@ -265,8 +262,8 @@
 	return compareTopology(a, b)
 }
 
-// compareInterference keeps fillers away from subtasks that serve users, as they
-// lengthen the tails of these.
+// compareInterference keeps fillers and subtasks that serve users on different workers, as
+// fillers increase their tail latency.
 func (g *Group) compareInterference(a, b *Worker) int {
 	switch {
 	case g.Step.Filler:
@@ -277,13 +274,13 @@
 	return 0
 }
 
-// onOtherRack tells whether the step's data lies on another rack.
+// onOtherRack reports whether the step prefers a rack other than the worker's.
 func (g *Group) onOtherRack(w *Worker) bool {
 	return g.Step.PreferredRack != "" && g.Step.PreferredRack != w.Rack
 }
 
-// fill places subtasks one by one. Lasting ones are dealt out in turn, so
-// that the loss of a worker takes few of a step; others fill up a worker.
+// fill places subtasks one by one. Long-running subtasks are distributed round-robin, so that
+// the loss of a worker affects few of them; others are packed onto one worker after another.
 func (g *Group) fill(candidates []*Worker) []Placement {
 	var out []Placement
 	rest := g.Subtasks
@@ -302,22 +299,23 @@
 			if len(g.Avoid[rest[0].Index]) == 0 {
 				break
 			}
-			rest = rest[1:] // this one only lacks a worker that it need not avoid
+			rest = rest[1:] // only this subtask's Avoid list may have kept it from a worker
 		}
 	}
 	return out
 }
 
-// tryPlace takes the subtask's claim out of the worker, if it may run there.
+// tryPlace subtracts the subtask's reservation from the worker's free capacity and reports
+// whether the subtask may run there.
 func (g *Group) tryPlace(w *Worker, id tw.SubtaskID) bool {
-	claim := g.Step.Reservation()
-	if !w.Free.Fits(claim) || g.Avoid[id.Index][w.ID] {
+	reservation := g.Step.Reservation()
+	if !w.Free.Fits(reservation) || g.Avoid[id.Index][w.ID] {
 		return false
 	}
 	if g.atStepLimit(w) || w.AtLimit() {
 		return false
 	}
-	w.Free = w.Free.Minus(claim)
+	w.Free = w.Free.Minus(reservation)
 	g.addPlaced(w, 1)
 	return true
 }
@@ -329,7 +327,7 @@
 	}
 }
 
-// addPlaced notes that n of the step's subtasks were put on a worker.
+// addPlaced adds n to the number of the step's subtasks on a worker.
 func (g *Group) addPlaced(w *Worker, n int) {
 	w.placed += n
 	if g.Step.MaxPerWorker > 0 {
--- a/schedule/place_test.go
+++ b/schedule/place_test.go
@@ -39,7 +39,7 @@
 	return g
 }
 
-// placeCases are groups, workers and how many subtasks land on each worker.
+// placeCases are groups and workers, with the number of subtasks placed on each worker.
 var placeCases = map[string]struct {
 	groups  []*schedule.Group
 	workers []*schedule.Worker
@@ -50,7 +50,7 @@
 		workers: []*schedule.Worker{worker(1, 4000), worker(0, 4000)},
 		want:    map[tw.WorkerID]int{"w0": 4, "w1": 1},
 	},
-	"goes on to smaller steps after one that found no room": {
+	"continues with smaller steps after one that does not fit": {
 		groups: []*schedule.Group{
 			group("a", 2, func(s *tw.Step) { s.Need.CPU = 3000 }),
 			group("b", 1, func(s *tw.Step) { s.Need.CPU = 3000 }),
@@ -59,7 +59,7 @@
 		workers: []*schedule.Worker{worker(0, 4000), worker(1, 2000)},
 		want:    map[tw.WorkerID]int{"w0": 2, "w1": 2},
 	},
-	"goes on to other steps after one that only lacked a label": {
+	"continues with other steps after one that lacks a label": {
 		groups: []*schedule.Group{
 			group("a", 1, func(s *tw.Step) { s.Label = "b" }),
 			group("b", 2, nil),
@@ -67,7 +67,7 @@
 		workers: []*schedule.Worker{worker(0, 4000)},
 		want:    map[tw.WorkerID]int{"w0": 2},
 	},
-	"goes on to other steps after one of which a worker has enough": {
+	"continues with other steps after one at its limit per worker": {
 		groups: []*schedule.Group{
 			group("a", 3, func(s *tw.Step) { s.MaxPerWorker = 1 }),
 			group("b", 2, nil),
@@ -75,12 +75,12 @@
 		workers: []*schedule.Worker{worker(0, 4000)},
 		want:    map[tw.WorkerID]int{"w0": 3},
 	},
-	"deals lasting subtasks out": {
+	"distributes long-running subtasks": {
 		groups:  []*schedule.Group{group("a", 3, func(s *tw.Step) { s.LongRunning = true })},
 		workers: []*schedule.Worker{worker(0, 4000), worker(1, 4000), worker(2, 4000)},
 		want:    map[tw.WorkerID]int{"w0": 1, "w1": 1, "w2": 1},
 	},
-	"keeps a worker free for a lasting subtask that found no room": {
+	"reserves a worker for a long-running subtask that does not fit": {
 		groups: []*schedule.Group{group("a", 4, nil), func() *schedule.Group {
 			g := group("b", 1, func(s *tw.Step) { s.LongRunning = true; s.Need.CPU = 3000 })
 			g.Urgency.Grade = schedule.GradeLongRunning
@@ -89,7 +89,7 @@
 		workers: []*schedule.Worker{worker(0, 1000), worker(1, 2000)},
 		want:    map[tw.WorkerID]int{"w0": 1},
 	},
-	"keeps no worker free that will not have the room": {
+	"reserves no worker that can never have the room": {
 		groups: []*schedule.Group{group("a", 4, nil), func() *schedule.Group {
 			g := group("b", 1, func(s *tw.Step) { s.LongRunning = true; s.Need.CPU = 30000 })
 			g.Urgency.Grade = schedule.GradeLongRunning
@@ -98,12 +98,12 @@
 		workers: []*schedule.Worker{worker(0, 1000), worker(1, 2000)},
 		want:    map[tw.WorkerID]int{"w0": 1, "w1": 2},
 	},
-	"keeps to the bound on one worker": {
+	"respects the limit per worker": {
 		groups:  []*schedule.Group{group("a", 5, func(s *tw.Step) { s.MaxPerWorker = 2 })},
 		workers: []*schedule.Worker{worker(0, 8000), worker(1, 8000)},
 		want:    map[tw.WorkerID]int{"w0": 2, "w1": 2},
 	},
-	"places a gang whole or not at all": {
+	"places a gang completely or not at all": {
 		groups:  []*schedule.Group{group("a", 5, func(s *tw.Step) { s.Gang = true }), group("b", 2, nil)},
 		workers: []*schedule.Worker{worker(0, 4000)},
 		want:    map[tw.WorkerID]int{"w0": 2},
@@ -118,41 +118,41 @@
 		workers: []*schedule.Worker{worker(0, 4000), worker(2, 1000)},
 		want:    map[tw.WorkerID]int{"w2": 1},
 	},
-	"prefers the rack of the data": {
+	"prefers the rack that a step asks for": {
 		groups:  []*schedule.Group{group("a", 2, func(s *tw.Step) { s.PreferredRack = "r1" })},
 		workers: []*schedule.Worker{worker(0, 4000), worker(2, 4000)},
 		want:    map[tw.WorkerID]int{"w2": 2},
 	},
-	"keeps fillers away from what serves users": {
+	"keeps fillers away from subtasks that serve users": {
 		groups: []*schedule.Group{group("a", 1, func(s *tw.Step) { s.Filler = true })},
 		workers: []*schedule.Worker{
 			func() *schedule.Worker { w := worker(0, 4000); w.Serving = 1; return w }(), worker(1, 4000),
 		},
 		want: map[tw.WorkerID]int{"w1": 1},
 	},
-	"lets a filler onto a worker without free processor": {
+	"places a filler on a worker without free CPU": {
 		groups:  []*schedule.Group{group("a", 1, func(s *tw.Step) { s.Filler = true })},
 		workers: []*schedule.Worker{worker(0, 0)},
 		want:    map[tw.WorkerID]int{"w0": 1},
 	},
-	"takes distrusted workers last": {
+	"uses suspected workers last": {
 		groups: []*schedule.Group{group("a", 2, nil)},
 		workers: []*schedule.Worker{
 			func() *schedule.Worker { w := worker(0, 4000); w.Suspicion = 1; return w }(), worker(1, 4000),
 		},
 		want: map[tw.WorkerID]int{"w1": 2},
 	},
-	"keeps a step in one hall if one holds it": {
+	"keeps a step in one hall if it fits there": {
 		groups:  []*schedule.Group{group("a", 3, nil)},
 		workers: []*schedule.Worker{inHall("x", worker(0, 2000)), inHall("y", worker(1, 2000)), inHall("y", worker(2, 2000))},
 		want:    map[tw.WorkerID]int{"w1": 2, "w2": 1},
 	},
-	"spreads a step over halls if none holds it": {
+	"spreads a step over halls if it fits into none": {
 		groups:  []*schedule.Group{group("a", 5, nil)},
 		workers: []*schedule.Worker{inHall("x", worker(0, 3000)), inHall("y", worker(1, 3000))},
 		want:    map[tw.WorkerID]int{"w0": 3, "w1": 2},
 	},
-	"uses no distrusted worker only to stay in its hall": {
+	"uses no suspected worker just to stay in a hall": {
 		groups: []*schedule.Group{group("a", 2, nil)},
 		workers: []*schedule.Worker{
 			inHall("x", worker(0, 1000)),
@@ -161,12 +161,12 @@
 		},
 		want: map[tw.WorkerID]int{"w0": 1, "w2": 1},
 	},
-	"deals lasting subtasks out over halls": {
+	"distributes long-running subtasks over halls": {
 		groups:  []*schedule.Group{group("a", 2, func(s *tw.Step) { s.LongRunning = true })},
 		workers: []*schedule.Worker{inHall("x", worker(0, 4000)), inHall("y", worker(1, 4000)), inHall("x", worker(2, 4000))},
 		want:    map[tw.WorkerID]int{"w0": 1, "w1": 1},
 	},
-	"places only what has a worker that it need not avoid": {
+	"places only subtasks that need not avoid all workers": {
 		groups: []*schedule.Group{func() *schedule.Group {
 			g := group("a", 2, nil)
 			g.Avoid = map[int]map[tw.WorkerID]bool{0: {"w0": true}}
@@ -198,7 +198,8 @@
 	}
 }
 
-// urgencyCases are work handed in at base with an objective of 2 s.
+// urgencyCases are the current time and remaining run time of work submitted at base with an
+// objective of 2 s.
 var urgencyCases = map[string]struct {
 	now       time.Duration
 	remaining time.Duration
@@ -206,23 +207,23 @@
 }{
 	"in time":                        {now: time.Second, remaining: time.Second, want: schedule.GradeOnTime},
 	"too late for its objective":     {now: time.Second, remaining: 1001 * time.Millisecond, want: schedule.GradeLate},
-	"late, but worth something":      {now: 5 * time.Second, remaining: time.Second, want: schedule.GradeLate},
+	"late but still of value":        {now: 5 * time.Second, remaining: time.Second, want: schedule.GradeLate},
 	"over three times its objective": {now: 6 * time.Second, remaining: time.Millisecond, want: schedule.GradeOverdue},
 }
 
-// sizeCases are two submissions of the same grade with their deadlines, and the
-// share that their work is of the usual work; the first goes before the second.
+// sizeCases are the deadlines of two submissions of the same grade and their sizes relative
+// to usual work; the first submission must go before the second.
 var sizeCases = map[string]struct {
 	firstIn, secondIn       time.Duration
 	firstShare, secondShare float64
 }{
-	"of the same size by deadline":              {firstIn: time.Second, secondIn: 2 * time.Second, firstShare: 1, secondShare: 1},
-	"at the same deadline the smaller":          {firstIn: time.Second, secondIn: time.Second, firstShare: 0.5, secondShare: 2},
-	"a small one before an urgent one":          {firstIn: 2 * time.Second, secondIn: time.Second, firstShare: 0.2, secondShare: 4},
-	"but a large one is not overtaken for ever": {firstIn: 0, secondIn: 9 * time.Second, firstShare: 4, secondShare: 0.2},
+	"same size, earlier deadline first":          {firstIn: time.Second, secondIn: 2 * time.Second, firstShare: 1, secondShare: 1},
+	"same deadline, smaller one first":           {firstIn: time.Second, secondIn: time.Second, firstShare: 0.5, secondShare: 2},
+	"small one before a large, more urgent one":  {firstIn: 2 * time.Second, secondIn: time.Second, firstShare: 0.2, secondShare: 4},
+	"large one is not postponed without a bound": {firstIn: 0, secondIn: 9 * time.Second, firstShare: 4, secondShare: 0.2},
 }
 
-func TestSizeBesideDeadline(t *testing.T) {
+func TestSizePenalty(t *testing.T) {
 	for name, c := range sizeCases {
 		t.Run(name, func(t *testing.T) {
 			of := func(in time.Duration, share float64) schedule.Urgency {
@@ -247,9 +248,9 @@
 	}
 }
 
-// Whatever waits and whatever there is: no worker is filled over its
-// capacity, no subtask is placed twice, and all bounds of steps hold.
-func TestPlaceKeepsBounds(t *testing.T) {
+// TestPlaceInvariants checks with random groups and workers that no worker exceeds its
+// capacity, no subtask is placed twice, and all constraints of steps are met.
+func TestPlaceInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := drawWorkers(t)
 		before := map[tw.WorkerID]tw.Resources{}
@@ -330,7 +331,7 @@
 	return out
 }
 
-// BenchmarkPlace places 1,000 waiting subtasks in pools of two sizes.
+// BenchmarkPlace measures the placement of 1,000 waiting subtasks in pools of two sizes.
 func BenchmarkPlace(b *testing.B) {
 	for _, size := range []int{100, 400} {
 		b.Run(fmt.Sprintf("%d workers", size), func(b *testing.B) {
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -10,50 +10,49 @@
 )
 
 type (
-	// Run is a run that may be stopped for more urgent work.
+	// Run is a run that may be preempted.
 	Run struct {
 		Subtask     tw.SubtaskID
 		Number      tw.RunNumber
 		Worker      *Worker
 		Reservation tw.Resources
-		// Priority is that of its submission; 0 is the most urgent.
+		// Priority is the submission's priority; 0 is the most urgent.
 		Priority int
-		// Lost is the work that is done again if the run is stopped.
+		// Lost is the work that must be redone if the run is stopped.
 		Lost time.Duration
 	}
 
-	// Unplaced is a group of which subtasks still wait after Place.
+	// Unplaced is a group with subtasks that are still waiting after Place.
 	Unplaced struct {
 		Group *Group
-		// Missing is how many of its subtasks wait.
+		// Missing is the number of waiting subtasks.
 		Missing int
 	}
 
-	// preemption finds the runs to stop, the victims, in one pass.
+	// preemption holds the state of one preemption pass.
 	preemption struct {
-		// runs are those that may be stopped on each worker, the first to stop
-		// at the front.
+		// runs holds the preemptible runs of each worker, in the order in which
+		// they are chosen.
 		runs map[*Worker][]Run
-		// expectedFree is what will be free on each worker: what is free, what is
-		// being stopped, and the victims, less what is meant for wants before.
+		// expectedFree is the expected free capacity of each worker: the free capacity,
+		// the runs being stopped and the victims so far, less the reservations of the
+		// groups already served.
 		expectedFree map[*Worker]tw.Resources
-		// chosen are the victims so far.
+		// chosen holds the victims so far.
 		chosen map[tw.SubtaskID]bool
 	}
 )
 
-// maxVictims is the number of runs at which a pass stops: once it has so many,
-// it serves no further group. The last group served may take it beyond. What
-// more is needed is stopped by later passes, which know what has become free
-// meanwhile.
+// maxVictims limits the runs stopped in one pass: no further group is served once the
+// limit is reached, though the last group served may exceed it. Later passes stop more
+// if needed, when they know what has become free in the meantime.
 const maxVictims = 32
 
-// Preempt picks the runs to stop so that waiting work of a higher priority
-// finds room: on each worker those of the lowest priority that lose the least
-// work, and the workers on which the least is lost. Work that ends too late to
-// count and fillers preempt nothing; a gang preempts for all its members or
-// for none.
-func Preempt(wants []Unplaced, workers []*Worker, runs []Run) []Run {
+// Preempt selects the runs to stop to make room for waiting work of a higher priority. On
+// each worker it prefers runs of the lowest priority that lose the least work, and it
+// prefers the workers on which the least work is lost. Late work and fillers preempt
+// nothing; a gang preempts for all its members or for none.
+func Preempt(unplaced []Unplaced, workers []*Worker, runs []Run) []Run {
 	p := preemption{runs: map[*Worker][]Run{}, expectedFree: map[*Worker]tw.Resources{}, chosen: map[tw.SubtaskID]bool{}}
 	for _, w := range workers {
 		p.expectedFree[w] = w.Free.Plus(w.Freeing)
@@ -66,29 +65,29 @@
 			return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Lost, b.Lost))
 		})
 	}
-	wants = slices.Clone(wants)
-	slices.SortStableFunc(wants, func(a, b Unplaced) int { return CompareUrgency(a.Group, b.Group) })
+	unplaced = slices.Clone(unplaced)
+	slices.SortStableFunc(unplaced, func(a, b Unplaced) int { return CompareUrgency(a.Group, b.Group) })
 	var out []Run
-	for _, want := range wants {
-		if want.Group.Urgency.Grade > GradeOnTime || len(out) >= maxVictims {
+	for _, u := range unplaced {
+		if u.Group.Urgency.Grade > GradeOnTime || len(out) >= maxVictims {
 			continue
 		}
-		out = append(out, p.makeRoom(want, workers)...)
+		out = append(out, p.makeRoom(u, workers)...)
 	}
 	return out
 }
 
-// makeRoom finds room for the subtasks of a group, one by one, and returns the
-// runs to stop for it.
-func (p *preemption) makeRoom(want Unplaced, workers []*Worker) []Run {
+// makeRoom makes room for the subtasks of a group, one by one, and returns the runs to
+// stop.
+func (p *preemption) makeRoom(u Unplaced, workers []*Worker) []Run {
 	var out []Run
 	before := preemption{runs: p.runs, expectedFree: maps.Clone(p.expectedFree), chosen: maps.Clone(p.chosen)}
-	used := map[*Worker]int{} // subtasks of the group for which room was found
-	for range want.Missing {
-		worker, victims, found := p.cheapestWorker(want.Group, workers, used)
+	assigned := map[*Worker]int{} // subtasks of the group assigned in this pass
+	for range u.Missing {
+		worker, victims, found := p.cheapestWorker(u.Group, workers, assigned)
 		if !found {
-			if want.Group.Step.Gang {
-				*p = before // nothing is stopped for it
+			if u.Group.Step.Gang {
+				*p = before // stop nothing for a part of a gang
 				return nil
 			}
 			break
@@ -97,21 +96,21 @@
 			p.chosen[v.Subtask] = true
 			p.expectedFree[worker] = p.expectedFree[worker].Plus(v.Reservation)
 		}
-		p.expectedFree[worker] = p.expectedFree[worker].Minus(want.Group.Step.Reservation())
-		used[worker]++
+		p.expectedFree[worker] = p.expectedFree[worker].Minus(u.Group.Step.Reservation())
+		assigned[worker]++
 		out = append(out, victims...)
 	}
 	return out
 }
 
-// cheapestWorker is the worker on which the least work is lost for one subtask of a
-// group, with the runs to stop there. Subtasks that are used already count
-// towards the most that a worker may have of the step.
-func (p *preemption) cheapestWorker(g *Group, workers []*Worker, used map[*Worker]int) (best *Worker, victims []Run, found bool) {
+// cheapestWorker returns the worker that loses the least work to make room for one subtask of a
+// group, and the runs to stop there. assigned counts the group's subtasks already assigned in
+// this pass; they count towards the step's limit per worker.
+func (p *preemption) cheapestWorker(g *Group, workers []*Worker, assigned map[*Worker]int) (best *Worker, victims []Run, found bool) {
 	least := time.Duration(0)
 	for _, w := range workers {
-		most := g.Step.MaxPerWorker
-		if !g.eventuallyFits(w) || most > 0 && g.OnWorker[w.ID]+used[w] >= most {
+		limit := g.Step.MaxPerWorker
+		if !g.eventuallyFits(w) || limit > 0 && g.OnWorker[w.ID]+assigned[w] >= limit {
 			continue
 		}
 		candidates, lost, enough := p.victims(g, w)
@@ -122,13 +121,13 @@
 	return best, victims, found
 }
 
-// victims are the runs to stop on a worker for one subtask of a group; false
-// if that does not make enough room.
+// victims returns the runs to stop on a worker to make room for one subtask of a group, the
+// work lost by that, and whether the room is enough.
 func (p *preemption) victims(g *Group, w *Worker) (out []Run, lost time.Duration, enough bool) {
-	claim := g.Step.Reservation()
+	reservation := g.Step.Reservation()
 	room := p.expectedFree[w]
 	for _, r := range p.runs[w] {
-		if room.Fits(claim) {
+		if room.Fits(reservation) {
 			break
 		}
 		if r.Priority <= g.Urgency.Priority || p.chosen[r.Subtask] {
@@ -138,5 +137,5 @@
 		lost += r.Lost
 		out = append(out, r)
 	}
-	return out, lost, room.Fits(claim)
+	return out, lost, room.Fits(reservation)
 }
--- a/schedule/preempt_test.go
+++ b/schedule/preempt_test.go
@@ -12,8 +12,8 @@
 	"github.com/tamarindworks/tamarindworks/schedule"
 )
 
-// busy is a worker without room and the runs that fill it.
-func busy(n int, priorities ...int) (*schedule.Worker, []schedule.Run) {
+// busyWorker returns a worker without free capacity and the runs that fill it.
+func busyWorker(n int, priorities ...int) (*schedule.Worker, []schedule.Run) {
 	w := worker(n, 0)
 	var runs []schedule.Run
 	for i, priority := range priorities {
@@ -25,8 +25,8 @@
 	return w, runs
 }
 
-// want is a group that waits, of priority 0 unless change says otherwise.
-func want(count int, change func(g *schedule.Group)) schedule.Unplaced {
+// unplacedGroup returns a waiting group, of priority 0 unless change sets another.
+func unplacedGroup(count int, change func(g *schedule.Group)) schedule.Unplaced {
 	g := group("waiting", count, nil)
 	if change != nil {
 		change(g)
@@ -34,36 +34,36 @@
 	return schedule.Unplaced{Group: g, Missing: count}
 }
 
-// preemptCases are what waits, the priorities of the runs on two workers, and
-// which are stopped: worker and index.
+// preemptCases are a waiting group, the priorities of the runs on two workers, and
+// the runs that are stopped, as worker and index.
 var preemptCases = map[string]struct {
-	want    schedule.Unplaced
-	runs    [2][]int
-	freeing tw.Millicores
-	stopped []string
+	unplaced schedule.Unplaced
+	runs     [2][]int
+	freeing  tw.Millicores
+	stopped  []string
 }{
-	"stops a run of a lower priority":           {want: want(1, nil), runs: [2][]int{{0, 1}, {0}}, stopped: []string{"run0.1"}},
-	"stops no run of the same priority":         {want: want(1, nil), runs: [2][]int{{0, 0}, {0}}},
-	"stops the lowest priority first":           {want: want(1, nil), runs: [2][]int{{1, 2}, {}}, stopped: []string{"run0.1"}},
-	"stops where the least is lost":             {want: want(1, nil), runs: [2][]int{{0, 1}, {1}}, stopped: []string{"run1.0"}},
-	"stops no more than it needs":               {want: want(2, nil), runs: [2][]int{{1, 1, 1}, {1}}, stopped: []string{"run0.0", "run1.0"}},
-	"stops several for one subtask":             {want: want(1, func(g *schedule.Group) { g.Step.Need.CPU = 2000 }), runs: [2][]int{{1, 1}, {1}}, stopped: []string{"run0.0", "run0.1"}},
-	"counts what is being stopped already":      {want: want(1, nil), runs: [2][]int{{1}, {1}}, freeing: 1000},
-	"stops nothing for work that is late":       {want: want(1, func(g *schedule.Group) { g.Urgency.Grade = schedule.GradeLate }), runs: [2][]int{{1}, {1}}},
-	"stops nothing if it is not enough":         {want: want(1, func(g *schedule.Group) { g.Step.Need.CPU = 3000 }), runs: [2][]int{{1, 1}, {1}}},
-	"stops nothing for a part of a gang":        {want: want(4, func(g *schedule.Group) { g.Step.Gang = true }), runs: [2][]int{{1, 1}, {1}}},
-	"stops nothing where the step must not run": {want: want(1, func(g *schedule.Group) { g.Step.Label = "r9" }), runs: [2][]int{{1}, {1}}},
-	"keeps to the bound on one worker":          {want: want(2, func(g *schedule.Group) { g.Step.MaxPerWorker = 1 }), runs: [2][]int{{1, 1}, {0}}, stopped: []string{"run0.0"}},
+	"stops a run of a lower priority":           {unplaced: unplacedGroup(1, nil), runs: [2][]int{{0, 1}, {0}}, stopped: []string{"run0.1"}},
+	"stops no run of the same priority":         {unplaced: unplacedGroup(1, nil), runs: [2][]int{{0, 0}, {0}}},
+	"stops the lowest priority first":           {unplaced: unplacedGroup(1, nil), runs: [2][]int{{1, 2}, {}}, stopped: []string{"run0.1"}},
+	"stops where the least work is lost":        {unplaced: unplacedGroup(1, nil), runs: [2][]int{{0, 1}, {1}}, stopped: []string{"run1.0"}},
+	"stops no more than needed":                 {unplaced: unplacedGroup(2, nil), runs: [2][]int{{1, 1, 1}, {1}}, stopped: []string{"run0.0", "run1.0"}},
+	"stops several for one subtask":             {unplaced: unplacedGroup(1, func(g *schedule.Group) { g.Step.Need.CPU = 2000 }), runs: [2][]int{{1, 1}, {1}}, stopped: []string{"run0.0", "run0.1"}},
+	"counts runs that are being stopped":        {unplaced: unplacedGroup(1, nil), runs: [2][]int{{1}, {1}}, freeing: 1000},
+	"stops nothing for late work":               {unplaced: unplacedGroup(1, func(g *schedule.Group) { g.Urgency.Grade = schedule.GradeLate }), runs: [2][]int{{1}, {1}}},
+	"stops nothing if that is not enough":       {unplaced: unplacedGroup(1, func(g *schedule.Group) { g.Step.Need.CPU = 3000 }), runs: [2][]int{{1, 1}, {1}}},
+	"stops nothing for a part of a gang":        {unplaced: unplacedGroup(4, func(g *schedule.Group) { g.Step.Gang = true }), runs: [2][]int{{1, 1}, {1}}},
+	"stops nothing where the step must not run": {unplaced: unplacedGroup(1, func(g *schedule.Group) { g.Step.Label = "r9" }), runs: [2][]int{{1}, {1}}},
+	"respects the limit per worker":             {unplaced: unplacedGroup(2, func(g *schedule.Group) { g.Step.MaxPerWorker = 1 }), runs: [2][]int{{1, 1}, {0}}, stopped: []string{"run0.0"}},
 }
 
 func TestPreempt(t *testing.T) {
 	for name, c := range preemptCases {
 		t.Run(name, func(t *testing.T) {
-			a, runs := busy(0, c.runs[0]...)
-			b, more := busy(1, c.runs[1]...)
+			a, runs := busyWorker(0, c.runs[0]...)
+			b, more := busyWorker(1, c.runs[1]...)
 			a.Freeing.CPU, a.Freeing.MemoryMB = c.freeing, 1000
 			var got []string
-			for _, r := range schedule.Preempt([]schedule.Unplaced{c.want}, []*schedule.Worker{a, b}, append(runs, more...)) {
+			for _, r := range schedule.Preempt([]schedule.Unplaced{c.unplaced}, []*schedule.Worker{a, b}, append(runs, more...)) {
 				got = append(got, fmt.Sprintf("%s.%d", r.Subtask.Submission, r.Subtask.Index))
 			}
 			NewWithT(t).Expect(got).To(ConsistOf(c.stopped))
@@ -71,37 +71,38 @@
 	}
 }
 
-// A gang that finds no room leaves the runs to the groups behind it.
+// TestPreemptAfterGangWithoutRoom checks that a gang that cannot be placed does not use up the
+// runs that later groups may preempt.
 func TestPreemptAfterGangWithoutRoom(t *testing.T) {
-	a, runs := busy(0, 1, 1)
-	gang := want(3, func(g *schedule.Group) {
+	a, runs := busyWorker(0, 1, 1)
+	gang := unplacedGroup(3, func(g *schedule.Group) {
 		g.Step.Gang = true
 		g.Urgency.Deadline = base.Add(-time.Second)
 	})
-	got := schedule.Preempt([]schedule.Unplaced{gang, want(1, nil)}, []*schedule.Worker{a}, runs)
+	got := schedule.Preempt([]schedule.Unplaced{gang, unplacedGroup(1, nil)}, []*schedule.Worker{a}, runs)
 	NewWithT(t).Expect(got).To(HaveLen(1))
 }
 
-// Whatever waits and runs: no run is stopped that is at least as urgent as all
-// that waits, none twice, and none if nothing waits.
+// TestPreemptKeepsPriorities checks with random groups and runs that no run is stopped that is
+// at least as urgent as all waiting work, none twice, and none if nothing waits.
 func TestPreemptKeepsPriorities(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var workers []*schedule.Worker
 		var runs []schedule.Run
 		for n := range rapid.IntRange(1, 4).Draw(t, "workers") {
-			w, here := busy(n, rapid.SliceOfN(rapid.IntRange(0, 3), 0, 5).Draw(t, "priorities")...)
+			w, here := busyWorker(n, rapid.SliceOfN(rapid.IntRange(0, 3), 0, 5).Draw(t, "priorities")...)
 			workers, runs = append(workers, w), append(runs, here...)
 		}
-		var wants []schedule.Unplaced
+		var unplaced []schedule.Unplaced
 		highest, needed := 9, 0
 		for _, g := range drawGroups(t) {
 			g.Urgency.Priority = rapid.IntRange(0, 3).Draw(t, "priority")
 			highest = min(highest, g.Urgency.Priority)
 			needed += len(g.Subtasks)
-			wants = append(wants, schedule.Unplaced{Group: g, Missing: len(g.Subtasks)})
+			unplaced = append(unplaced, schedule.Unplaced{Group: g, Missing: len(g.Subtasks)})
 		}
 		seen := map[tw.SubtaskID]bool{}
-		for _, r := range schedule.Preempt(wants, workers, runs) {
+		for _, r := range schedule.Preempt(unplaced, workers, runs) {
 			if r.Priority <= highest {
 				t.Fatalf("a run of priority %d is stopped for priority %d", r.Priority, highest)
 			}
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -5,43 +5,44 @@
 )
 
 type (
-	// Worker is what the scheduler knows of a worker. Place takes what it
-	// places out of Free and counts it in Serving and Fillers.
+	// Worker is the scheduler's view of a worker. Place subtracts the reservations of
+	// placed subtasks from Free and counts them in Serving and Fillers.
 	Worker struct {
 		ID     tw.WorkerID
 		Hall   tw.HallID
 		Rack   tw.RackLabel
 		Labels []string
 		Free   tw.Resources
-		// MaxPlacements bounds the subtasks that Place puts there; 0 for no bound.
+		// MaxPlacements limits how many subtasks Place may put on the worker; 0 means no limit.
 		MaxPlacements int
 		placed        int
-		// Freeing is what will be free once what is being stopped has ended.
+		// Freeing is the capacity that runs being stopped will release.
 		Freeing tw.Resources
-		// Attainable is what is free once all that ends by itself has ended.
+		// Attainable is the capacity that is free once all runs except long-running ones
+		// have ended.
 		Attainable tw.Resources
-		// Suspicion is how doubtful the worker is; 0 is sound. Less distrusted
-		// workers come first.
+		// Suspicion is the suspicion level; 0 means healthy. Workers with a lower
+		// level are used first.
 		Suspicion int
-		// Rank orders workers that are alike. Work is packed onto the lowest.
+		// Rank orders otherwise equal workers. Work is packed onto the lowest ranks.
 		Rank int
-		// Serving counts subtasks with a tail target, Fillers those that take
-		// what the others leave.
+		// Serving counts subtasks with a tail latency target, Fillers counts
+		// subtasks that use only the CPU time left by others.
 		Serving int
 		Fillers int
 	}
 
-	// Placement puts a subtask on a worker.
+	// Placement assigns a subtask to a worker.
 	Placement struct {
 		Subtask tw.SubtaskID
 		Worker  *Worker
 	}
 )
 
-// AtLimit tells whether Place has put as many subtasks there as it may.
+// AtLimit reports whether Place has reached the worker's placement limit.
 func (w *Worker) AtLimit() bool { return w.MaxPlacements > 0 && w.placed >= w.MaxPlacements }
 
-// HasLabel tells whether the worker may run steps that ask for the label.
+// HasLabel reports whether the worker may run steps that require the label.
 func (w *Worker) HasLabel(label string) bool {
 	return tw.HasLabel(w.Labels, label)
 }
