--- a/assignment.go
+++ b/assignment.go
@@ -3,10 +3,10 @@
 import "slices"
 
 type (
-	// InstanceState is where an instance is between pools.
+	// InstanceState is the state of an instance within the plan.
 	InstanceState string
 
-	// Assignment says which one pool an instance is in.
+	// Assignment assigns an instance to exactly one pool.
 	Assignment struct {
 		Instance InstanceID    `json:"instance"`
 		Rack     RackID        `json:"rack"`
@@ -16,49 +16,49 @@
 		Pool     PoolID        `json:"pool"`
 		State    InstanceState `json:"state"`
 		Jobs     []Placement   `json:"jobs,omitempty"`
-		// NextPool is the pool that a draining instance goes to.
+		// NextPool is the pool that a draining instance joins afterwards.
 		NextPool PoolID `json:"next,omitempty"`
-		// Generation of the plan that set State.
+		// Generation is the generation of the plan that set State.
 		Generation Generation `json:"generation"`
-		// Wave that the instance is draining or out for.
+		// Wave is the maintenance wave that the instance is draining or out for.
 		Wave WaveID `json:"wave,omitempty"`
-		// Waves lists the configured waves that have maintained it.
+		// Waves lists the configured waves that have maintained the instance.
 		Waves []WaveID `json:"waves,omitempty"`
-		// Boots is the platform's count when the instance went out.
+		// Boots is the platform's boot count when the instance was taken out.
 		Boots uint64 `json:"boots,omitempty"`
-		// QuarantineCount counts the times that the instance was quarantined.
+		// QuarantineCount is the number of times the instance was quarantined.
 		QuarantineCount int    `json:"strikes,omitempty"`
 		Reason          Reason `json:"reason"`
 	}
 
-	// PlacementState is where a job is on an instance.
+	// PlacementState is the state of a job on an instance.
 	PlacementState string
 
 	// Placement is a job on an instance.
 	Placement struct {
 		Job   JobID          `json:"job"`
 		State PlacementState `json:"state"`
-		// Placed is the generation that put the job here; the task id is
-		// made from it.
+		// Placed is the generation of the plan that placed the job here. It
+		// is part of the task id.
 		Placed Generation `json:"placed"`
-		// Generation of the plan that set State.
+		// Generation is the generation of the plan that set State.
 		Generation Generation `json:"generation"`
 	}
 )
 
 // States of an instance.
 const (
-	// InstanceJoining: in its pool, its tasks are being started; no requests yet.
+	// InstanceJoining: assigned to its pool, its tasks are starting; no requests yet.
 	InstanceJoining InstanceState = "joining"
-	// InstanceServing: takes requests for its running jobs.
+	// InstanceServing: accepts requests for its running jobs.
 	InstanceServing InstanceState = "serving"
-	// InstanceDraining: no new requests; what runs is let finish.
+	// InstanceDraining: no new requests; those in flight may finish.
 	InstanceDraining InstanceState = "draining"
-	// InstanceOut: away for maintenance or reclaimed; carries nothing.
+	// InstanceOut: in maintenance or reclaimed by the platform; carries no job.
 	InstanceOut InstanceState = "out"
-	// InstanceSpare: carries nothing, ready to join a pool.
+	// InstanceSpare: carries no job and can join a pool.
 	InstanceSpare InstanceState = "spare"
-	// InstanceQuarantined: failed everything it was given; carries nothing new.
+	// InstanceQuarantined: failed all of its tasks or requests; gets no new work.
 	InstanceQuarantined InstanceState = "quarantined"
 )
 
@@ -67,14 +67,14 @@
 	PlacementStarting PlacementState = "starting"
 	PlacementRunning  PlacementState = "running"
 	PlacementStopping PlacementState = "stopping"
-	// PlacementFailed: the task failed here; tried elsewhere.
+	// PlacementFailed: the task failed here and is tried on another instance.
 	PlacementFailed PlacementState = "failed"
 )
 
-// Active tells whether the instance counts towards its pool's size.
+// Active reports whether the instance counts towards its pool's size.
 func (a *Assignment) Active() bool { return a.State == InstanceJoining || a.State == InstanceServing }
 
-// Serves tells whether requests for a job may be sent to the instance.
+// Serves reports whether requests for a job may be sent to the instance.
 func (a *Assignment) Serves(job JobID) bool {
 	if a.State != InstanceServing {
 		return false
@@ -83,7 +83,7 @@
 	return p != nil && p.State == PlacementRunning
 }
 
-// Placement finds a job on the instance, or nil.
+// Placement returns the placement of a job on the instance, or nil.
 func (a *Assignment) Placement(job JobID) *Placement {
 	for i := range a.Jobs {
 		if a.Jobs[i].Job == job {
@@ -93,5 +93,5 @@
 	return nil
 }
 
-// Maintained tells whether a wave has maintained the instance.
+// Maintained reports whether a wave has maintained the instance.
 func (a *Assignment) Maintained(wave WaveID) bool { return slices.Contains(a.Waves, wave) }
--- a/budget.go
+++ b/budget.go
@@ -3,22 +3,22 @@
 import "time"
 
 type (
-	// ServiceDisruptions lists the planned disruptions of a service now allowed, over
-	// all halls.
+	// ServiceDisruptions lists the planned disruptions of a service that are currently
+	// allowed, across all halls.
 	ServiceDisruptions struct {
 		Disruptions []Disruption `json:"disruptions"`
 	}
 
-	// Disruption is one instance that planned work has taken or will take
-	// from a service.
+	// Disruption is an instance that planned work makes, or will make,
+	// unavailable to a service.
 	Disruption struct {
 		Instance InstanceID `json:"instance"`
 		Hall     HallID     `json:"hall"`
-		Since    time.Time  `json:"since"` // for people; decides nothing
+		Since    time.Time  `json:"since"` // informational; not used in decisions
 	}
 )
 
-// Has tells whether an instance is in the ledger.
+// Has reports whether an instance is listed.
 func (l ServiceDisruptions) Has(id InstanceID) bool {
 	for _, d := range l.Disruptions {
 		if d.Instance == id {
@@ -28,14 +28,14 @@
 	return false
 }
 
-// With returns the ledger with d added, once.
+// With returns a copy with d added, replacing any entry of the same instance.
 func (l ServiceDisruptions) With(d Disruption) ServiceDisruptions {
 	next := l.Without(d.Instance)
 	next.Disruptions = append(next.Disruptions, d)
 	return next
 }
 
-// Without returns the ledger without an instance.
+// Without returns a copy without an instance.
 func (l ServiceDisruptions) Without(id InstanceID) ServiceDisruptions {
 	var next ServiceDisruptions
 	for _, d := range l.Disruptions {
--- a/clock.go
+++ b/clock.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Clock tells the time. Tests inject one that they move by hand. Now must
-// carry a monotonic reading, as permits are compared with it.
+// Clock provides the current time and timers; tests inject a fake. Now must
+// include a monotonic clock reading, because permits are compared with it.
 type Clock interface {
 	Now() time.Time
 	After(d time.Duration) <-chan time.Time
 }
 
-// SystemClock is the machine's clock.
+// SystemClock is the operating system's clock.
 type SystemClock struct{}
 
-// Now is time.Now, with its monotonic reading.
+// Now returns time.Now().
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// After is time.After.
+// After returns time.After(d).
 func (SystemClock) After(d time.Duration) <-chan time.Time { return time.After(d) }
--- a/doc.go
+++ b/doc.go
@@ -1,8 +1,7 @@
 // Package tamarindworks holds the domain types of the fleet capacity and
 // maintenance manager: ids and units, the operators' configuration, the plan
-// that says which instance is in which pool, and the interfaces to what lies
-// outside (store, instance list, workers, peers, clock).
+// that assigns instances to pools, and the interfaces to external services
+// (store, instance list, workers, peers, clock).
 //
-// Everything else in this module imports this package; it imports nothing of
-// the module itself.
+// All other packages of this module import this one; it imports none of them.
 package tamarindworks
--- a/evacuation_test.go
+++ b/evacuation_test.go
@@ -9,7 +9,7 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// TestEvacuationsAreOrdered checks that of two states the one of the higher revision holds.
+// TestEvacuationsAreOrdered checks that the value with the higher revision replaces the other.
 func TestEvacuationsAreOrdered(t *testing.T) {
 	g := NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/faults.go
+++ b/faults.go
@@ -6,23 +6,23 @@
 )
 
 type (
-	// ValidationError is one thing wrong with a configuration.
+	// ValidationError describes one invalid field of a configuration or submission.
 	ValidationError struct {
 		Field   string // path such as "pools[2].instances"
 		Line    int    // line in the source, 0 if unknown
 		Message string
 	}
 
-	// ValidationErrors gathers every fault, so that an operator sees all of them at once.
+	// ValidationErrors collects all errors, so that an operator sees them all at once.
 	ValidationErrors []ValidationError
 )
 
-// Add notes a fault of a field; format and args are as for fmt.Sprintf.
+// Add appends an error of a field; format and args are as for fmt.Sprintf.
 func (f *ValidationErrors) Add(field, format string, args ...any) {
 	*f = append(*f, ValidationError{Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-// Error lists all faults, one a line.
+// Error lists all errors, one per line.
 func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -31,7 +31,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err is nil if there are no faults.
+// Err returns f as an error, or nil if it is empty.
 func (f ValidationErrors) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -39,7 +39,7 @@
 	return f
 }
 
-// String is "line 3: pools[0].id: what is wrong".
+// String formats the error like "line 3: pools[0].id: is missing".
 func (f ValidationError) String() string {
 	if f.Line == 0 {
 		return fmt.Sprintf("%s: %s", f.Field, f.Message)
--- a/fleet_config.go
+++ b/fleet_config.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// FleetConfig is the operators' intent: all that they can change.
+// FleetConfig is the operators' configuration of the fleet.
 type FleetConfig struct {
-	// Halls lists every data hall of the fleet; budgets are counted over them.
+	// Halls lists every data hall of the fleet; budgets apply across them.
 	Halls    []HallID  `toml:"halls"`
 	Pools    []Pool    `toml:"pools"`
 	Jobs     []Job     `toml:"jobs"`
 	Services []Service `toml:"services"`
 	Teams    []Team    `toml:"teams"`
 	Waves    []Wave    `toml:"waves"`
-	// Labels adds labels to single instances, by instance id. They go
-	// before the platform's own.
+	// Labels adds labels to individual instances, by instance id. They
+	// override the platform's labels.
 	Labels map[InstanceID]map[string]string `toml:"labels"`
 	Spares Spares                           `toml:"spares"`
 }
 
-// SetDefaults fills what was left out.
+// SetDefaults sets default values for unset fields.
 func (c *FleetConfig) SetDefaults() {
 	for i := range c.Jobs {
 		c.Jobs[i].SetDefaults()
@@ -37,16 +37,16 @@
 	c.Spares.SetDefaults()
 }
 
-// Validate gathers all faults; the error is of type Faults.
+// Validate returns all errors as ValidationErrors, or nil.
 func (c *FleetConfig) Validate() error {
-	var faults ValidationErrors
-	c.validateParts(&faults)
-	c.validateUnique(&faults)
-	c.validateReferences(&faults)
-	return faults.Err()
+	var errs ValidationErrors
+	c.validateParts(&errs)
+	c.validateUnique(&errs)
+	c.validateReferences(&errs)
+	return errs.Err()
 }
 
-// Job finds a job, or nil.
+// Job returns a job by id, or nil.
 func (c *FleetConfig) Job(id JobID) *Job {
 	for i := range c.Jobs {
 		if c.Jobs[i].ID == id {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Service finds a service, or nil.
+// Service returns a service by id, or nil.
 func (c *FleetConfig) Service(id ServiceID) *Service {
 	for i := range c.Services {
 		if c.Services[i].ID == id {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Pool finds a pool, or nil.
+// Pool returns a pool by id, or nil.
 func (c *FleetConfig) Pool(id PoolID) *Pool {
 	for i := range c.Pools {
 		if c.Pools[i].ID == id {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// PoolOf is the first pool whose selector takes the job, or nil.
+// PoolOf returns the first pool whose job selector matches the job, or nil.
 func (c *FleetConfig) PoolOf(j *Job) *Pool {
 	for i := range c.Pools {
 		if c.Pools[i].Jobs.Matches(j.Labels) {
@@ -86,8 +86,9 @@
 	return nil
 }
 
-// LabelsOf is what selectors see of an instance: the platform's labels, its
-// hall and rack, and on top what the configuration adds.
+// LabelsOf returns the labels of an instance that selectors match: its hall,
+// rack and id, the platform's labels, and those added by the configuration.
+// Later ones override earlier ones.
 func (c *FleetConfig) LabelsOf(in Instance) map[string]string {
 	set := make(map[string]string, len(in.Labels)+4)
 	set["hall"] = string(in.Hall)
@@ -102,77 +103,77 @@
 	return set
 }
 
-func (c *FleetConfig) validateParts(faults *ValidationErrors) {
+func (c *FleetConfig) validateParts(errs *ValidationErrors) {
 	if len(c.Halls) == 0 {
-		faults.Add("halls", "is missing: list every data hall")
+		errs.Add("halls", "is missing: list every data hall")
 	}
 	for i := range c.Pools {
-		c.Pools[i].validate(fmt.Sprintf("pools[%d]", i), faults)
+		c.Pools[i].validate(fmt.Sprintf("pools[%d]", i), errs)
 	}
 	for i := range c.Jobs {
-		c.Jobs[i].validate(fmt.Sprintf("jobs[%d]", i), faults)
+		c.Jobs[i].validate(fmt.Sprintf("jobs[%d]", i), errs)
 	}
 	for i := range c.Services {
 		at := fmt.Sprintf("services[%d]", i)
-		c.Services[i].validate(at, faults)
+		c.Services[i].validate(at, errs)
 		for r := range c.Services[i].Routes {
-			c.Services[i].Routes[r].validate(fmt.Sprintf("%s.routes[%d]", at, r), faults)
+			c.Services[i].Routes[r].validate(fmt.Sprintf("%s.routes[%d]", at, r), errs)
 		}
 	}
 	for i := range c.Teams {
-		c.Teams[i].validate(fmt.Sprintf("teams[%d]", i), faults)
+		c.Teams[i].validate(fmt.Sprintf("teams[%d]", i), errs)
 	}
 	for i := range c.Waves {
-		c.Waves[i].validate(fmt.Sprintf("waves[%d]", i), faults)
+		c.Waves[i].validate(fmt.Sprintf("waves[%d]", i), errs)
 	}
-	c.Spares.validate("spares", faults)
+	c.Spares.validate("spares", errs)
 }
 
-func (c *FleetConfig) validateUnique(faults *ValidationErrors) {
+func (c *FleetConfig) validateUnique(errs *ValidationErrors) {
 	seen := map[string]bool{}
-	once := func(kind string, i int, id string) {
+	checkUnique := func(kind string, i int, id string) {
 		name := kind + "/" + id
 		if id != "" && seen[name] {
-			faults.Add(fmt.Sprintf("%s[%d].id", kind, i), "%q is there twice", id)
+			errs.Add(fmt.Sprintf("%s[%d].id", kind, i), "%q is there twice", id)
 		}
 		seen[name] = true
 	}
 	for i, p := range c.Pools {
-		once("pools", i, string(p.ID))
+		checkUnique("pools", i, string(p.ID))
 	}
 	for i, j := range c.Jobs {
-		once("jobs", i, string(j.ID))
+		checkUnique("jobs", i, string(j.ID))
 	}
 	for i, s := range c.Services {
-		once("services", i, string(s.ID))
+		checkUnique("services", i, string(s.ID))
 	}
 	for i, t := range c.Teams {
-		once("teams", i, string(t.ID))
+		checkUnique("teams", i, string(t.ID))
 	}
 	for i, w := range c.Waves {
-		once("waves", i, string(w.ID))
+		checkUnique("waves", i, string(w.ID))
 	}
 }
 
-func (c *FleetConfig) validateReferences(faults *ValidationErrors) {
+func (c *FleetConfig) validateReferences(errs *ValidationErrors) {
 	services := map[ServiceID]bool{}
 	for _, s := range c.Services {
 		services[s.ID] = true
 	}
 	for i, j := range c.Jobs {
 		if j.Service != "" && !services[j.Service] {
-			faults.Add(fmt.Sprintf("jobs[%d].service", i), "there is no service %q", j.Service)
+			errs.Add(fmt.Sprintf("jobs[%d].service", i), "there is no service %q", j.Service)
 		}
 		for _, h := range j.Halls {
 			if !slices.Contains(c.Halls, h) {
-				faults.Add(fmt.Sprintf("jobs[%d].halls", i), "there is no hall %q", h)
+				errs.Add(fmt.Sprintf("jobs[%d].halls", i), "there is no hall %q", h)
 			}
 		}
 	}
 	for i, s := range c.Services {
 		for r, route := range s.Routes {
 			if route.Job != "" && c.Job(route.Job) == nil {
-				faults.Add(fmt.Sprintf("services[%d].routes[%d].job", i, r), "there is no job %q", route.Job)
+				errs.Add(fmt.Sprintf("services[%d].routes[%d].job", i, r), "there is no job %q", route.Job)
 			}
 		}
 	}
--- a/instance.go
+++ b/instance.go
@@ -1,13 +1,13 @@
 package tamarindworks
 
 type (
-	// InstancePhase is what the platform says of an instance.
+	// InstancePhase is the lifecycle phase of an instance reported by the platform.
 	InstancePhase string
 
-	// Role tells workers from entry instances in the platform's list.
+	// Role distinguishes worker and entry instances in the platform's list.
 	Role string
 
-	// Instance is a borrowed machine as the platform's list shows it.
+	// Instance is a borrowed machine as listed by the platform.
 	Instance struct {
 		ID      InstanceID        `json:"id"`
 		Role    Role              `json:"role"`
@@ -20,26 +20,26 @@
 		Cores   Cores             `json:"cores"`
 		Memory  Megabytes         `json:"memory_mb"`
 		Slots   Slots             `json:"slots"`
-		// Connections bounds the TCP connections to the instance from its
-		// whole hall.
+		// Connections is the maximum number of TCP connections to the
+		// instance from all daemons of its hall together.
 		Connections int `json:"connections"`
 	}
 
-	// InstanceSnapshot is the platform's lagging list at one moment. A lower
-	// version never replaces a higher one.
+	// InstanceSnapshot is one version of the platform's instance list, which
+	// may be stale. A lower version never replaces a higher one.
 	InstanceSnapshot struct {
 		Version   uint64     `json:"version"`
 		Instances []Instance `json:"instances"`
 	}
 )
 
-// Phases.
+// Instance phases.
 const (
 	PhaseLive    InstancePhase = "live"
 	PhaseLeaving InstancePhase = "leaving"
 )
 
-// Roles.
+// Instance roles.
 const (
 	RoleWorker Role = "worker"
 	RoleEntry  Role = "entry"
--- a/job.go
+++ b/job.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Job is what instances carry and requests ask for.
+// Job is a program that instances run and that requests are routed to.
 type Job struct {
 	ID      JobID             `toml:"id"`
 	Service ServiceID         `toml:"service"`
 	Labels  map[string]string `toml:"labels"`
-	// Halls that carry the job; empty means all.
+	// Halls lists the halls that run the job; empty means all.
 	Halls []HallID `toml:"halls"`
-	// Replicas is how many instances of each hall carry the job.
+	// Replicas is the number of instances in each hall that run the job.
 	Replicas int `toml:"replicas"`
-	// Cores and Memory are the declared size of one replica. They are a
-	// first guess only; measured use corrects them.
+	// Cores and Memory are the declared size of one replica. They are
+	// initial estimates, which measured usage corrects.
 	Cores  Cores     `toml:"cores"`
 	Memory Megabytes `toml:"memory_mb"`
 }
 
-// SetDefaults fills what was left out.
+// SetDefaults sets default values for unset fields.
 func (j *Job) SetDefaults() {
 	if j.Replicas == 0 {
 		j.Replicas = 1
@@ -27,23 +27,23 @@
 	}
 }
 
-// In tells whether a hall carries the job.
+// In reports whether a hall runs the job.
 func (j *Job) In(hall HallID) bool { return len(j.Halls) == 0 || slices.Contains(j.Halls, hall) }
 
-func (j *Job) validate(at string, faults *ValidationErrors) {
+func (j *Job) validate(path string, errs *ValidationErrors) {
 	if j.ID == "" {
-		faults.Add(at+".id", "is missing")
+		errs.Add(path+".id", "is missing")
 	}
 	if j.Service == "" {
-		faults.Add(at+".service", "is missing")
+		errs.Add(path+".service", "is missing")
 	}
 	if j.Replicas < 0 {
-		faults.Add(at+".replicas", "is %d, must be 1 or more", j.Replicas)
+		errs.Add(path+".replicas", "is %d, must be 1 or more", j.Replicas)
 	}
 	if j.Cores < 0 {
-		faults.Add(at+".cores", "is %v, must be 0 or more", j.Cores)
+		errs.Add(path+".cores", "is %v, must be 0 or more", j.Cores)
 	}
 	if j.Memory < 0 {
-		faults.Add(at+".memory_mb", "is %d, must be 0 or more", j.Memory)
+		errs.Add(path+".memory_mb", "is %d, must be 0 or more", j.Memory)
 	}
 }
--- a/machine.go
+++ b/machine.go
@@ -6,11 +6,11 @@
 )
 
 type (
-	// MachineState is what the platform says of a machine.
+	// MachineState is the state of a machine reported by the platform.
 	MachineState string
 
-	// Machine is a borrowed instance as the platform's machine interface
-	// lists it.
+	// Machine is a borrowed instance as listed by the platform's machine
+	// interface.
 	Machine struct {
 		ID       InstanceID
 		Pool     PoolID
@@ -18,44 +18,50 @@
 		Hall     HallID
 		Labels   []string
 		Capacity Resources
-		// Worker is the life that runs there; empty if none does.
+		// Worker is the worker that runs on the machine; empty if there is none.
 		Worker WorkerID
 	}
 
-	// MaintenanceWave asks for maintenance of machines.
+	// MaintenanceWave is the platform's request to maintain machines.
 	MaintenanceWave struct {
 		Number   int64
 		Machines []InstanceID
-		// NoticePeriod is the time from its announcement until it is due.
+		// NoticePeriod is the time from the announcement of the wave to its deadline.
 		NoticePeriod time.Duration
-		// MaxConcurrent bounds the machines that are down for it at the same time.
+		// MaxConcurrent limits the machines that are down for the wave at the same
+		// time.
 		MaxConcurrent int
 	}
 
-	// MachineHolder identifies who orders changes of machines.
+	// MachineHolder identifies the daemon that orders changes of machines.
 	MachineHolder struct {
 		Name  string
 		Fence FencingToken
 	}
 
-	// MachineRefusalReason says why the platform refused a change of a machine.
+	// MachineRefusalReason is the reason why the platform refused a change of a
+	// machine.
 	MachineRefusalReason string
 
-	// MachineRefusedError is the error of a change that was surely not done.
+	// MachineRefusedError is the error of a change that the platform refused; it
+	// was certainly not made.
 	MachineRefusedError struct{ Reason MachineRefusalReason }
 
-	// Machines lists and changes machines. Calls fail with *MachineRefused,
-	// ErrUnavailable, ErrRateLimited (both surely not done) or ErrUnclear.
+	// Machines lists and changes machines. Calls fail with
+	// *MachineRefusedError, ErrUnavailable, ErrRateLimited (both certainly not
+	// executed) or ErrAmbiguous.
 	Machines interface {
 		List(ctx context.Context) ([]Machine, error)
-		// Move puts a machine into another pool; all that runs there dies.
+		// Move moves a machine to another pool, which kills everything that
+		// runs on it.
 		Move(ctx context.Context, by MachineHolder, machine InstanceID, pool PoolID) error
-		// Maintain takes a machine down for a wave; all that runs there dies.
+		// Maintain takes a machine down for a wave, which kills everything
+		// that runs on it.
 		Maintain(ctx context.Context, by MachineHolder, machine InstanceID, wave int64) error
 	}
 )
 
-// States of a machine.
+// Machine states.
 const (
 	MachineUp          MachineState = "up"
 	MachineMoving      MachineState = "moving"
@@ -63,15 +69,16 @@
 	MachineDown        MachineState = "down"
 )
 
-// Reasons of refused changes.
+// Reasons of refused machine changes.
 const (
-	// MachineRefusedFence: a newer holder has ordered a change.
+	// MachineRefusedFence: a holder with a higher fencing token has ordered a change.
 	MachineRefusedFence MachineRefusalReason = "fence"
-	// MachineRefusedBusy: the machine is not up, or it is leaving.
+	// MachineRefusedBusy: the machine is not up, or the platform is reclaiming it.
 	MachineRefusedBusy MachineRefusalReason = "busy"
-	// MachineRefusedNotInWave: the wave does not name the machine.
+	// MachineRefusedNotInWave: the wave does not list the machine.
 	MachineRefusedNotInWave MachineRefusalReason = "wave"
-	// MachineRefusedUnknown: there is no such machine, or the pool takes others.
+	// MachineRefusedUnknown: the machine does not exist, or the pool does not accept
+	// machines of its kind.
 	MachineRefusedUnknown MachineRefusalReason = "unknown"
 )
 
--- a/member/doc.go
+++ b/member/doc.go
@@ -1,6 +1,8 @@
-// Package member knows the other daemons: which live, which owns which pool,
-// and how to reach them. It decides when this daemon is to take a pool over.
+// Package member implements the membership of daemons: which ones are live,
+// which one owns each pool, and how to reach them. It decides when this daemon
+// should take over a pool.
 //
-// Taking a pool over is always safe, as workers and ledger refuse a former
-// owner; being slow or hasty about it only costs time.
+// A takeover is always safe, because workers and the ledger reject a former
+// owner by its fencing token. A late or an unnecessary takeover only costs
+// time.
 package member
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -8,24 +8,24 @@
 	"github.com/tamarindworks/tamarindworks/ledger"
 )
 
-// What few daemons learn of the owners by pinging them reaches all others with the pings
-// between daemons: who owns which pool, and which owner doesn't answer. Each daemon pings a
-// bounded number of others, so that news takes a number of rounds that grows with the
-// logarithm of the number of daemons. A ping carries at most a line for each pool.
+// Only a few daemons ping each pool owner. What they learn, the current owners and the owners
+// that do not answer, spreads to all daemons by gossip in the pings. Each daemon pings a bounded
+// number of others, so that the number of rounds grows with the logarithm of the number of
+// daemons. A ping has at most one entry per pool.
 
-// Suspicion says that the owner at an address has left a ping without an answer.
+// Suspicion reports that the pool owner at an address did not answer a ping.
 type Suspicion struct {
 	Address string `json:"address"`
-	// Age is the time since the last such ping, wherever it came from.
+	// Age is the time since the last unanswered ping, by any daemon.
 	Age time.Duration `json:"age"`
 }
 
-// suspicionTTL is how old a doubt may be to count: longer than it takes for news to reach all,
-// and than the time between two pings without an answer.
+// suspicionTTL is the age at which a suspicion expires. It is longer than gossip takes to reach all
+// daemons, and longer than the interval between two unanswered pings.
 const suspicionTTL = 1500 * time.Millisecond
 
-// HandlePing takes up what a ping tells, and returns what this daemon knows: the owners that it
-// doubts, and all ownerships if the asker knows others.
+// HandlePing merges the suspicions of a ping. It returns the owners that this daemon suspects,
+// and all owners that it knows if the sender's digest of them differs.
 func (m *Members) HandlePing(ping *PingRequest) ([]Suspicion, []ledger.Owner) {
 	now := m.config.Clock.Now()
 	m.mu.Lock()
@@ -45,7 +45,7 @@
 	return out
 }
 
-// ownersDigest differs between daemons that know different ownerships.
+// ownersDigest is a digest of the known pool owners and their fencing tokens.
 func (m *Members) ownersDigest() uint64 {
 	digest := uint64(0)
 	for pool, o := range m.owners {
@@ -54,7 +54,7 @@
 	return digest
 }
 
-// suspectedOwners are the owners that don't answer, as far as this daemon knows.
+// suspectedOwners lists the owners that this daemon suspects, with the age of the suspicion.
 func (m *Members) suspectedOwners(now time.Time) []Suspicion {
 	var out []Suspicion
 	for _, o := range m.owners {
@@ -67,8 +67,8 @@
 	return out
 }
 
-// suspectedAt is when the daemon at an address last left a ping without an answer, its own word
-// before that of others; zero if nothing speaks against it.
+// suspectedAt returns the time of the last unanswered ping to an address, or zero if it is not
+// suspected. This daemon's own pings take precedence over gossip.
 func (m *Members) suspectedAt(address string) time.Time {
 	c := m.pingStates[address]
 	if c == nil {
@@ -80,7 +80,7 @@
 	return c.lastFailure
 }
 
-func (m *Members) mergeSuspicions(doubts []Suspicion, now time.Time) {
+func (m *Members) mergeSuspicions(suspicions []Suspicion, now time.Time) {
 	if m.suspicions == nil {
 		m.suspicions = map[string]time.Time{}
 	}
@@ -89,7 +89,7 @@
 			delete(m.suspicions, address)
 		}
 	}
-	for _, d := range doubts {
+	for _, d := range suspicions {
 		at := now.Add(-d.Age)
 		if d.Age < suspicionTTL && at.After(m.suspicions[d.Address]) && m.ownsAnyPool(d.Address) {
 			m.suspicions[d.Address] = at
@@ -106,17 +106,17 @@
 	return false
 }
 
-// unresponsive tells whether the daemon at an address has left the last ping without an answer, by
-// the word of this daemon or of others.
+// unresponsive reports whether the daemon at an address did not answer the last ping, according to
+// this daemon or to gossip.
 func (m *Members) unresponsive(address string, now time.Time) bool {
 	return now.Sub(m.suspectedAt(address)) < suspicionTTL
 }
 
-// pingsOwner tells whether this daemon is one of those that ping the owner of a pool: as many
-// as ownerWatchers, those that would take it over first.
+// pingsOwner reports whether this daemon pings the owner of a pool. The first pingersPerOwner
+// daemons in the order of takeover do.
 func (m *Members) pingsOwner(pool tw.PoolID) bool {
-	if watches, known := m.pingedPools[pool]; known {
-		return watches
+	if cached, known := m.pingedPools[pool]; known {
+		return cached
 	}
 	self := m.config.Self
 	before := 0
--- a/member/growth_test.go
+++ b/member/growth_test.go
@@ -14,8 +14,8 @@
 	"github.com/tamarindworks/tamarindworks/ledger"
 )
 
-// growthSizes are numbers of daemons in growthHalls halls, a tenth of them with far more
-// processor, of which some own growthPools pools.
+// growthSizes are numbers of daemons. They are in growthHalls halls, a tenth of them has more
+// cores, and some of these own growthPools pools.
 var growthSizes = []int{50, 200, 800, 1600}
 
 const (
@@ -23,15 +23,15 @@
 	growthPools = 6
 )
 
-// crowd is the memberships of all daemons of a deployment, without their duties.
-type crowd struct {
+// cluster holds the Members of all daemons of a deployment, without their background tasks.
+type cluster struct {
 	clock   *fakeclock.Clock
 	members map[string]*Members
 	owners  map[string]bool
 }
 
-func newCrowd(daemons int) *crowd {
-	c := &crowd{clock: fakeclock.New(), members: map[string]*Members{}, owners: map[string]bool{}}
+func newCluster(daemons int) *cluster {
+	c := &cluster{clock: fakeclock.New(), members: map[string]*Members{}, owners: map[string]bool{}}
 	live := map[tw.DaemonID]DaemonRecord{}
 	for n := range daemons {
 		l := DaemonRecord{Daemon: tw.DaemonID(fmt.Sprintf("d%04d", n)), Incarnation: 1, Hall: tw.HallID(fmt.Sprint(n % growthHalls)), Cores: 0.2}
@@ -61,9 +61,9 @@
 	return c
 }
 
-// round has every daemon ping its peers once, and counts the pings that each sends and gets.
-// Owners that are dead answer none.
-func (c *crowd) round(dead string) (out, in map[string]int) {
+// round has every daemon ping its peers once, and counts the pings that each sends and receives.
+// The dead daemon does not answer.
+func (c *cluster) round(dead string) (out, in map[string]int) {
 	out, in = map[string]int{}, map[string]int{}
 	for from, m := range c.members {
 		if from == dead {
@@ -78,20 +78,20 @@
 	return out, in
 }
 
-func (c *crowd) ping(m *Members, to string, dead bool) {
+func (c *cluster) ping(m *Members, to string, dead bool) {
 	now := c.clock.Now()
 	if dead {
 		m.pingStates[to] = &pingState{failingSince: now, lastFailure: now}
 		return
 	}
-	doubts, owners := c.members[to].HandlePing(&PingRequest{Suspicions: m.suspectedOwners(now), OwnersDigest: m.ownersDigest()})
-	m.mergeSuspicions(doubts, now)
+	suspicions, owners := c.members[to].HandlePing(&PingRequest{Suspicions: m.suspectedOwners(now), OwnersDigest: m.ownersDigest()})
+	m.mergeSuspicions(suspicions, now)
 	for _, o := range owners {
 		m.setOwner(o)
 	}
 }
 
-func most(counts map[string]int) int {
+func maxCount(counts map[string]int) int {
 	n := 0
 	for _, count := range counts {
 		n = max(n, count)
@@ -99,17 +99,18 @@
 	return n
 }
 
-// Every daemon pinged every owner, so that with 585 daemons an owner got 2,336 pings a second,
-// and while the store was silent every daemon pinged every other one. What a daemon sends must
-// not grow with their number, and what an owner gets no more than chance makes it.
+// Guards against pings that grow with the number of daemons. Every daemon pinged every owner, so
+// that with 585 daemons an owner received 2,336 pings per second, and while the store did not
+// answer every daemon pinged every other one. The pings that a daemon sends must not grow with the
+// number of daemons, and those that an owner receives only within random variation.
 func TestPingsDoNotGrowWithDaemons(t *testing.T) {
 	g := NewWithT(t)
 	const sentMost, gotMost = growthPools + probesPerHall*growthHalls, growthPools*pingersPerOwner + 12*probesPerHall*growthHalls
 	for _, size := range growthSizes {
-		c := newCrowd(size)
+		c := newCluster(size)
 		out, in := c.round("")
-		g.Expect(most(out)).To(BeNumerically("<=", sentMost), "sent, %d daemons", size)
-		g.Expect(most(in)).To(BeNumerically("<=", gotMost), "received, %d daemons", size)
+		g.Expect(maxCount(out)).To(BeNumerically("<=", sentMost), "sent, %d daemons", size)
+		g.Expect(maxCount(in)).To(BeNumerically("<=", gotMost), "received, %d daemons", size)
 		for n := range 10 {
 			m := c.members[fmt.Sprintf("d%04d", n)]
 			g.Expect(len(m.pingTargets(true))).To(BeNumerically("<=", sentMost+maxSearchPings))
@@ -117,32 +118,32 @@
 	}
 }
 
-// An owner that turns away nobody's search has to be found by one that the store turns away,
-// whichever daemons still reach it.
-func TestSearchReachesEverybody(t *testing.T) {
+// An owner without the store must find any daemon that still reaches it: the search must
+// eventually ping all daemons.
+func TestSearchReachesAllDaemons(t *testing.T) {
 	g := NewWithT(t)
-	c := newCrowd(400)
+	c := newCluster(400)
 	m := c.members["d0000"]
-	asked := map[string]bool{}
+	pinged := map[string]bool{}
 	for range 400 / maxSearchPings {
 		for address := range m.pingTargets(true) {
-			asked[address] = true
+			pinged[address] = true
 		}
 	}
-	g.Expect(asked).To(HaveLen(399))
+	g.Expect(pinged).To(HaveLen(399))
 }
 
-// News of few daemons reaches all in a number of rounds of pings that grows with the logarithm
-// of their number: that an owner doesn't answer, and that a pool has another owner.
-func TestNewsReachesAllDaemons(t *testing.T) {
+// What a few daemons know must reach all in a number of ping rounds that grows with the logarithm
+// of the number of daemons: that an owner does not answer, and that a pool has a new owner.
+func TestGossipReachesAllDaemons(t *testing.T) {
 	g := NewWithT(t)
 	for _, size := range growthSizes {
-		most := int(math.Ceil(math.Log2(float64(size))/2)) + 1
-		c := newCrowd(size)
+		maxRounds := int(math.Ceil(math.Log2(float64(size))/2)) + 1
+		c := newCluster(size)
 		dead := "d0000"
 		rounds := 0
 		for unaware := size; unaware > 0; rounds++ {
-			g.Expect(rounds).To(BeNumerically("<=", most), "doubt, %d daemons", size)
+			g.Expect(rounds).To(BeNumerically("<=", maxRounds), "suspicion, %d daemons", size)
 			c.round(dead)
 			unaware = 0
 			for at, m := range c.members {
@@ -158,7 +159,7 @@
 		c.members[newer.Address].RecordOwner(newer)
 		rounds = 0
 		for unaware := size; unaware > 0; rounds++ {
-			g.Expect(rounds).To(BeNumerically("<=", most), "ownership, %d daemons", size)
+			g.Expect(rounds).To(BeNumerically("<=", maxRounds), "new owner, %d daemons", size)
 			c.round("")
 			unaware = 0
 			for _, m := range c.members {
@@ -170,10 +171,11 @@
 	}
 }
 
-// A doubt ends when the owner answers those who ping it, and is passed on with its age.
-func TestDoubtsEnd(t *testing.T) {
+// A suspicion must expire once the owner answers pings again. It is gossiped with its age, so that
+// daemons cannot renew it for each other.
+func TestSuspicionsExpire(t *testing.T) {
 	g := NewWithT(t)
-	c := newCrowd(200)
+	c := newCluster(200)
 	dead := "d0000"
 	for range 4 {
 		c.round(dead)
@@ -190,10 +192,10 @@
 	}
 }
 
-// A watch of the members decodes what has changed, not every record at every change.
+// Only new and changed records must be decoded after a change, not all of them.
 func TestRecordsAreDecodedOnce(t *testing.T) {
 	g := NewWithT(t)
-	m := newCrowd(50).members["d0000"]
+	m := newCluster(50).members["d0000"]
 	m.live, m.lastKnown = map[tw.DaemonID]DaemonRecord{}, map[tw.DaemonID]DaemonRecord{}
 	items := map[tw.Key]tw.KVItem{}
 	for n := range 50 {
@@ -213,17 +215,17 @@
 	g.Expect(m.live).To(HaveLen(49))
 }
 
-// The daemons that give orders for another one are few however many there are, own nothing
-// themselves, and are others for each daemon.
-func TestNearIsBounded(t *testing.T) {
+// The number of daemons that relay orders for another one must not grow with the number of
+// daemons. They must not own pools themselves, and must differ between the daemons served.
+func TestRelayCandidatesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	for _, size := range growthSizes {
-		c := newCrowd(size)
+		c := newCluster(size)
 		used := map[string]bool{}
 		for owner := range c.owners {
-			near := c.members[owner].RelayCandidates("0")
-			g.Expect(len(near)).To(BeNumerically("<=", maxRelayCandidates))
-			for _, address := range near {
+			relays := c.members[owner].RelayCandidates("0")
+			g.Expect(len(relays)).To(BeNumerically("<=", maxRelayCandidates))
+			for _, address := range relays {
 				g.Expect(address).NotTo(Equal(owner))
 				g.Expect(c.owners).NotTo(HaveKey(address))
 				used[address] = true
--- a/member/live.go
+++ b/member/live.go
@@ -15,13 +15,13 @@
 )
 
 type (
-	// DaemonRecord is a daemon's record that it lives, kept under a lease.
+	// DaemonRecord is the record that a daemon publishes under a lease while it is live.
 	DaemonRecord struct {
 		Daemon      tw.DaemonID    `json:"daemon"`
 		Incarnation tw.Incarnation `json:"life"`
 		Address     string         `json:"address"` // of its peer service
 		Hall        tw.HallID      `json:"hall"`
-		// Cores is the share of processor cores that the daemon has.
+		// Cores is the number of processor cores available to the daemon.
 		Cores tw.Cores `json:"cores"`
 	}
 
@@ -35,7 +35,8 @@
 		MinTTL time.Duration
 	}
 
-	// Presence keeps this daemon's record in the store.
+	// Presence publishes this daemon's record in the store and renews its
+	// lease.
 	Presence struct {
 		config     PresenceConfig
 		cancel     context.CancelFunc
@@ -44,20 +45,20 @@
 
 		mu    sync.Mutex
 		lease tw.KVLeaseID
-		// lastAnswer is when the store last lastAnswer a call about the record.
+		// lastAnswer is the time of the last successful write or renewal.
 		lastAnswer time.Time
 	}
 )
 
 const (
-	// presenceTTL: a daemon that fell silent counts as gone after this. It
-	// bounds how long its pools are without an owner. A slow store answers
-	// in 240 ms, so a renewal every renewEvery has several tries.
+	// presenceTTL is the TTL of the record's lease. It limits how long the
+	// pools of a failed daemon have no owner. A slow store answers in 240 ms,
+	// so that several renewals, one per renewInterval, fit into it.
 	presenceTTL   = 1500 * time.Millisecond
 	renewInterval = 400 * time.Millisecond
 )
 
-// New starts to keep the record; Close ends that and removes it.
+// New starts publishing the record. Close stops it and removes the record.
 func (c PresenceConfig) New() *Presence {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Presence{config: c, cancel: cancel, done: make(chan struct{}), reannounce: make(chan struct{}, 1)}
@@ -68,21 +69,21 @@
 	return p
 }
 
-// Reannounce has the record written anew, as it was found missing.
+// Reannounce requests that the record, found to be missing, is written again.
 func (p *Presence) Reannounce() {
 	select {
 	case p.reannounce <- struct{}{}:
-	default: // asked for already
+	default: // already requested
 	}
 }
 
-// Close ends the duty and removes the record.
+// Close stops the renewals and removes the record.
 func (p *Presence) Close(ctx context.Context) {
 	p.cancel()
 	<-p.done
 	if lease := p.currentLease(); lease != 0 {
 		if err := p.config.KV.Revoke(ctx, lease); err != nil {
-			p.config.Log.Warn("presence: record not removed, its lease will run out", logsink.Err(err))
+			p.config.Log.Warn("presence: record not removed, its lease will expire", logsink.Err(err))
 		}
 	}
 }
@@ -99,9 +100,9 @@
 	p.lease = lease
 }
 
-// LastAnswer is when the store last took a call of this duty. It makes one
-// each renewEvery, so that this tells sooner than a watch whether the store
-// can be reached.
+// LastAnswer returns the time of the last successful write or renewal. As there
+// is a renewal per renewInterval, it shows the loss of the store sooner than a
+// watch does.
 func (p *Presence) LastAnswer() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +135,7 @@
 func (p *Presence) announce(ctx context.Context) {
 	lease, ttl, err := p.config.KV.Grant(ctx, max(presenceTTL, p.config.MinTTL))
 	if err != nil {
-		return // the watches say that the store does not answer
+		return // the watchers log that the store does not answer
 	}
 	value, err := json.Marshal(p.config.Self)
 	if err != nil {
@@ -156,7 +157,7 @@
 		p.recordAnswer()
 	}
 	if errors.Is(err, tw.ErrNotFound) {
-		p.config.Log.Warn("presence: lease is over, announced anew")
+		p.config.Log.Warn("presence: lease expired, announcing again")
 		p.setLease(0)
 		p.announce(ctx)
 	}
--- a/member/members.go
+++ b/member/members.go
@@ -24,32 +24,33 @@
 		Log   *zap.Logger
 		Self  DaemonRecord
 		Peers Pinger
-		// Presence is told when this daemon's record is missing.
+		// Presence publishes this daemon's record. It is asked to write the
+		// record again if the store has lost it.
 		Presence *Presence
 		// Pools lists the pools that need an owner.
 		Pools func() []tw.PoolID
 		// OwnedPools lists the pools that this daemon owns.
 		OwnedPools func() []tw.PoolID
-		// ConfigVersion is the configuration that this daemon has in force.
+		// ConfigVersion is the version of this daemon's active configuration.
 		ConfigVersion func() tw.Version
-		// Evacuations are the evacuated halls as far as this daemon knows, and
-		// HeardEvacuations is called with what a peer knows.
+		// Evacuations returns the evacuated halls known to this daemon, and
+		// OnEvacuations is called with those known to a peer.
 		Evacuations   func() *tw.Evacuations
-		OnEvacuations func(heard *tw.Evacuations, address string)
-		// TakeOver is called when this daemon should take a pool over. It must
-		// return at once.
-		TakeOver func(pool tw.PoolID, why string)
+		OnEvacuations func(evacuations *tw.Evacuations, address string)
+		// TakeOver is called when this daemon should take over a pool. It must not
+		// block.
+		TakeOver func(pool tw.PoolID, reason string)
 		// OnNewerConfig is called when a peer has a newer configuration.
 		OnNewerConfig func(address string, version tw.Version)
 	}
 
-	// Pinger asks another daemon whether it lives. It fails with tw.ErrGone if no
-	// process listens there.
+	// Pinger pings another daemon. It fails with tw.ErrNotListening if no process
+	// listens at the address.
 	Pinger interface {
 		Ping(ctx context.Context, address string, m PingRequest) (*PingResponse, error)
 	}
 
-	// Members knows the other daemons.
+	// Members tracks the other daemons and the owners of the pools.
 	Members struct {
 		config  Config
 		watcher *Watcher
@@ -59,94 +60,100 @@
 
 		mu   sync.Mutex
 		live map[tw.DaemonID]DaemonRecord
-		// lastKnown are all daemons that were ever seen to live.
+		// lastKnown holds the last record of every daemon that was ever live.
 		lastKnown map[tw.DaemonID]DaemonRecord
 		owners    map[tw.PoolID]ledger.Owner
-		// pingStates are the daemons that this one pings.
+		// pingStates holds the state of the daemons that this one pings, by address.
 		pingStates map[string]*pingState
-		// suspicions are the addresses of owners that don't answer by the word of others, with
-		// the time of the last ping without an answer.
+		// suspicions holds the suspicions of other daemons: the time of the last unanswered
+		// ping, by the address of the owner.
 		suspicions map[string]time.Time
-		// pingedPools tells of the pools that were asked about whether this daemon pings their
-		// owners; witnesses are the other addresses that it pings, others those of all daemons
-		// in the order in which it pings them. All are nil until they are worked out anew.
+		// pingedPools caches for which pools this daemon pings the owner. hallProbes lists
+		// the addresses that it pings in each hall, searchOrder all addresses in the order
+		// in which a search pings them. They are nil when they must be computed again.
 		pingedPools             map[tw.PoolID]bool
 		hallProbes, searchOrder []string
-		// searchNext counts the others that were pinged to find one that reaches the store.
+		// searchNext is the index in searchOrder, modulo its length, of the next daemon to
+		// ping in search of one that reaches the store.
 		searchNext int
-		// records are the members' records as decoded, by key.
+		// records caches the decoded records of the members, by key.
 		records map[tw.Key]cachedRecord
-		// orphanedAt is when a pool was first seen without a living owner.
+		// orphanedAt is the time at which a pool was first found to have no live owner.
 		orphanedAt map[tw.PoolID]time.Time
-		// poolLostAt is when this daemon last lost a pool to another.
+		// poolLostAt is the time at which this daemon last lost a pool to another one.
 		poolLostAt map[tw.PoolID]time.Time
-		// isolated: neither the store nor another hall answers. connected ends
-		// when that begins, by disconnect.
+		// isolated is true while neither the store nor another hall answers.
+		// cancelConnected cancels connectedCtx when that begins.
 		isolated        bool
 		connectedCtx    context.Context
 		cancelConnected context.CancelFunc
 	}
 
-	// cachedRecord is a member's cachedRecord, decoded once a revision; live is nil for another kind, and
-	// for one that can't be read.
+	// cachedRecord is an item below the members' prefix, decoded once per revision. daemon is nil
+	// for records of another kind and for invalid ones.
 	cachedRecord struct {
 		revision tw.KVRevision
 		daemon   *DaemonRecord
 	}
 
-	// pingState is what pings say of a daemon at an address.
+	// pingState holds the ping results of the daemon at an address.
 	pingState struct {
 		inFlight bool
-		// quietSince is when it last quietSince, or when it was first pinged.
+		// quietSince is the time of the last answer, or of the first ping if there is none.
 		quietSince time.Time
-		// lastAnswer is when it last answered; zero if it never did.
-		lastAnswer   time.Time
+		// lastAnswer is the time of the last answer; zero if there is none.
+		lastAnswer time.Time
+		// failingSince is the time of the first failed ping since the last answer; zero if
+		// the last ping was answered.
 		failingSince time.Time
-		// lastFailure is when a ping last remained without an answer.
-		lastFailure  time.Time
+		// lastFailure is the time of the last failed ping.
+		lastFailure time.Time
+		// refusedInRow counts consecutive refused connections.
 		refusedInRow int
-		// storeReachable: the daemon reaches the metadata store.
+		// storeReachable is true if the daemon reaches the metadata store.
 		storeReachable bool
 	}
 )
 
 const (
-	// pingInterval is the pace of pings to owners; a killed owner is noticed
-	// after two that are refused.
+	// pingInterval is the interval between pings to an owner. A killed owner is
+	// detected after two refused pings.
 	pingInterval = 250 * time.Millisecond
 	pingTimeout  = 700 * time.Millisecond
-	// refusalsUntilDown refused connections in a row.
+	// refusalsUntilDown is the number of consecutive refused connections after
+	// which a daemon's process is considered gone.
 	refusalsUntilDown = 2
-	// watchWait is how long one watch of the members waits.
+	// watchWait is the timeout of one watch of the members.
 	watchWait = 3 * time.Second
-	// watchGapPerMember for each member passes between two watches, so that the answers that all
-	// members get in a second while there are changes don't grow with their number.
+	// watchGapPerMember is the pause between two watches per member, so that the number of watch
+	// responses per second to all members together does not grow with their number.
 	watchGapPerMember = 200 * time.Microsecond
-	// pingStateTTL is how long what pings told of a daemon counts that isn't pinged any more.
+	// pingStateTTL is how long the ping results of a daemon are kept after the last ping.
 	pingStateTTL = 2 * time.Second
-	// startupGrace is how long after its start a daemon waits for the others
-	// to announce themselves before it takes a pool that it did not own before;
-	// all start within 0.3 s.
+	// startupGrace is the time after its start during which a daemon waits for
+	// the others to announce themselves and takes no pool that it did not own
+	// before. All daemons start within 0.3 s.
 	startupGrace = 1200 * time.Millisecond
-	// startupInterval is the pace of the duty during that time: the records and the
-	// configuration arrive at any moment of it, some milliseconds after the start.
+	// startupInterval is the interval of the main loop during that time. Records and
+	// configuration arrive some milliseconds after the start.
 	startupInterval = 50 * time.Millisecond
-	// candidateDelay is the head start of each candidate over the next one.
+	// candidateDelay is the delay between the takeover attempts of successive
+	// candidates for a pool.
 	candidateDelay = 500 * time.Millisecond
-	// retakeDelay keeps a daemon that lost a pool from taking it back at once,
-	// so that two halls cut from each other do not take turns.
+	// retakeDelay is how long a daemon that lost a pool does not take it back, so
+	// that two halls partitioned from each other do not take it alternately.
 	retakeDelay = 5 * time.Second
-	// recordMissingTimeout: a record must be missing for so long while the store
-	// answers before its daemon counts as gone; a daemon that lives writes
-	// it anew within renewEvery.
+	// recordMissingTimeout is how long a record must be missing, while the store answers,
+	// before its daemon counts as gone. A live daemon writes it again within
+	// renewInterval.
 	recordMissingTimeout = 1200 * time.Millisecond
-	// storeAnswerTimeout: without an answer for so long a daemon does not count as one
-	// that reaches the store. It renews its record each renewEvery, which takes
-	// up to 300 ms with a slow store.
+	// storeAnswerTimeout is the time without an answer after which the store counts as
+	// unreachable. A renewal starts every renewInterval and takes up to 300 ms
+	// with a slow store.
 	storeAnswerTimeout = 900 * time.Millisecond
 )
 
-// New starts to follow the members; Close ends it.
+// New starts tracking the members. Close stops it.
 func (c Config) New() *Members {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Members{
@@ -165,7 +172,7 @@
 	return m
 }
 
-// Close ends the duty.
+// Close stops the pings and the watch.
 func (m *Members) Close() {
 	m.cancel()
 	<-m.done
@@ -175,7 +182,7 @@
 	m.cancelConnected()
 }
 
-// Owner is who owns a pool, as far as known.
+// Owner returns the owner of a pool, if known.
 func (m *Members) Owner(pool tw.PoolID) (ledger.Owner, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -183,7 +190,7 @@
 	return o, found
 }
 
-// AddressOf is where a daemon was last known to answer its peers.
+// AddressOf returns the last known address of a daemon's peer service.
 func (m *Members) AddressOf(daemon tw.DaemonID) (string, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,21 +198,21 @@
 	return l.Address, known
 }
 
-// NotePoolLost notes that this daemon has lost a pool to another.
+// NotePoolLost records that this daemon lost a pool to another one.
 func (m *Members) NotePoolLost(pool tw.PoolID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.poolLostAt[pool] = m.config.Clock.Now()
 }
 
-// RecordOwner notes an ownership before the store's watch tells of it.
+// RecordOwner records the owner of a pool before the watch reports it.
 func (m *Members) RecordOwner(o ledger.Owner) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.setOwner(o)
 }
 
-// setOwner keeps the newer of two ownerships.
+// setOwner stores the owner of a pool unless one with a higher fencing token is known.
 func (m *Members) setOwner(o ledger.Owner) {
 	if have, found := m.owners[o.Pool]; found && have.Fence > o.Fence {
 		return
@@ -218,7 +225,7 @@
 	m.owners[o.Pool] = o
 }
 
-// applyRecords takes up the records in the store.
+// applyRecords updates the members from the records in the store.
 func (m *Members) applyRecords(items map[tw.Key]tw.KVItem, _ tw.KVRevision) {
 	live := make(map[tw.DaemonID]DaemonRecord, len(items))
 	records := make(map[tw.Key]cachedRecord, len(items))
@@ -241,7 +248,7 @@
 	m.pingedPools, m.hallProbes, m.searchOrder = nil, nil, nil
 }
 
-// readRecord decodes a record that is new or has changed, and takes up an ownership.
+// readRecord decodes a new or changed record. If it is the owner of a pool, it is stored.
 func (m *Members) readRecord(key tw.Key, item tw.KVItem) cachedRecord {
 	out := cachedRecord{revision: item.Revision}
 	switch {
@@ -266,7 +273,7 @@
 func (m *Members) logLivenessChanges(live map[tw.DaemonID]DaemonRecord) {
 	for id, l := range live {
 		if have, found := m.live[id]; !found || have.Incarnation != l.Incarnation {
-			m.config.Log.Info("member: daemon lives", zap.String("daemon", string(id)), zap.Uint64("life", uint64(l.Incarnation)))
+			m.config.Log.Info("member: daemon is live", zap.String("daemon", string(id)), zap.Uint64("life", uint64(l.Incarnation)))
 		}
 	}
 	for id := range m.live {
@@ -279,14 +286,14 @@
 func (m *Members) run(ctx context.Context) {
 	var pinged time.Time
 	for {
-		pace := pingInterval
+		interval := pingInterval
 		if m.inStartupGrace(m.config.Clock.Now()) {
-			pace = startupInterval
+			interval = startupInterval
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.config.Clock.After(pace):
+		case <-m.config.Clock.After(interval):
 		}
 		now := m.config.Clock.Now()
 		if now.Sub(pinged) >= pingInterval {
@@ -301,10 +308,10 @@
 	}
 }
 
-// checkPresence has this daemon's record written anew if the store has lost it.
+// checkPresence has this daemon's record written again if the store has lost it.
 func (m *Members) checkPresence(now time.Time) {
-	settled := m.watcher.AnsweringSince()
-	if settled.IsZero() || now.Sub(settled) < recordMissingTimeout {
+	answeringSince := m.watcher.AnsweringSince()
+	if answeringSince.IsZero() || now.Sub(answeringSince) < recordMissingTimeout {
 		return
 	}
 	m.mu.Lock()
@@ -315,20 +322,20 @@
 	}
 }
 
-// sendPings asks the owners that this daemon watches, and some others, whether they live.
+// sendPings pings the owners that are assigned to this daemon, and some other daemons.
 func (m *Members) sendPings(ctx context.Context, now time.Time) {
 	search := !m.StoreReachable() && len(m.config.OwnedPools()) > 0
 	request := PingRequest{From: m.config.Self.Daemon, ConfigVersion: m.config.ConfigVersion(), Evacuations: m.config.Evacuations()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	request.Suspicions, request.OwnersDigest = m.suspectedOwners(now), m.ownersDigest()
-	asked := m.pingTargets(search)
+	targets := m.pingTargets(search)
 	for address, c := range m.pingStates {
-		if !asked[address] && !c.inFlight && now.Sub(c.quietSince) > pingStateTTL {
+		if !targets[address] && !c.inFlight && now.Sub(c.quietSince) > pingStateTTL {
 			delete(m.pingStates, address)
 		}
 	}
-	for address := range asked {
+	for address := range targets {
 		c := m.pingStates[address]
 		if c == nil {
 			c = &pingState{quietSince: now}
--- a/member/members_test.go
+++ b/member/members_test.go
@@ -12,9 +12,9 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// A daemon that lost the store says so before its waiting watch ends, so that
-// nobody asks it to take a pool.
-func TestStoreAnswersEndsWithRenewals(t *testing.T) {
+// A daemon that lost the store must report so before its current watch call
+// times out, so that no other daemon asks it to take over a pool.
+func TestStoreReachableFollowsRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kv := standin.KVConfig{Latency: time.Millisecond}.New()
@@ -23,7 +23,7 @@
 		time.Sleep(time.Second)
 		g.Expect(m.StoreReachable()).To(BeTrue())
 		kv.SetFaults(standin.KVFaults{Down: true})
-		time.Sleep(950 * time.Millisecond) // its record's lease has not run out yet
+		time.Sleep(950 * time.Millisecond) // the lease of its record has not expired yet
 		g.Expect(m.StoreReachable()).To(BeFalse())
 		kv.SetFaults(standin.KVFaults{})
 		time.Sleep(1500 * time.Millisecond)
--- a/member/messages.go
+++ b/member/messages.go
@@ -8,117 +8,118 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// Outcome says how a call to a pool's owner ended.
+// Outcome is the result of a call to a pool's owner.
 type Outcome string
 
 // Outcomes of calls between daemons.
 const (
 	OutcomeDone     Outcome = "done"
 	OutcomeNotOwner Outcome = "not-owner"
-	// OutcomeNotApplied proves that nothing was done.
+	// OutcomeNotApplied means that the call certainly had no effect.
 	OutcomeNotApplied Outcome = "not-taken"
-	// OutcomeBusy proves so too: the owner has accepted all that it can start in time.
+	// OutcomeBusy means the same: the owner's backlog is as large as it can start in time.
 	OutcomeBusy      Outcome = "busy"
 	OutcomeAmbiguous Outcome = "unclear"
 	OutcomeUnknown   Outcome = "unknown"
 )
 
 type (
-	// PingRequest asks whether a daemon lives.
+	// PingRequest checks whether a daemon is live and carries the sender's gossip.
 	PingRequest struct {
 		From          tw.DaemonID `json:"from"`
 		ConfigVersion tw.Version  `json:"config"`
-		// Evacuations are the evacuated halls as far as the asker knows.
+		// Evacuations are the evacuated halls known to the sender.
 		Evacuations *tw.Evacuations `json:"evacuations,omitempty"`
-		// Suspicions are the owners that don't answer as far as the asker knows, Owners is a
-		// digest of the ownerships that it knows.
+		// Suspicions lists the owners that the sender suspects. OwnersDigest is a digest
+		// of the pool owners that it knows.
 		Suspicions   []Suspicion `json:"doubts,omitempty"`
 		OwnersDigest uint64      `json:"owners,omitempty"`
 	}
 
-	// PingResponse is a daemon's word of itself.
+	// PingResponse describes the daemon that answers and carries its gossip.
 	PingResponse struct {
 		Daemon        tw.DaemonID    `json:"daemon"`
 		Incarnation   tw.Incarnation `json:"life"`
 		ConfigVersion tw.Version     `json:"config"`
-		// Evacuations are the evacuated halls as far as the daemon knows.
+		// Evacuations are the evacuated halls known to the daemon.
 		Evacuations *tw.Evacuations `json:"evacuations,omitempty"`
-		// Owned are the pools that the daemon owns.
+		// Owned lists the pools that the daemon owns.
 		Owned []ledger.Owner `json:"owned"`
-		// Suspicions are the owners that don't answer as far as the daemon knows.
+		// Suspicions lists the owners that the daemon suspects.
 		Suspicions []Suspicion `json:"doubts,omitempty"`
-		// Owners are all ownerships that the daemon knows, if the asker knows others.
+		// Owners lists all pool owners known to the daemon, if the sender's digest
+		// differs.
 		Owners []ledger.Owner `json:"owners,omitempty"`
-		// StoreReachable: the daemon reaches the metadata store.
+		// StoreReachable is true if the daemon reaches the metadata store.
 		StoreReachable bool `json:"store_answers"`
 	}
 
-	// ConfigRequest asks for the configuration that a daemon has.
+	// ConfigRequest requests a daemon's configuration.
 	ConfigRequest struct{}
 
-	// ConfigResponse holds it; nil if the daemon has none. Keys of callers are in it
-	// as digests alone.
+	// ConfigResponse holds the configuration; nil if the daemon has none. It contains
+	// only digests of the callers' keys.
 	ConfigResponse struct {
 		Config *tw.QueueConfig `json:"config"`
 	}
 
-	// SubmitRequest hands a submission to the owner of its pool.
+	// SubmitRequest submits a submission to the owner of its pool.
 	SubmitRequest struct {
 		Submission tw.Submission `json:"submission"`
 	}
 
-	// SubmitResponse says whether it is kept.
+	// SubmitResponse says whether the submission was accepted.
 	SubmitResponse struct {
 		Outcome Outcome `json:"outcome"`
-		// RetryAfter is when to come back to an owner that is busy.
+		// RetryAfter is the time after which to retry if the owner is busy.
 		RetryAfter time.Duration `json:"retryAfter,omitempty"`
 	}
 
-	// SubmissionRequest is about one submission of a pool, for the organisation that
-	// asks: it is told of no other's.
+	// SubmissionRequest refers to one submission of a pool. Submissions of an
+	// organisation other than Organisation are treated as nonexistent.
 	SubmissionRequest struct {
 		Pool         tw.PoolID         `json:"pool"`
 		ID           tw.SubmissionID   `json:"id"`
 		Organisation tw.OrganisationID `json:"organisation,omitempty"`
 	}
 
-	// SubmissionResponse tells its state, or how a cancel ended.
+	// SubmissionResponse holds the state of a submission, or the result of a cancel.
 	SubmissionResponse struct {
 		Outcome Outcome            `json:"outcome"`
 		State   tw.SubmissionState `json:"state,omitempty"`
 	}
 
-	// WaitingRequest asks for the count of a route's waiting submissions.
+	// WaitingRequest requests the number of waiting submissions of a route.
 	WaitingRequest struct {
 		Pool  tw.PoolID    `json:"pool"`
 		Route tw.RouteName `json:"route"`
 	}
 
-	// WaitingResponse is the answer.
+	// WaitingResponse is the response to a WaitingRequest.
 	WaitingResponse struct {
 		Outcome Outcome `json:"outcome"`
 		Count   int     `json:"count"`
 	}
 
-	// TakeRequest asks a daemon to take a pool over.
+	// TakeRequest asks a daemon to take over a pool.
 	TakeRequest struct {
 		Pool tw.PoolID `json:"pool"`
-		// Fence is that of the owner who asks; zero if it names none. A daemon
-		// that knows of a newer owner does not take the pool from that one.
+		// Fence is the fencing token of the requesting owner, or zero. A daemon
+		// that knows an owner with a higher token ignores the request.
 		Fence tw.FencingToken `json:"fence"`
 	}
 
-	// TakeResponse says that it will.
+	// TakeResponse acknowledges a TakeRequest.
 	TakeResponse struct{}
 
-	// ReportRequest asks a pool's owner how busy the pool is, and gives it
-	// directions.
+	// ReportRequest requests the load of a pool from its owner and carries
+	// directions for it.
 	ReportRequest struct {
 		Pool       tw.PoolID      `json:"pool"`
 		Directions run.Directions `json:"directions"`
 	}
 
-	// ReportResponse is the answer.
+	// ReportResponse is the response to a ReportRequest.
 	ReportResponse struct {
 		Outcome Outcome    `json:"outcome"`
 		Report  run.Report `json:"report"`
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -20,49 +20,50 @@
 const (
 	modelHalls = 3
 	modelPools = 6
-	// confirmPace is how often a daemon of the model writes to a book it owns.
-	confirmPace = 300 * time.Millisecond
-	// pingTime is the way of a ping and back.
+	// confirmInterval is the interval at which a daemon writes to a ledger it owns.
+	confirmInterval = 300 * time.Millisecond
+	// pingTime is the round-trip time of a ping.
 	pingTime = 3 * time.Millisecond
-	// callTime is how long a call into a cut hangs.
-	callTime = 700 * time.Millisecond
+	// callTimeout is the time after which a call across a partition fails.
+	callTimeout = 700 * time.Millisecond
 )
 
 type (
-	// fleet is daemons on one store, each with its real membership and ledgers;
-	// only the network between them is made up.
+	// fleet is a set of daemons with a common store. Their Members and ledgers
+	// are real; the network between them is simulated.
 	fleet struct {
 		kv      *standin.KV
 		pools   []tw.PoolID
 		daemons []*modelDaemon
 
 		mu sync.Mutex
-		// cut are the pairs of which the first does not reach the second. The
-		// store's name is "".
+		// cut contains the pairs of which the first does not reach the second.
+		// The store has the id "".
 		cut map[[2]tw.DaemonID]bool
 		// taken counts the takeovers of each pool.
 		taken map[tw.PoolID]int
 	}
 
-	// modelDaemon is a daemon, or the place where one was killed.
+	// modelDaemon is a simulated daemon, which may be down.
 	modelDaemon struct {
 		fleet *fleet
 		id    tw.DaemonID
 		hall  int
 
-		mu       sync.Mutex
-		life     tw.Incarnation
-		up       bool
-		owned    map[tw.PoolID]ledger.Owner
-		members  *member.Members
-		presence *member.Presence
-		ctx      context.Context
-		kill     context.CancelFunc
-		duties   sync.WaitGroup
+		mu          sync.Mutex
+		incarnation tw.Incarnation
+		up          bool
+		owned       map[tw.PoolID]ledger.Owner
+		members     *member.Members
+		presence    *member.Presence
+		ctx         context.Context
+		kill        context.CancelFunc
+		background  sync.WaitGroup
 	}
 
-	// cutKV is the store as one life of a daemon reaches it.
-	cutKV struct {
+	// partitionedKV is the store as seen by one incarnation of a daemon. Calls fail
+	// while the daemon is down or partitioned from the store.
+	partitionedKV struct {
 		tw.KV
 		d   *modelDaemon
 		ctx context.Context
@@ -111,9 +112,9 @@
 	return n
 }
 
-// cutHall cuts a hall from the others and from the store, both ways or only
-// outwards.
-func (f *fleet) cutHall(hall int, oneWay bool) {
+// partitionHall partitions a hall from the others and from the store, in both
+// directions or, if oneWay is true, only for outgoing messages.
+func (f *fleet) partitionHall(hall int, oneWay bool) {
 	for _, in := range f.daemons {
 		if in.hall != hall {
 			continue
@@ -128,7 +129,7 @@
 	}
 }
 
-// owners are the daemons that believe to own a pool.
+// owners lists the running daemons that consider themselves owners of a pool.
 func (f *fleet) owners(pool tw.PoolID) []tw.DaemonID {
 	var out []tw.DaemonID
 	for _, d := range f.daemons {
@@ -139,7 +140,7 @@
 	return out
 }
 
-// unowned lists the pools that no living daemon owns.
+// unowned lists the pools that no running daemon owns.
 func (f *fleet) unowned() []tw.PoolID {
 	var out []tw.PoolID
 	for _, pool := range f.pools {
@@ -168,10 +169,10 @@
 	if !other.up {
 		return nil, tw.ErrNotListening
 	}
-	resp := &member.PingResponse{Daemon: other.id, Incarnation: other.life, StoreReachable: other.members.StoreReachable()}
+	resp := &member.PingResponse{Daemon: other.id, Incarnation: other.incarnation, StoreReachable: other.members.StoreReachable()}
 	resp.Suspicions, resp.Owners = other.members.HandlePing(&ping)
 	for _, o := range other.owned {
-		if o.Fence != 0 { // else it is being taken
+		if o.Fence != 0 { // otherwise the takeover is in progress
 			resp.Owned = append(resp.Owned, o)
 		}
 	}
@@ -195,16 +196,16 @@
 	return out
 }
 
-// start begins a life.
+// start starts a new incarnation of the daemon.
 func (d *modelDaemon) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ctx, d.kill = context.WithCancel(context.Background())
-	d.life++
+	d.incarnation++
 	d.up = true
 	d.owned = map[tw.PoolID]ledger.Owner{}
-	kv := &cutKV{KV: d.fleet.kv, d: d, ctx: d.ctx}
-	self := member.DaemonRecord{Daemon: d.id, Incarnation: d.life, Address: string(d.id), Hall: tw.HallID(fmt.Sprint(d.hall)), Cores: 1}
+	kv := &partitionedKV{KV: d.fleet.kv, d: d, ctx: d.ctx}
+	self := member.DaemonRecord{Daemon: d.id, Incarnation: d.incarnation, Address: string(d.id), Hall: tw.HallID(fmt.Sprint(d.hall)), Cores: 1}
 	clock, log := tw.SystemClock{}, zap.NewNop()
 	d.presence = member.PresenceConfig{KV: kv, Clock: clock, Log: log, Self: self}.New()
 	d.members = member.Config{
@@ -216,7 +217,7 @@
 	}.New()
 }
 
-// crash ends a life without a word: its record stays until its lease ends.
+// crash kills the daemon: its record remains until the lease expires.
 func (d *modelDaemon) crash() {
 	d.mu.Lock()
 	if !d.up {
@@ -227,23 +228,23 @@
 	members, presence, kill := d.members, d.presence, d.kill
 	d.mu.Unlock()
 	kill()
-	d.duties.Wait()
+	d.background.Wait()
 	members.Close()
 	presence.Close(context.Background())
 }
 
-// take opens a pool's book and writes to it until another daemon does.
+// take opens a pool's ledger and writes to it until another daemon takes it over.
 func (d *modelDaemon) take(kv tw.KV, pool tw.PoolID) {
 	d.mu.Lock()
 	_, have := d.owned[pool]
-	ctx, life, members := d.ctx, d.life, d.members
+	ctx, life, members := d.ctx, d.incarnation, d.members
 	if have || !d.up {
 		d.mu.Unlock()
 		return
 	}
 	d.owned[pool] = ledger.Owner{}
 	d.mu.Unlock()
-	d.duties.Go(func() {
+	d.background.Go(func() {
 		self := ledger.Owner{Pool: pool, Daemon: d.id, Address: string(d.id), Incarnation: life}
 		book, err := ledger.Config{KV: kv, Clock: tw.SystemClock{}, Log: zap.NewNop(), Owner: self}.Open(ctx)
 		if err == nil {
@@ -263,7 +264,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(confirmPace):
+			case <-time.After(confirmInterval):
 			}
 			_, err = book.Write(ctx, nil)
 		}
@@ -276,36 +277,36 @@
 	})
 }
 
-// blocked is nil if the store can be reached; else it waits as long as a call
-// into a cut hangs.
-func (k *cutKV) blocked(ctx context.Context) error {
+// blocked returns nil if the store can be reached. Otherwise it fails after
+// callTimeout.
+func (k *partitionedKV) blocked(ctx context.Context) error {
 	if k.ctx.Err() == nil && k.d.fleet.reaches(k.d.id, "") {
 		return nil
 	}
 	select {
-	case <-time.After(callTime):
+	case <-time.After(callTimeout):
 	case <-ctx.Done():
 	case <-k.ctx.Done():
 	}
 	return errors.Wrap(tw.ErrUnavailable, "model: cut from the store")
 }
 
-func (k *cutKV) Get(ctx context.Context, key tw.Key) (tw.KVItem, error) {
+func (k *partitionedKV) Get(ctx context.Context, key tw.Key) (tw.KVItem, error) {
 	if err := k.blocked(ctx); err != nil {
 		return tw.KVItem{}, err
 	}
 	return k.KV.Get(ctx, key)
 }
 
-func (k *cutKV) Range(ctx context.Context, prefix tw.Key) ([]tw.KVItem, tw.KVRevision, error) {
+func (k *partitionedKV) Range(ctx context.Context, prefix tw.Key) ([]tw.KVItem, tw.KVRevision, error) {
 	if err := k.blocked(ctx); err != nil {
 		return nil, 0, err
 	}
 	return k.KV.Range(ctx, prefix)
 }
 
-// Watch hears nothing more once the store is cut off, also if it began before.
-func (k *cutKV) Watch(ctx context.Context, prefix tw.Key, after tw.KVRevision, wait time.Duration) ([]tw.KVEvent, tw.KVRevision, error) {
+// Watch returns no events once the store is cut off, even if the call began before.
+func (k *partitionedKV) Watch(ctx context.Context, prefix tw.Key, after tw.KVRevision, wait time.Duration) ([]tw.KVEvent, tw.KVRevision, error) {
 	events, at, err := k.KV.Watch(ctx, prefix, after, wait)
 	if blocked := k.blocked(ctx); blocked != nil {
 		return nil, 0, blocked
@@ -313,28 +314,28 @@
 	return events, at, err
 }
 
-func (k *cutKV) Commit(ctx context.Context, txn tw.KVTxn) (tw.KVRevision, error) {
+func (k *partitionedKV) Commit(ctx context.Context, txn tw.KVTxn) (tw.KVRevision, error) {
 	if err := k.blocked(ctx); err != nil {
 		return 0, err
 	}
 	return k.KV.Commit(ctx, txn)
 }
 
-func (k *cutKV) Grant(ctx context.Context, ttl time.Duration) (tw.KVLeaseID, time.Duration, error) {
+func (k *partitionedKV) Grant(ctx context.Context, ttl time.Duration) (tw.KVLeaseID, time.Duration, error) {
 	if err := k.blocked(ctx); err != nil {
 		return 0, 0, err
 	}
 	return k.KV.Grant(ctx, ttl)
 }
 
-func (k *cutKV) Renew(ctx context.Context, lease tw.KVLeaseID) error {
+func (k *partitionedKV) Renew(ctx context.Context, lease tw.KVLeaseID) error {
 	if err := k.blocked(ctx); err != nil {
 		return err
 	}
 	return k.KV.Renew(ctx, lease)
 }
 
-func (k *cutKV) Revoke(ctx context.Context, lease tw.KVLeaseID) error {
+func (k *partitionedKV) Revoke(ctx context.Context, lease tw.KVLeaseID) error {
 	if err := k.blocked(ctx); err != nil {
 		return err
 	}
@@ -363,5 +364,5 @@
 		wg.Go(d.crash)
 	}
 	wg.Wait()
-	time.Sleep(pingTime) // pings that were under way end
+	time.Sleep(pingTime) // for pings in flight to end
 }
--- a/member/reach.go
+++ b/member/reach.go
@@ -12,44 +12,46 @@
 )
 
 const (
-	// isolatedAfter: a daemon that has heard nothing for so long from the store
-	// and from other halls can't serve. Answers come each pingEvery, from a slow
-	// store in 240 ms; the balancer takes 2 s more to send callers elsewhere. That
-	// it refuses at once and is not ready then raised the mean worth of days on
-	// which a hall is cut off from 0.510 to 0.528 (30 plays each).
+	// isolatedAfter is the time without an answer from the store and from other
+	// halls after which a daemon considers itself isolated. Pings are answered
+	// every pingInterval, and a slow store answers in 240 ms. The load balancer takes
+	// another 2 s to send callers to another hall. Refusing requests and failing
+	// the readiness check meanwhile raised the mean score of simulated days with a
+	// partitioned hall from 0.510 to 0.528 (30 runs each).
 	isolatedAfter = 600 * time.Millisecond
-	// probesPerHall are the daemons of each hall that are pinged although they own
-	// nothing, so that a hall that is cut off is noticed.
+	// probesPerHall is the number of daemons of each hall that are pinged even if they
+	// own no pool, to detect that a hall is partitioned.
 	probesPerHall = 2
-	// pingersPerOwner ping an owner, however many daemons there are. Those that would take its
-	// pool over first are among them.
+	// pingersPerOwner is the number of daemons that ping an owner, which does not grow with the
+	// number of daemons. They include the first candidates for a takeover.
 	pingersPerOwner = 40
-	// maxSearchPings others are pinged at a time by an owner that the store doesn't answer.
+	// maxSearchPings is the number of other daemons that an owner pings per round while the store
+	// does not answer it.
 	maxSearchPings = 40
 )
 
-// StoreReachable tells whether this daemon reaches the metadata store.
+// StoreReachable reports whether this daemon reaches the metadata store.
 func (m *Members) StoreReachable() bool {
-	silent := m.config.Clock.Now().Sub(m.config.Presence.LastAnswer())
-	return !m.watcher.AnsweringSince().IsZero() && silent < storeAnswerTimeout
+	sinceAnswer := m.config.Clock.Now().Sub(m.config.Presence.LastAnswer())
+	return !m.watcher.AnsweringSince().IsZero() && sinceAnswer < storeAnswerTimeout
 }
 
-// Isolated tells whether this daemon reaches neither the store nor another hall
-// (another daemon, if there is one hall): then it can keep nothing for callers.
+// Isolated reports whether this daemon reaches neither the store nor another hall
+// (or another daemon, if there is only one hall). It cannot accept submissions then.
 func (m *Members) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isolated
 }
 
-// ContextUntilIsolated is a context that ends with ctx or when this daemon becomes
-// isolated, whichever is first. The caller calls stop when it is done.
+// ContextUntilIsolated returns a context that is cancelled when ctx is done or this
+// daemon becomes isolated. The caller must call stop to release it.
 func (m *Members) ContextUntilIsolated(ctx context.Context) (_ context.Context, stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.connectedCtx == nil {
-		return ctx, cancel // the duty does not run
+		return ctx, cancel // m was not created by New
 	}
 	detach := context.AfterFunc(m.connectedCtx, cancel)
 	return ctx, func() {
@@ -58,33 +60,33 @@
 	}
 }
 
-// Unresponsive tells whether the daemon at an address has left the last ping without
-// an answer, so that a call would only wait.
+// Unresponsive reports whether the daemon at an address did not answer the last ping,
+// so that a call would probably time out.
 func (m *Members) Unresponsive(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.unresponsive(address, m.config.Clock.Now())
 }
 
-// checkIsolation brings it up to date whether this daemon is isolated.
+// checkIsolation updates whether this daemon is isolated.
 func (m *Members) checkIsolation(now time.Time) {
 	store := m.config.Presence.LastAnswer()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	heard, others := m.lastAnswerOutsideHall()
-	if store.After(heard) {
-		heard = store
+	lastAnswer, others := m.lastAnswerOutsideHall()
+	if store.After(lastAnswer) {
+		lastAnswer = store
 	}
-	if m.started.After(heard) {
-		heard = m.started
+	if m.started.After(lastAnswer) {
+		lastAnswer = m.started
 	}
-	isolated := others && now.Sub(heard) > isolatedAfter
+	isolated := others && now.Sub(lastAnswer) > isolatedAfter
 	if isolated == m.isolated {
 		return
 	}
 	m.isolated = isolated
 	if isolated {
-		m.config.Log.Warn("member: isolated, neither the store nor another hall answers", zap.Duration("silent", now.Sub(heard)))
+		m.config.Log.Warn("member: isolated, neither the store nor another hall answers", zap.Duration("silent", now.Sub(lastAnswer)))
 		m.cancelConnected()
 		return
 	}
@@ -92,9 +94,10 @@
 	m.connectedCtx, m.cancelConnected = context.WithCancel(context.Background())
 }
 
-// lastAnswerOutsideHall is when a daemon outside this one's hall last answered, and
-// whether there is one. If all daemons are in one hall, it is any other daemon.
-func (m *Members) lastAnswerOutsideHall() (heard time.Time, others bool) {
+// lastAnswerOutsideHall returns the time of the last answer from a daemon outside this
+// one's hall, and whether there is such a daemon. If there is only one hall, it
+// considers all other daemons.
+func (m *Members) lastAnswerOutsideHall() (lastAnswer time.Time, others bool) {
 	oneHall := true
 	for _, l := range m.lastKnown {
 		oneHall = oneHall && l.Hall == m.config.Self.Hall
@@ -104,15 +107,15 @@
 			continue
 		}
 		others = true
-		if c := m.pingStates[l.Address]; c != nil && c.lastAnswer.After(heard) {
-			heard = c.lastAnswer
+		if c := m.pingStates[l.Address]; c != nil && c.lastAnswer.After(lastAnswer) {
+			lastAnswer = c.lastAnswer
 		}
 	}
-	return heard, others
+	return lastAnswer, others
 }
 
-// pingTargets lists the addresses to ping: the owners that this daemon watches, a few daemons of
-// each hall, and some others in turn to search for one that reaches the store.
+// pingTargets returns the addresses to ping: the owners assigned to this daemon, a few daemons of
+// each hall and, if search is true, some others in turn to find one that reaches the store.
 func (m *Members) pingTargets(search bool) map[string]bool {
 	out := map[string]bool{}
 	for _, o := range m.owners {
@@ -139,7 +142,7 @@
 	return out
 }
 
-// chooseHallProbes picks the daemons of each hall that come first in this one's order.
+// chooseHallProbes chooses the daemons of each hall that are first in this daemon's ping order.
 func (m *Members) chooseHallProbes() {
 	type candidate struct {
 		order   uint64
@@ -164,8 +167,8 @@
 	}
 }
 
-// buildSearchOrder works out in which order the other daemons are searched. It differs by daemon, so
-// that they do not all ping the same ones.
+// buildSearchOrder computes the order in which a search pings the other daemons. It differs between
+// daemons, so that they do not all ping the same ones.
 func (m *Members) buildSearchOrder() {
 	order := make(map[string]uint64, len(m.lastKnown))
 	m.searchOrder = make([]string, 0, len(m.lastKnown))
@@ -178,8 +181,8 @@
 	slices.SortFunc(m.searchOrder, func(a, b string) int { return cmp.Or(cmp.Compare(order[a], order[b]), cmp.Compare(a, b)) })
 }
 
-// pingOrder sorts daemons that live before those that do not, else in an order
-// that only this daemon has.
+// pingOrder is a sort key that puts live daemons first and otherwise differs
+// between the daemons that compute it.
 func (m *Members) pingOrder(l DaemonRecord) uint64 {
 	const gone = 1 << 63
 	order := hashPair(string(m.config.Self.Daemon), l.Daemon) &^ gone
--- a/member/reach_test.go
+++ b/member/reach_test.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// isolationCases are what a daemon in the hall "near" reaches.
+// isolationCases list what a daemon in the hall "near" reaches, and whether it is isolated.
 var isolationCases = map[string]struct {
 	other     member.DaemonRecord
 	storeDown bool
@@ -22,7 +22,7 @@
 	"store and other hall":       {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}},
 	"other hall without a store": {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}, storeDown: true},
 	"store without another hall": {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}, cut: true},
-	"neither":                    {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}, storeDown: true, cut: true, want: true},
+	"neither of them":            {other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "far"}, storeDown: true, cut: true, want: true},
 	"another daemon of the only hall": {
 		other: member.DaemonRecord{Daemon: "b", Address: "b:1", Hall: "near"}, storeDown: true,
 	},
--- a/member/rpc.go
+++ b/member/rpc.go
@@ -15,7 +15,7 @@
 	"github.com/tamarindworks/tamarindworks/internal/traffic"
 )
 
-// Procedures of the service between daemons.
+// RPC procedures of the service between daemons.
 const (
 	procedurePing    = "/tamarind.member.v1.MemberService/Ping"
 	procedureConfig  = "/tamarind.member.v1.MemberService/Config"
@@ -29,11 +29,11 @@
 )
 
 type (
-	// jsonCodec lets connect carry plain structs. Messages between daemons
-	// are small, and all daemons of a deployment run the same program.
+	// jsonCodec makes connect encode plain structs as JSON. Messages between
+	// daemons are small, and all daemons of a deployment run the same version.
 	jsonCodec struct{}
 
-	// Handler answers the calls of other daemons.
+	// Handler handles the calls of other daemons.
 	Handler interface {
 		Ping(ctx context.Context, m *PingRequest) (*PingResponse, error)
 		Config(ctx context.Context, m *ConfigRequest) (*ConfigResponse, error)
@@ -43,22 +43,23 @@
 		Waiting(ctx context.Context, m *WaitingRequest) (*WaitingResponse, error)
 		Take(ctx context.Context, m *TakeRequest) (*TakeResponse, error)
 		Report(ctx context.Context, m *ReportRequest) (*ReportResponse, error)
-		// Start gives orders to workers; answer sends one answer.
+		// Start sends orders to workers. It calls answer to stream each result.
 		Start(ctx context.Context, m *StartRequest, answer func(*StartResponse) error) error
 	}
 
-	// Peers calls other daemons. Calls fail with tw.ErrGone (no process
-	// listens there), tw.ErrUnavailable (surely not done) or tw.ErrUnclear.
+	// Peers calls other daemons. Calls fail with tw.ErrNotListening (no process
+	// listens at the address), tw.ErrUnavailable (certainly not executed) or
+	// tw.ErrAmbiguous.
 	Peers struct {
 		http *http.Client
-		// submitOptions are those of the calls that carry submissions.
+		// submitOptions are the options of Submit calls.
 		submitOptions []connect.ClientOption
 
 		mu      sync.Mutex
 		clients map[string]*peerClients
 	}
 
-	// peerClients holds the clients of one daemon.
+	// peerClients holds the RPC clients for one daemon.
 	peerClients struct {
 		ping    *connect.Client[PingRequest, PingResponse]
 		config  *connect.Client[ConfigRequest, ConfigResponse]
@@ -73,16 +74,18 @@
 )
 
 const (
-	// maxIdlePeerConns bounds the idle connections to one daemon.
+	// maxIdlePeerConns is the maximum number of idle connections to one daemon.
 	maxIdlePeerConns = 8
 	peerIdleTimeout  = 90 * time.Second
-	// maxPeerMessage is above the largest configuration in the store.
+	// maxPeerMessage is the maximum message size in bytes. It is above that of the
+	// largest configuration in the store.
 	maxPeerMessage = 4 << 20
-	// compressMinBytes is the size of an answer from which it is compressed, as are the
-	// reports of hundreds of workers. For the short answers to callers and pings the
+	// compressMinBytes is the size in bytes from which responses are compressed, such as
+	// the reports of hundreds of workers. For the short responses to callers and pings,
 	// compression would cost more processor time than the rest of the call.
 	compressMinBytes = 2 << 10
-	// compressRequestMinBytes is the same for what is sent while a link is full.
+	// compressRequestMinBytes is the size in bytes from which requests are compressed when
+	// the bandwidth of a link is scarce.
 	compressRequestMinBytes = 512
 )
 
@@ -95,7 +98,7 @@
 // Unmarshal implements connect.Codec.
 func (jsonCodec) Unmarshal(data []byte, v any) error { return json.Unmarshal(data, v) }
 
-// NewHandler is the HTTP handler for the calls of other daemons.
+// NewHandler returns the HTTP handler for the calls of other daemons.
 func NewHandler(h Handler) http.Handler {
 	mux := http.NewServeMux()
 	serve(mux, procedurePing, h.Ping)
@@ -118,8 +121,8 @@
 		connect.WithCodec(jsonCodec{}), connect.WithReadMaxBytes(maxPeerMessage), connect.WithCompressMinBytes(compressMinBytes)))
 }
 
-// NewPeers makes a client for all daemons; it makes no call yet. The meter counts its bytes;
-// nil counts none.
+// NewPeers returns a client for all daemons. It makes no calls yet. The meter counts the bytes
+// transferred; it may be nil.
 func NewPeers(meter *traffic.Meter) *Peers {
 	transport := &http.Transport{
 		DialContext:         tcp.NewDialer().DialContext,
@@ -130,22 +133,22 @@
 	return &Peers{http: &http.Client{Transport: meter.Transport(transport)}, clients: map[string]*peerClients{}}
 }
 
-// compressRequests has requests compressRequests.
+// compressRequests are the options that compress requests.
 var compressRequests = []connect.ClientOption{connect.WithSendGzip(), connect.WithCompressMinBytes(compressRequestMinBytes)}
 
-// CompressSubmissions spares narrow links, at the cost of processor time. It must be called
-// before any other method.
+// CompressSubmissions enables the compression of submissions, which saves bandwidth on slow
+// links at the cost of processor time. It must be called before any other method.
 func (p *Peers) CompressSubmissions() { p.submitOptions = compressRequests }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (p *Peers) Close() { p.http.CloseIdleConnections() }
 
 func (p *Peers) clientsFor(address string) *peerClients {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	have := p.clients[address]
-	if have == nil {
-		have = &peerClients{
+	client := p.clients[address]
+	if client == nil {
+		client = &peerClients{
 			ping:    newClient[PingRequest, PingResponse](p, address, procedurePing),
 			config:  newClient[ConfigRequest, ConfigResponse](p, address, procedureConfig),
 			submit:  newClient[SubmitRequest, SubmitResponse](p, address, procedureSubmit, p.submitOptions...),
@@ -156,9 +159,9 @@
 			report:  newClient[ReportRequest, ReportResponse](p, address, procedureReport),
 			start:   newClient[StartRequest, StartResponse](p, address, procedureStart, compressRequests...),
 		}
-		p.clients[address] = have
+		p.clients[address] = client
 	}
-	return have
+	return client
 }
 
 func newClient[Req, Resp any](p *Peers, address, procedure string, more ...connect.ClientOption) *connect.Client[Req, Resp] {
@@ -166,48 +169,50 @@
 	return connect.NewClient[Req, Resp](p.http, "http://"+address+procedure, options...)
 }
 
-// Ping asks whether a daemon lives.
+// Ping checks whether a daemon is live.
 func (p *Peers) Ping(ctx context.Context, address string, m PingRequest) (*PingResponse, error) {
 	return call(ctx, p.clientsFor(address).ping, &m)
 }
 
-// Config asks for a daemon's configuration.
+// Config returns a daemon's configuration.
 func (p *Peers) Config(ctx context.Context, address string) (*ConfigResponse, error) {
 	return call(ctx, p.clientsFor(address).config, &ConfigRequest{})
 }
 
-// Submit hands a submission to the owner of its pool.
+// Submit submits a submission to the owner of its pool.
 func (p *Peers) Submit(ctx context.Context, address string, s tw.Submission) (*SubmitResponse, error) {
 	return call(ctx, p.clientsFor(address).submit, &SubmitRequest{Submission: s})
 }
 
-// Cancel asks the owner of a pool to cancel a submission.
+// Cancel has the owner of a pool cancel a submission.
 func (p *Peers) Cancel(ctx context.Context, address string, m SubmissionRequest) (*SubmissionResponse, error) {
 	return call(ctx, p.clientsFor(address).cancel, &m)
 }
 
-// State asks the owner of a pool for a submission's state.
+// State returns a submission's state from the owner of its pool.
 func (p *Peers) State(ctx context.Context, address string, m SubmissionRequest) (*SubmissionResponse, error) {
 	return call(ctx, p.clientsFor(address).state, &m)
 }
 
-// Waiting asks the owner of a pool for the count of waiting submissions.
+// Waiting returns the number of waiting submissions from the owner of a pool.
 func (p *Peers) Waiting(ctx context.Context, address string, m WaitingRequest) (*WaitingResponse, error) {
 	return call(ctx, p.clientsFor(address).waiting, &m)
 }
 
-// Take asks a daemon to take a pool over from the owner with a fence.
+// Take asks a daemon to take over a pool. from is the fencing token of its
+// present owner.
 func (p *Peers) Take(ctx context.Context, address string, pool tw.PoolID, from tw.FencingToken) error {
 	_, err := call(ctx, p.clientsFor(address).take, &TakeRequest{Pool: pool, Fence: from})
 	return err
 }
 
-// Report asks the owner of a pool how busy it is.
+// Report returns the load of a pool from its owner.
 func (p *Peers) Report(ctx context.Context, address string, m ReportRequest) (*ReportResponse, error) {
 	return call(ctx, p.clientsFor(address).report, &m)
 }
 
-// Start has a daemon give a batch of orders to workers.
+// Start has a daemon send a batch of orders to workers. It calls answer with each
+// result as it arrives.
 func (p *Peers) Start(ctx context.Context, address string, batch []tw.RelayedStart, answer func(tw.RelayedAnswer)) error {
 	request := newStartRequest(batch)
 	stream, err := p.clientsFor(address).start.CallServerStream(ctx, connect.NewRequest(&request))
@@ -232,7 +237,7 @@
 	return resp.Msg, nil
 }
 
-// classifyError turns errors of the transport into ours.
+// classifyError wraps a transport error in the matching error of package tw.
 func classifyError(err error) error {
 	switch {
 	case tcp.Refused(err):
--- a/member/start_messages.go
+++ b/member/start_messages.go
@@ -11,13 +11,13 @@
 )
 
 type (
-	// StartRequest is a batch of orders to start that a daemon gives for another one. Its
-	// fields have short names, as it is sent when a link is full.
+	// StartRequest is a batch of start orders that one daemon sends on behalf of another.
+	// Its JSON keys are short because it is used when a link's bandwidth is exhausted.
 	StartRequest struct {
 		Starts []StartOrder `json:"o"`
 	}
 
-	// StartOrder is one order, to a worker of its own.
+	// StartOrder is one order of a batch. Each order goes to a different worker.
 	StartOrder struct {
 		Worker     tw.WorkerID     `json:"w"`
 		Address    string          `json:"a"`
@@ -30,17 +30,17 @@
 		Deadline   tw.WorkerTime   `json:"d"`
 		Checkpoint tw.Checkpoint   `json:"c,omitempty"`
 		Ticket     string          `json:"x,omitempty"`
-		// Spec is missing if an earlier order of the submission has brought it.
+		// Spec is nil if the relay received it with an earlier order of the submission.
 		Spec    *string `json:"p,omitempty"`
 		LimitMs int64   `json:"l"`
 	}
 
-	// StartResponse is the answer to one order of the batch.
+	// StartResponse is the result of one order of the batch.
 	StartResponse struct {
 		Index   int           `json:"n"`
 		Clock   tw.WorkerTime `json:"c,omitempty"`
 		Outcome startOutcome  `json:"o,omitempty"`
-		// Reason is that of a refusal.
+		// Reason is set if the worker refused the order.
 		Reason tw.RefusalReason `json:"r,omitempty"`
 	}
 
@@ -51,8 +51,8 @@
 	startDone    startOutcome = ""
 	startRefused startOutcome = "refused"
 	startNotDone startOutcome = "not-done"
-	// startTimedOut is an order that was not answered in time, startCut one whose connection
-	// to the worker ended.
+	// startTimedOut means that the worker did not answer in time, startConnLost that
+	// the connection to it was closed.
 	startTimedOut    startOutcome = "unclear"
 	startConnLost    startOutcome = "cut"
 	startSpecUnknown startOutcome = "spec-unknown"
@@ -75,7 +75,7 @@
 	return out
 }
 
-// Batch is what the request asks for.
+// Batch returns the decoded orders of the request.
 func (r *StartRequest) Batch() []tw.RelayedStart {
 	out := make([]tw.RelayedStart, len(r.Starts))
 	for n, s := range r.Starts {
@@ -94,7 +94,7 @@
 	return out
 }
 
-// NewStartResponse is the answer as it is sent.
+// NewStartResponse encodes the result of one order.
 func NewStartResponse(a tw.RelayedAnswer) *StartResponse {
 	out := &StartResponse{Index: a.Index, Clock: a.Clock}
 	var refused *tw.OrderRefusedError
--- a/member/start_test.go
+++ b/member/start_test.go
@@ -15,12 +15,12 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// startHandler answers the orders of a batch, and keeps the batch.
+// startHandler sends fixed answers to a batch of orders and records the batch.
 type startHandler struct {
 	member.Handler
 	batch   []tw.RelayedStart
 	answers []tw.RelayedAnswer
-	// wait is closed before the last answer is sent.
+	// wait must be closed before the last answer is sent.
 	wait chan struct{}
 }
 
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// Batches of orders reach the other daemon as they are, and each answer comes as soon as
-// it is known, also where messages are counted.
+// Batches of orders must reach the other daemon unchanged, and each answer must be delivered
+// as soon as it is sent, also through the traffic meters.
 func TestStartsBetweenDaemons(t *testing.T) {
 	g := NewWithT(t)
 	h := &startHandler{wait: make(chan struct{}), answers: []tw.RelayedAnswer{
@@ -66,7 +66,7 @@
 	var got []tw.RelayedAnswer
 	err := peers.Start(t.Context(), server.Listener.Addr().String(), batch, func(a tw.RelayedAnswer) {
 		if got = append(got, a); len(got) == len(h.answers)-1 {
-			close(h.wait) // so these have come before the last was sent
+			close(h.wait) // the others were received before the last was sent
 		}
 	})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -85,8 +85,8 @@
 	g.Expect(tw.TimedOut(got[5].Err)).To(BeTrue())
 }
 
-// A daemon at whose address no process listens surely gave no orders.
-func TestStartsToNobody(t *testing.T) {
+// The error must show that no order was sent if no process listens at the daemon's address.
+func TestStartsWithoutListener(t *testing.T) {
 	g := NewWithT(t)
 	server := httptest.NewServer(nil)
 	server.Close()
--- a/member/succession.go
+++ b/member/succession.go
@@ -8,18 +8,18 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// takeover is a pool that this daemon should take.
+// takeover is a pool that this daemon should take over.
 type takeover struct {
 	pool   tw.PoolID
 	reason string
 }
 
-// takeoversDue lists the pools that this daemon should take now: those without a
-// living owner for which it is the first candidate, or whose better
-// candidates have had their chance.
+// takeoversDue lists the pools that this daemon should take over now: those without a
+// live owner for which it is the first candidate, or whose higher-ranked
+// candidates have not taken them in time.
 func (m *Members) takeoversDue(now time.Time) []takeover {
-	settled := m.watcher.AnsweringSince()
-	if settled.IsZero() {
+	answeringSince := m.watcher.AnsweringSince()
+	if answeringSince.IsZero() {
 		return nil
 	}
 	owned := m.config.OwnedPools()
@@ -33,8 +33,8 @@
 		if slices.Contains(owned, pool) {
 			continue
 		}
-		why := m.orphanReason(pool, now, settled)
-		if why == "" {
+		reason := m.orphanReason(pool, now, answeringSince)
+		if reason == "" {
 			delete(m.orphanedAt, pool)
 			continue
 		}
@@ -49,43 +49,44 @@
 		if rank < 0 || !m.isTurn(pool, rank, now) || now.Sub(m.poolLostAt[pool]) < retakeDelay {
 			continue
 		}
-		out = append(out, takeover{pool: pool, reason: why})
+		out = append(out, takeover{pool: pool, reason: reason})
 	}
 	return out
 }
 
-// isTurn tells whether it is this daemon's turn to take a pool without a living
-// owner, of which it is the candidate of a rank. A pool that it owned itself it
-// takes at once, also while it does not know the others yet: no other daemon
-// counts it as lost before it has missed the former life. After a loss of all
-// daemons each so has its pools back without a storm of takeovers, 1.2 s sooner
-// than by rank: mean worth of days that end so 0.464 before, 0.510 after (30 plays).
+// isTurn reports whether this daemon, the candidate with the given rank, should
+// take over a pool without a live owner now. It immediately retakes a pool that
+// its former process owned, even before it knows the other daemons, because these
+// do not consider the pool lost until they have detected the loss of that process.
+// After a restart of all daemons, each therefore regains its pools without a storm
+// of takeovers, 1.2 s sooner than by rank. This raised the mean score of simulated
+// days with such a restart from 0.464 to 0.510 (30 runs).
 func (m *Members) isTurn(pool tw.PoolID, rank int, now time.Time) bool {
 	owner := m.owners[pool]
 	if owner.Daemon == m.config.Self.Daemon {
 		return true
 	}
 	if l, present := m.live[owner.Daemon]; present && l.Incarnation != owner.Incarnation {
-		rank++ // the new life of its owner goes first
+		rank++ // the restarted owner goes first
 	}
 	return !m.inStartupGrace(now) && now.Sub(m.orphanedAt[pool]) >= time.Duration(rank)*candidateDelay
 }
 
-// inStartupGrace tells whether the others may still be announcing themselves.
+// inStartupGrace reports whether other daemons may not have announced themselves yet.
 func (m *Members) inStartupGrace(now time.Time) bool { return now.Sub(m.started) < startupGrace }
 
-// orphanReason tells why a pool has no living owner; empty if it has one.
-func (m *Members) orphanReason(pool tw.PoolID, now, settled time.Time) string {
+// orphanReason returns the reason why a pool has no live owner, or "" if it has one.
+func (m *Members) orphanReason(pool tw.PoolID, now, answeringSince time.Time) string {
 	o, found := m.owners[pool]
 	if !found {
 		return "it has no owner"
 	}
 	if o.Daemon == m.config.Self.Daemon {
-		return "a former life of this daemon owned it"
+		return "a former process of this daemon owned it"
 	}
 	live, present := m.live[o.Daemon]
 	if present && live.Incarnation != o.Incarnation {
-		return "its owner has started anew"
+		return "its owner has restarted"
 	}
 	c := m.pingStates[o.Address]
 	if c == nil {
@@ -94,8 +95,8 @@
 	if c.refusedInRow >= refusalsUntilDown {
 		return "its owner's process is gone"
 	}
-	if !present && now.Sub(settled) > recordMissingTimeout && !c.failingSince.IsZero() && now.Sub(c.quietSince) > recordMissingTimeout {
-		return "its owner is silent and its record is gone"
+	if !present && now.Sub(answeringSince) > recordMissingTimeout && !c.failingSince.IsZero() && now.Sub(c.quietSince) > recordMissingTimeout {
+		return "its owner does not answer and its record is gone"
 	}
 	return ""
 }
@@ -111,9 +112,10 @@
 	return loads
 }
 
-// candidates are the daemons that may take a pool, the first first: those that
-// would have the fewest pools for their processor share, in an order that
-// differs by pool. All daemons that see the same members work out the same.
+// candidates lists the daemons that may take over a pool, the most suitable
+// first: those with the fewest pools per processor core, with ties broken in an
+// order that differs by pool. All daemons with the same view of the members
+// compute the same list.
 func (m *Members) candidates(pool tw.PoolID, loads map[tw.DaemonID]int, now time.Time) []tw.DaemonID {
 	var out []tw.DaemonID
 	for id, l := range m.live {
@@ -129,7 +131,8 @@
 	return out
 }
 
-// unresponsiveCandidate tells whether a daemon should not be waited for, as it does not answer.
+// unresponsiveCandidate reports whether a daemon is excluded as a candidate because it does not
+// answer pings.
 func (m *Members) unresponsiveCandidate(address string, now time.Time) bool {
 	c := m.pingStates[address]
 	if c == nil {
@@ -138,7 +141,8 @@
 	return !c.failingSince.IsZero() && now.Sub(c.quietSince) > pingTimeout
 }
 
-// compareByCapacity puts the daemon first that would rather take a pool if none owned any.
+// compareByCapacity orders daemons as candidates for a pool by their number of cores, regardless
+// of the pools that they own.
 func compareByCapacity(pool tw.PoolID, a, b DaemonRecord) int {
 	return cmp.Or(
 		cmp.Compare(b.Cores, a.Cores),
@@ -147,7 +151,8 @@
 	)
 }
 
-// loadWith is how loaded a daemon would be with one more pool.
+// loadWith returns the number of pools per core that a daemon would have with one
+// more pool.
 func (m *Members) loadWith(id tw.DaemonID, loads map[tw.DaemonID]int) float64 {
 	cores := float64(m.lastKnown[id].Cores)
 	if cores <= 0 {
@@ -156,8 +161,8 @@
 	return float64(loads[id]+1) / cores
 }
 
-// Successors are the daemons to which this one should give a pool, the most
-// suitable first.
+// Successors lists the daemons to which this one should hand over a pool, the
+// most suitable first.
 func (m *Members) Successors(pool tw.PoolID) []DaemonRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -170,23 +175,24 @@
 	return out
 }
 
-// TakeoverTarget is a daemon to ask to take a pool when this one does not reach the
-// metadata store itself: one that answers and says that it reaches the store.
-// It is another one each time that one was asked in vain, as the last one may
-// have lost the store too and not know it yet. False if there is none.
-func (m *Members) TakeoverTarget(pool tw.PoolID, asked int) (DaemonRecord, bool) {
+// TakeoverTarget returns a daemon that can take over a pool when this one does not
+// reach the metadata store: one that answers pings and reports that it reaches
+// the store. attempt is the number of earlier requests. Each request goes to
+// another daemon, because the last one may have lost the store too without
+// having noticed it. The result is false if there is none.
+func (m *Members) TakeoverTarget(pool tw.PoolID, attempt int) (DaemonRecord, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	rescuers := m.takeoverTargets(pool)
-	if len(rescuers) == 0 {
+	targets := m.takeoverTargets(pool)
+	if len(targets) == 0 {
 		return DaemonRecord{}, false
 	}
-	return rescuers[asked%len(rescuers)], true
+	return targets[attempt%len(targets)], true
 }
 
-// FasterSuccessor is a daemon that would serve a pool of this one far sooner, as it has more processor
-// for each of its pools; false if there is none. After a day's loss of the larger daemons
-// their pools stayed with small ones that could send a third of the starts.
+// FasterSuccessor returns a daemon to which this one should hand over a pool because it has many
+// more cores per pool; false if there is none. Without it, pools stayed on small daemons after a
+// loss of the larger ones, and the small ones could send only a third of the starts.
 func (m *Members) FasterSuccessor(pool tw.PoolID) (DaemonRecord, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -202,43 +208,47 @@
 	return DaemonRecord{}, false
 }
 
-// RelayCandidates lists the addresses of daemons in a data hall that may give orders for this one: first
-// those that own nothing, of these those with most processor. Each daemon has others.
+// RelayCandidates lists the addresses of daemons in a data hall that can relay orders for this
+// one. Those that own no pool come first, then those with more cores. The order of equal ones
+// differs between the daemons that compute it.
 func (m *Members) RelayCandidates(hall tw.HallID) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	loads := m.poolCounts()
-	var near []DaemonRecord
+	var relays []DaemonRecord
 	for id, l := range m.live {
 		if l.Hall == hall && id != m.config.Self.Daemon {
-			near = append(near, l)
+			relays = append(relays, l)
 		}
 	}
 	self := string(m.config.Self.Daemon)
-	slices.SortFunc(near, func(a, b DaemonRecord) int {
+	slices.SortFunc(relays, func(a, b DaemonRecord) int {
 		return cmp.Or(
 			cmp.Compare(min(loads[a.Daemon], 1), min(loads[b.Daemon], 1)),
 			cmp.Compare(b.Cores, a.Cores),
 			cmp.Compare(hashPair(self, a.Daemon), hashPair(self, b.Daemon)),
 		)
 	})
-	near = near[:min(len(near), maxRelayCandidates)]
-	out := make([]string, len(near))
-	for n, l := range near {
+	relays = relays[:min(len(relays), maxRelayCandidates)]
+	out := make([]string, len(relays))
+	for n, l := range relays {
 		out[n] = l.Address
 	}
 	return out
 }
 
-// maxRelayCandidates bounds the daemons of a data hall that give orders for another one.
+// maxRelayCandidates is the maximum number of daemons of a data hall that relay orders for another
+// one.
 const maxRelayCandidates = 6
 
-// handoverFactor is how much more processor a daemon must have for a pool that is handed over
-// to it: that stops the pool's starts for some tenths of a second.
+// handoverFactor is the factor by which the cores, and the cores per pool, of a daemon must exceed
+// those of this one for a handover, which interrupts the pool's starts for some tenths of a
+// second.
 const handoverFactor = 2
 
-// takeoverTargets are the daemons that answer and say that they reach the store. Their
-// order differs by pool, so that one does not get all pools of a daemon.
+// takeoverTargets lists the daemons that answer pings and report that they reach the
+// store. Their order differs by pool, so that one does not get all pools of a
+// daemon.
 func (m *Members) takeoverTargets(pool tw.PoolID) []DaemonRecord {
 	var out []DaemonRecord
 	for id, l := range m.lastKnown {
@@ -252,8 +262,8 @@
 	return out
 }
 
-// compareByLoad puts the daemon first that should rather take a pool: the one with
-// fewer pools for its processor share, else in an order that differs by pool.
+// compareByLoad orders daemons as candidates for a pool by their number of pools per
+// core. Ties are broken in an order that differs by pool.
 func (m *Members) compareByLoad(pool tw.PoolID, a, b tw.DaemonID, loads map[tw.DaemonID]int) int {
 	return cmp.Or(
 		cmp.Compare(m.loadWith(a, loads), m.loadWith(b, loads)),
@@ -262,9 +272,9 @@
 	)
 }
 
-// hashPair is a number that differs by what is asked about and by daemon.
-func hashPair(about string, daemon tw.DaemonID) uint64 {
-	return fnv1a(fnv1a(fnv1a(fnvOffset, about), "/"), string(daemon))
+// hashPair hashes a text, such as a pool, together with a daemon.
+func hashPair(subject string, daemon tw.DaemonID) uint64 {
+	return fnv1a(fnv1a(fnv1a(fnvOffset, subject), "/"), string(daemon))
 }
 
 const (
@@ -272,8 +282,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// fnv1a goes on with the 64-bit FNV-1a hash. Unlike that of hash/fnv it allocates nothing, as
-// it is worked out for every member.
+// fnv1a continues the 64-bit FNV-1a hash h with s. Unlike hash/fnv it does not allocate; it is
+// computed for every member.
 func fnv1a(h uint64, s string) uint64 {
 	for i := range len(s) {
 		h = (h ^ uint64(s[i])) * fnvPrime
--- a/member/succession_model_test.go
+++ b/member/succession_model_test.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// modelRounds of faults are played for each seed, modelSeeds in CI.
+	// modelRounds is the number of faults for each of modelSeeds seeds.
 	modelRounds = 4
 	modelSeeds  = 12
-	// settleTime after the last fault every pool must have one owner again: a
-	// daemon that lost a pool leaves it alone for 5 s.
+	// settleTime is the time after the last fault in which every pool must have
+	// one owner again. A daemon that lost a pool does not retake it for 5 s.
 	settleTime = 8 * time.Second
 )
 
-// restartCases are how many daemons there are, and how long all are down.
+// restartCases are numbers of daemons, and how long all of them are down.
 var restartCases = map[string]struct {
 	daemons int
 	down    time.Duration
 }{
-	"few, and the records of their former lives linger":   {daemons: 9, down: 500 * time.Millisecond},
-	"few, and the records of their former lives are gone": {daemons: 9, down: 3 * time.Second},
+	"few, with the records of their former processes":    {daemons: 9, down: 500 * time.Millisecond},
+	"few, without the records of their former processes": {daemons: 9, down: 3 * time.Second},
 	"many": {daemons: 37, down: time.Second},
 }
 
-// After a loss of all daemons each takes its pools back at once, and no pool is
-// taken twice.
+// After a restart of all daemons each must retake its pools immediately, and no
+// pool may be taken twice.
 func TestAllRestarted(t *testing.T) {
 	for name, c := range restartCases {
 		t.Run(name, func(t *testing.T) {
@@ -56,8 +56,9 @@
 	}
 }
 
-// fault does something to the fleet. It returns how many takeovers it excuses.
-func (f *fleet) fault(r *rand.Rand) int {
+// injectFault injects a random fault, and returns the maximum number of takeovers that
+// it may cause.
+func (f *fleet) injectFault(r *rand.Rand) int {
 	some := slices.Clone(f.daemons)
 	r.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
 	pause := func() { time.Sleep(time.Duration(r.Int64N(int64(4 * time.Second)))) }
@@ -70,11 +71,11 @@
 		f.crashAll(some[:len(some)/2])
 		pause()
 		f.startAll(r)
-	case 2: // a hall is cut off, at times one way
-		f.cutHall(r.IntN(modelHalls), r.IntN(2) == 0)
+	case 2: // a hall is partitioned, sometimes in one direction
+		f.partitionHall(r.IntN(modelHalls), r.IntN(2) == 0)
 		pause()
 		f.heal()
-	case 3: // some ways between daemons are cut, one way
+	case 3: // some pairs of daemons are cut, in one direction
 		for range len(some) {
 			f.setCut(some[r.IntN(len(some))].id, some[r.IntN(len(some))].id, true)
 		}
@@ -89,8 +90,8 @@
 	return 2 * modelPools
 }
 
-// Whatever befalls the fleet, every pool has one owner again soon after, and
-// the takeovers stay in proportion to the faults.
+// After any sequence of faults every pool must have exactly one owner again within
+// settleTime, and the number of takeovers must be in proportion to the faults.
 func TestSuccession(t *testing.T) {
 	for seed := range uint64(modelSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -101,15 +102,15 @@
 				f.startAll(r)
 				defer func() { f.crashAll(f.daemons) }()
 				time.Sleep(3 * time.Second)
-				excused := modelPools
+				allowed := modelPools
 				for range modelRounds {
-					excused += f.fault(r)
+					allowed += f.injectFault(r)
 				}
 				time.Sleep(settleTime)
 				for _, pool := range f.pools {
 					g.Expect(f.owners(pool)).To(HaveLen(1), string(pool))
 				}
-				g.Expect(f.takeovers()).To(BeNumerically("<=", excused))
+				g.Expect(f.takeovers()).To(BeNumerically("<=", allowed))
 			})
 		})
 	}
--- a/member/succession_test.go
+++ b/member/succession_test.go
@@ -13,9 +13,9 @@
 	"github.com/tamarindworks/tamarindworks/ledger"
 )
 
-// quorum is Members without duties, as daemon "b" sees three daemons of which
-// "a" owns the pool "p".
-func quorum(clock *fakeclock.Clock) *Members {
+// newTestMembers returns the Members of daemon "b", without background tasks, in a
+// deployment of three daemons of which "a" owns the pool "p".
+func newTestMembers(clock *fakeclock.Clock) *Members {
 	m := &Members{
 		config: Config{
 			Clock: clock, Log: zap.NewNop(), Self: DaemonRecord{Daemon: "b", Incarnation: 1, Address: "b:1"},
@@ -36,66 +36,66 @@
 	return m
 }
 
-// takeCases are what befalls the owner, and whether some daemon takes over.
-var takeCases = map[string]struct {
-	befall func(m *Members, now time.Time)
-	taken  bool
+// takeoverCases are events, and whether "b" then takes over the pool "p".
+var takeoverCases = map[string]struct {
+	event func(m *Members, now time.Time)
+	taken bool
 }{
-	"a living owner keeps its pool": {befall: func(*Members, time.Time) {}},
+	"a live owner keeps its pool": {event: func(*Members, time.Time) {}},
 	"a pool without an owner is taken": {
-		befall: func(m *Members, _ time.Time) { delete(m.owners, "p") }, taken: true,
+		event: func(m *Members, _ time.Time) { delete(m.owners, "p") }, taken: true,
 	},
 	"an owner whose process is gone loses it": {
-		befall: func(m *Members, _ time.Time) { m.pingStates["a:1"].refusedInRow = refusalsUntilDown }, taken: true,
+		event: func(m *Members, _ time.Time) { m.pingStates["a:1"].refusedInRow = refusalsUntilDown }, taken: true,
 	},
-	"an owner that has started anew loses it": {
-		befall: func(m *Members, _ time.Time) { m.live["a"] = DaemonRecord{Daemon: "a", Incarnation: 2, Address: "a:1"} }, taken: true,
+	"an owner that has restarted loses it": {
+		event: func(m *Members, _ time.Time) { m.live["a"] = DaemonRecord{Daemon: "a", Incarnation: 2, Address: "a:1"} }, taken: true,
 	},
-	"a silent owner keeps it while its record stands": {
-		befall: func(m *Members, now time.Time) { m.silence("a:1", now) },
+	"an owner that does not answer keeps it while its record exists": {
+		event: func(m *Members, now time.Time) { m.stopAnswering("a:1", now) },
 	},
-	"a silent owner loses it once its record is gone": {
-		befall: func(m *Members, now time.Time) {
-			m.silence("a:1", now)
+	"an owner that does not answer loses it once its record is gone": {
+		event: func(m *Members, now time.Time) {
+			m.stopAnswering("a:1", now)
 			delete(m.live, "a")
 		}, taken: true,
 	},
 	"an owner whose record was revoked keeps it while it answers": {
-		befall: func(m *Members, _ time.Time) { delete(m.live, "a") },
+		event: func(m *Members, _ time.Time) { delete(m.live, "a") },
 	},
-	"records that are missing after an outage prove nothing at first": {
-		befall: func(m *Members, now time.Time) {
-			m.silence("a:1", now)
+	"a missing record is ignored just after an outage of the store": {
+		event: func(m *Members, now time.Time) {
+			m.stopAnswering("a:1", now)
 			delete(m.live, "a")
 			m.watcher.answeringSince = now
 		},
 	},
-	"nobody takes anything while the store does not answer": {
-		befall: func(m *Members, _ time.Time) {
+	"no pool is taken while the store does not answer": {
+		event: func(m *Members, _ time.Time) {
 			delete(m.owners, "p")
 			m.watcher.answeringSince = time.Time{}
 		},
 	},
-	"a daemon that just lost the pool leaves it to others": {
-		befall: func(m *Members, now time.Time) {
+	"a daemon that just lost the pool does not take it back": {
+		event: func(m *Members, now time.Time) {
 			delete(m.owners, "p")
 			m.poolLostAt["p"] = now
 		},
 	},
 }
 
-func (m *Members) silence(address string, now time.Time) {
+func (m *Members) stopAnswering(address string, now time.Time) {
 	m.pingStates[address].failingSince = now.Add(-2 * recordMissingTimeout)
 	m.pingStates[address].quietSince = now.Add(-2 * recordMissingTimeout)
 }
 
-func TestToTake(t *testing.T) {
-	for name, c := range takeCases {
+func TestTakeoversDue(t *testing.T) {
+	for name, c := range takeoverCases {
 		t.Run(name, func(t *testing.T) {
 			clock := fakeclock.New()
-			m := quorum(clock)
-			c.befall(m, clock.Now())
-			m.takeoversDue(clock.Now()) // notes since when the pool is lost
+			m := newTestMembers(clock)
+			c.event(m, clock.Now())
+			m.takeoversDue(clock.Now()) // records the time at which the pool lost its owner
 			clock.Advance(2 * candidateDelay)
 			got := m.takeoversDue(clock.Now())
 			NewWithT(t).Expect(len(got) > 0).To(Equal(c.taken))
@@ -103,10 +103,10 @@
 	}
 }
 
-func TestCandidatesByProcessor(t *testing.T) {
+func TestCandidatesByCores(t *testing.T) {
 	g := NewWithT(t)
 	clock := fakeclock.New()
-	m := quorum(clock)
+	m := newTestMembers(clock)
 	m.live["b"] = DaemonRecord{Daemon: "b", Cores: 0.2}
 	m.live["c"] = DaemonRecord{Daemon: "c", Cores: 0.8}
 	maps.Copy(m.lastKnown, m.live)
@@ -114,11 +114,11 @@
 	g.Expect(m.candidates("p", map[tw.DaemonID]int{"c": 9}, clock.Now())).To(Equal([]tw.DaemonID{"b", "c"}))
 }
 
-// The daemon with the most processor for its pools is asked first.
-func TestRescuersByProcessor(t *testing.T) {
+// The daemon with the most cores per pool must be asked first.
+func TestTakeoverTargetsByCores(t *testing.T) {
 	g := NewWithT(t)
 	clock := fakeclock.New()
-	m := quorum(clock)
+	m := newTestMembers(clock)
 	for _, small := range []tw.DaemonID{"a", "c"} {
 		for id := range m.lastKnown {
 			cores := tw.Cores(0.8)
@@ -133,10 +133,10 @@
 	}
 }
 
-// An ownership is never replaced by an older one.
-func TestOwnerNeverGoesBack(t *testing.T) {
+// The owner of a pool must never be replaced by one with a lower fencing token.
+func TestOwnerIsNotReplacedByOlder(t *testing.T) {
 	g := NewWithT(t)
-	m := quorum(fakeclock.New())
+	m := newTestMembers(fakeclock.New())
 	m.RecordOwner(ledger.Owner{Pool: "p", Daemon: "c", Fence: 3})
 	o, _ := m.Owner("p")
 	g.Expect(o.Daemon).To(Equal(tw.DaemonID("a")))
@@ -145,12 +145,12 @@
 	g.Expect(o.Daemon).To(Equal(tw.DaemonID("c")))
 }
 
-// A daemon that lost the store asks each peer in turn, but none that says that
-// it does not reach the store either.
-func TestRescuersTakeTurns(t *testing.T) {
+// A daemon that lost the store must ask its peers in turn, except those that
+// report that they do not reach the store either or that do not answer.
+func TestTakeoverTargetsRotate(t *testing.T) {
 	g := NewWithT(t)
 	clock := fakeclock.New()
-	m := quorum(clock)
+	m := newTestMembers(clock)
 	for _, id := range []string{"a", "c"} {
 		m.pingStates[id+":1"] = &pingState{quietSince: clock.Now(), storeReachable: true}
 	}
@@ -161,8 +161,8 @@
 	third, _ := m.TakeoverTarget("p", 2)
 	g.Expect(third.Daemon).To(Equal(first.Daemon))
 	m.pingStates[first.Address].storeReachable = false
-	for asked := range 3 {
-		next, _ := m.TakeoverTarget("p", asked)
+	for attempt := range 3 {
+		next, _ := m.TakeoverTarget("p", attempt)
 		g.Expect(next.Daemon).To(Equal(second.Daemon))
 	}
 	m.pingStates[second.Address].failingSince = clock.Now()
@@ -170,29 +170,29 @@
 	g.Expect(found).To(BeFalse())
 }
 
-// reliefCases are the daemons beside "b", which has two cores and owns the pool "p", and who
-// takes it when "b" is too slow.
-var reliefCases = map[string]struct {
+// fasterSuccessorCases are the daemons besides "b", which has two cores and owns the pool "p", and
+// the one to which "b" hands it over when it is too slow.
+var fasterSuccessorCases = map[string]struct {
 	cores map[tw.DaemonID]tw.Cores
-	// pools are those that the others own.
+	// pools are the pools of the other daemons, with their owners.
 	pools  map[tw.PoolID]tw.DaemonID
 	silent bool
 	want   tw.DaemonID
 }{
-	"a larger daemon":                          {cores: map[tw.DaemonID]tw.Cores{"a": 2, "c": 8}, want: "c"},
-	"none that is as large":                    {cores: map[tw.DaemonID]tw.Cores{"a": 2, "c": 3}},
-	"a larger one, though it owns another":     {cores: map[tw.DaemonID]tw.Cores{"c": 8}, pools: map[tw.PoolID]tw.DaemonID{"q": "c"}, want: "c"},
-	"not a larger one with too many pools":     {cores: map[tw.DaemonID]tw.Cores{"c": 4}, pools: map[tw.PoolID]tw.DaemonID{"q": "c", "r": "c"}},
-	"the one of the larger ones with less":     {cores: map[tw.DaemonID]tw.Cores{"a": 8, "c": 8}, pools: map[tw.PoolID]tw.DaemonID{"q": "a"}, want: "c"},
-	"not one that does not answer or no store": {cores: map[tw.DaemonID]tw.Cores{"c": 8}, silent: true},
+	"a larger daemon":                     {cores: map[tw.DaemonID]tw.Cores{"a": 2, "c": 8}, want: "c"},
+	"none has twice the cores":            {cores: map[tw.DaemonID]tw.Cores{"a": 2, "c": 3}},
+	"a larger one that owns another pool": {cores: map[tw.DaemonID]tw.Cores{"c": 8}, pools: map[tw.PoolID]tw.DaemonID{"q": "c"}, want: "c"},
+	"a larger one with too many pools":    {cores: map[tw.DaemonID]tw.Cores{"c": 4}, pools: map[tw.PoolID]tw.DaemonID{"q": "c", "r": "c"}},
+	"the larger one with fewer pools":     {cores: map[tw.DaemonID]tw.Cores{"a": 8, "c": 8}, pools: map[tw.PoolID]tw.DaemonID{"q": "a"}, want: "c"},
+	"a larger one that does not answer":   {cores: map[tw.DaemonID]tw.Cores{"c": 8}, silent: true},
 }
 
-func TestRelief(t *testing.T) {
-	for name, c := range reliefCases {
+func TestFasterSuccessor(t *testing.T) {
+	for name, c := range fasterSuccessorCases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			clock := fakeclock.New()
-			m := quorum(clock)
+			m := newTestMembers(clock)
 			m.owners["p"] = ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Incarnation: 1, Fence: 5}
 			for id, l := range m.live {
 				l.Cores = 2
--- a/member/watcher.go
+++ b/member/watcher.go
@@ -20,47 +20,50 @@
 		Clock  tw.Clock
 		Log    *zap.Logger
 		Prefix tw.Key
-		// Wait is how long one watch waits for changes.
+		// Wait is the timeout of one watch call.
 		Wait time.Duration
-		// Gap lets changes gather between two watches, as each is priced.
+		// Gap is the pause between two watch calls. Each call has a cost, so changes
+		// are batched.
 		Gap time.Duration
 		// ItemGap is added to Gap for each item below the prefix.
 		ItemGap time.Duration
-		// Changed is called with all items below the prefix, as of a revision, after
-		// each change and at the first read. It must not keep the map.
+		// Changed is called with all items below the prefix as of a revision, after
+		// the first read and after each change. It must not retain the map.
 		Changed func(items map[tw.Key]tw.KVItem, at tw.KVRevision)
 	}
 
-	// Watcher follows the keys below a prefix. It never goes back: an item is
-	// replaced only by one of a higher revision.
+	// Watcher maintains a copy of the items below a prefix. An item is replaced
+	// only by one with a higher revision.
 	Watcher struct {
 		config WatcherConfig
 		cancel context.CancelFunc
 		done   chan struct{}
 
 		mu sync.Mutex
-		// answeringSince is since when every read has been answered; zero while not.
+		// answeringSince is the time since which all calls have succeeded; zero while the
+		// store does not answer.
 		answeringSince time.Time
-		// cancelWatch ends the watch that is under way.
+		// cancelWatch cancels the watch in progress.
 		cancelWatch context.CancelFunc
-		// lastRefresh is when Refresh last had all items read anew.
+		// lastRefresh is the time of the last effective Refresh.
 		lastRefresh time.Time
 	}
 )
 
 const (
-	// watchRetryMin and watchRetryMost bound the pause after a failed read;
-	// the pauses are jittered, so that daemons do not return all at once.
+	// watchRetryMin and watchRetryMax are the bounds of the exponential
+	// backoff after a failed call. It has jitter, so that daemons do not all
+	// retry at the same time.
 	watchRetryMin = 100 * time.Millisecond
 	watchRetryMax = 500 * time.Millisecond
-	// refreshMinInterval is the least time between two reads that Refresh asks for.
+	// refreshMinInterval is the minimum time between two reads triggered by Refresh.
 	refreshMinInterval = 600 * time.Millisecond
 )
 
-// errRefresh ends a watch because all is to be read anew.
-var errRefresh = errors.New("to be read anew")
+// errRefresh is the error of a watch that was cancelled by Refresh.
+var errRefresh = errors.New("watch cancelled by refresh")
 
-// New starts to watch; Close ends it.
+// New starts watching. Close stops it.
 func (c WatcherConfig) New() *Watcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Watcher{config: c, cancel: cancel, done: make(chan struct{})}
@@ -71,22 +74,22 @@
 	return w
 }
 
-// Close ends the duty.
+// Close stops watching.
 func (w *Watcher) Close() {
 	w.cancel()
 	<-w.done
 }
 
-// AnsweringSince is since when the store has answered without a break; zero if it
-// does not answer.
+// AnsweringSince returns the time since which the store has answered without
+// interruption; zero while it does not answer.
 func (w *Watcher) AnsweringSince() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.answeringSince
 }
 
-// Refresh has all items read anew, because somebody knows of one that the watch
-// should have told of: watches can be silent without an error.
+// Refresh makes the watcher read all items again. It is called when the watch has
+// evidently missed a change: watches can stop delivering events without an error.
 func (w *Watcher) Refresh() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,7 +98,7 @@
 		return
 	}
 	w.lastRefresh = now
-	w.config.Log.Info("watch: silent, read anew", zap.String("prefix", string(w.config.Prefix)))
+	w.config.Log.Info("watch: events missed, reading all items again", zap.String("prefix", string(w.config.Prefix)))
 	w.cancelWatch()
 }
 
@@ -110,7 +113,7 @@
 			continue
 		}
 		if errors.Is(err, tw.ErrHistoryGone) {
-			w.config.Log.Info("watch: history is gone, read anew", zap.String("prefix", string(w.config.Prefix)))
+			w.config.Log.Info("watch: history is gone, reading all items again", zap.String("prefix", string(w.config.Prefix)))
 			continue
 		}
 		w.markFailing(err)
@@ -123,13 +126,13 @@
 	}
 }
 
-// follow reads all items and then follows their changes until a call fails.
-func (w *Watcher) follow(ctx context.Context, answered func()) error {
+// follow reads all items and then watches for changes until a call fails.
+func (w *Watcher) follow(ctx context.Context, onAnswer func()) error {
 	list, at, err := w.config.KV.Range(ctx, w.config.Prefix)
 	if err != nil {
 		return err
 	}
-	answered()
+	onAnswer()
 	w.markAnswering()
 	items := make(map[tw.Key]tw.KVItem, len(list))
 	for _, item := range list {
@@ -175,7 +178,7 @@
 	w.cancelWatch = stop
 }
 
-// applyEvents takes events into the items; it tells whether anything changed.
+// applyEvents applies events to the items and reports whether any item changed.
 func applyEvents(items map[tw.Key]tw.KVItem, events []tw.KVEvent) bool {
 	changed := false
 	for _, e := range events {
--- a/member/watcher_test.go
+++ b/member/watcher_test.go
@@ -13,23 +13,23 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// watcherCases are what happens to a store and what a watcher then shows of
-// the key "p/1".
+// watcherCases are events in a store, and the value of the key "p/1" that a
+// watcher then reports.
 var watcherCases = map[string]struct {
-	happen func(k *standin.KV)
-	want   string
+	event func(k *standin.KV)
+	want  string
 }{
-	"a change":  {happen: func(k *standin.KV) { k.Put("p/1", []byte("two")) }, want: "two"},
-	"a removal": {happen: func(k *standin.KV) { k.Remove("p/1") }},
+	"a change":  {event: func(k *standin.KV) { k.Put("p/1", []byte("two")) }, want: "two"},
+	"a removal": {event: func(k *standin.KV) { k.Remove("p/1") }},
 	"a history that is gone": {
-		happen: func(k *standin.KV) {
+		event: func(k *standin.KV) {
 			k.Put("p/1", []byte("three"))
 			k.ForgetHistory()
 		},
 		want: "three",
 	},
 	"a change during an outage": {
-		happen: func(k *standin.KV) {
+		event: func(k *standin.KV) {
 			k.SetFaults(standin.KVFaults{Down: true})
 			time.Sleep(3 * time.Second)
 			k.Put("p/1", []byte("four"))
@@ -54,9 +54,9 @@
 				defer w.Close()
 				time.Sleep(100 * time.Millisecond)
 				g.Expect(w.AnsweringSince().IsZero()).To(BeFalse())
-				c.happen(kv)
+				c.event(kv)
 				time.Sleep(2 * time.Second)
-				last := "nothing was shown"
+				last := "no change reported"
 				for len(shown) > 0 {
 					last = <-shown
 				}
@@ -66,7 +66,8 @@
 	}
 }
 
-// A daemon's record comes back after its lease was revoked, and goes with it.
+// A daemon's record must be written again after its lease was revoked, and be
+// removed by Close.
 func TestPresence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -88,7 +89,8 @@
 	})
 }
 
-// A watch that is silent without an error is mended by Refresh.
+// Refresh must recover the items when the watch delivers no events and no error.
+// Repeated calls within the minimum interval must not cause further reads.
 func TestWatcherRefresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -105,7 +107,7 @@
 		time.Sleep(time.Second)
 		g.Expect(shown).To(HaveLen(1))
 		for range 3 {
-			w.Refresh() // the reads that follow at once are spared
+			w.Refresh() // only the first call causes a read
 		}
 		time.Sleep(100 * time.Millisecond)
 		g.Expect(shown).To(HaveLen(2))
--- a/organisation.go
+++ b/organisation.go
@@ -9,25 +9,26 @@
 )
 
 type (
-	// OrganisationID names an organisation, whose callers share keys, a weight and a
-	// usage cap. Empty is nobody: work from a public route, or of a deployment
-	// without organisations.
+	// OrganisationID identifies an organisation, whose callers share keys, a weight
+	// and a usage cap. It is empty for submissions from a public route or in a
+	// deployment without organisations.
 	OrganisationID string
 
-	// KeyDigest stands for a caller's key. Keys themselves are not kept: what holds
-	// digests alone can be logged, sent and dumped without giving a key away.
+	// KeyDigest is the SHA-256 digest of a caller's key. The keys themselves are not
+	// stored, so that the configuration can be logged, sent and dumped without
+	// revealing them.
 	KeyDigest [sha256.Size]byte
 
-	// Organisation is what the configuration says of an organisation.
+	// Organisation is the configuration of an organisation.
 	Organisation struct {
 		ID OrganisationID `json:"id"`
-		// Keys open the routes that are not public.
+		// Keys give access to the routes that are not public.
 		Keys []KeyDigest `json:"keys"`
-		// Weight is the share when all is full, and how many submissions a second
-		// are owed service.
+		// Weight is the organisation's relative share of full workers, and the
+		// number of submissions per second that are guaranteed service.
 		Weight float64 `json:"weight"`
-		// UsageCap is what may run over all workers; a resource that is zero has no
-		// limit.
+		// UsageCap limits the resources in use on all workers together; zero means
+		// no limit on that resource.
 		UsageCap Resources `json:"maximum"`
 	}
 )
@@ -37,10 +38,11 @@
 	_ encoding.TextUnmarshaler = (*KeyDigest)(nil)
 )
 
-// maxKeyBytes bounds what is hashed for a caller; keys of the platform have some tens.
+// maxKeyBytes limits the length of keys that are hashed. The platform's keys have some tens
+// of bytes.
 const maxKeyBytes = 256
 
-// DigestKey is the digest of a key.
+// DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -55,8 +57,8 @@
 	return errors.Wrap(err, "not the digest of a key")
 }
 
-// Fits tells whether all of a submission's steps can ever run under the usage cap. The members
-// of a gang run together, so that one larger than the whole cap never starts.
+// Fits reports whether all steps of a submission can ever run under the usage cap. The subtasks
+// of a gang run at the same time, so a gang larger than the cap can never start.
 func (o *Organisation) Fits(s *Submission) bool {
 	for i := range s.Steps {
 		step := &s.Steps[i]
@@ -67,5 +69,5 @@
 	return true
 }
 
-// Capped tells whether the organisation has a usage cap.
+// Capped reports whether the organisation has a usage cap.
 func (o *Organisation) Capped() bool { return o.UsageCap != Resources{} }
--- a/peers.go
+++ b/peers.go
@@ -3,8 +3,9 @@
 import "context"
 
 type (
-	// Load is what one daemon has on one instance for one job, and what came
-	// of the requests it ended since its last heartbeat.
+	// Load is the number of requests that one daemon has in flight on one
+	// instance for one job, and the results of those that ended since its
+	// last heartbeat.
 	Load struct {
 		Instance InstanceID
 		Job      JobID
@@ -19,24 +20,24 @@
 		Hall        HallID
 		Instance    InstanceID
 		Incarnation Incarnation
-		Beat        uint64 // grows with each heartbeat of an incarnation
+		Beat        uint64 // increases with each heartbeat of an incarnation
 		Address     string // IP:port of the peer service
-		Gateway     string // IP:port that takes requests
+		Gateway     string // IP:port that accepts requests
 		Revision    Revision
-		Planning    bool // holds the lease of its hall's planner
+		Planning    bool // holds the planner lease of its hall
 		Demand      int  // requests running and waiting, for slot shares
-		// Jobs that the daemon can give to an instance itself. They are sent
-		// now and then only; none means no news.
+		// Jobs lists the jobs for which the daemon can send requests to an
+		// instance itself. It is not in every heartbeat; empty means unchanged.
 		Jobs []JobID
-		// Report is sent to who asks for it.
+		// Report is present only if it was requested.
 		Report *Report
 	}
 
-	// Report is how far a daemon is with a plan, in its own word.
+	// Report is a daemon's progress in applying its hall's plan.
 	Report struct {
-		// Acked is the plan generation after which the daemon sends nothing
-		// that the plan does not allow. Requests given out before that are in
-		// Loads until they end.
+		// Acked is the generation of the plan that the daemon follows: it
+		// sends no new request that this plan does not allow. Requests sent
+		// earlier are counted in Loads until they end.
 		Acked Generation
 		Loads []Load
 	}
@@ -45,13 +46,14 @@
 	SyncRequest struct {
 		Self   Member
 		Others []Member // without loads
-		// Generation is the newest plan the sender holds for its hall.
+		// Generation is that of the sender's newest plan of its hall.
 		Generation Generation
-		// WantReport asks for the receiver's report.
+		// WantReport requests the receiver's report.
 		WantReport bool
 	}
 
-	// SyncResponse answers a heartbeat, with what the sender lacked.
+	// SyncResponse answers a SyncRequest, with the documents that are newer
+	// than the sender's.
 	SyncResponse struct {
 		Self   Member
 		Others []Member
@@ -59,37 +61,38 @@
 		Plan   []byte // stored plan document of the hall, if newer
 	}
 
-	// ClaimState is how far a claimed request has come.
+	// ClaimState is the progress of the request of a claim.
 	ClaimState string
 
-	// Claim is a daemon's hold on an idempotency key.
+	// Claim reserves an idempotency key for a daemon.
 	Claim struct {
 		Scope  string // caller's team, host and key; opaque
 		Body   string // digest of method, path and body
 		Holder DaemonID
-		Nonce  string // tells two claims of one holder apart
+		Nonce  string // distinguishes claims of the same holder
 		State  ClaimState
 	}
 
-	// Peers is how a daemon talks to another one.
+	// Peers calls other daemons.
 	Peers interface {
-		// Sync exchanges heartbeats. Both calls fail with ErrGone if no
-		// process listens at the address, else with ErrUnavailable.
+		// Sync exchanges heartbeats. Both methods fail with ErrNotListening
+		// if no process listens at the address, and otherwise with
+		// ErrUnavailable.
 		Sync(ctx context.Context, address string, req SyncRequest) (SyncResponse, error)
-		// Claim records a claim, or returns the one that stands before it.
+		// Claim records a claim, or returns the existing claim on the key.
 		Claim(ctx context.Context, address string, claim Claim) (Claim, error)
 	}
 
-	// PeerHandler is the receiving side of Peers.
+	// PeerHandler handles the calls of Peers.
 	PeerHandler interface {
 		HandleSync(req SyncRequest) SyncResponse
 		HandleClaim(claim Claim) Claim
 	}
 )
 
-// States of a claim.
+// Claim states.
 const (
-	ClaimPending  ClaimState = "pending"  // may have been run
-	ClaimAnswered ClaimState = "answered" // was run and answered
-	ClaimReleased ClaimState = "released" // proved not run; the key is free
+	ClaimPending  ClaimState = "pending"  // the request may have been executed
+	ClaimAnswered ClaimState = "answered" // the request was executed and answered
+	ClaimReleased ClaimState = "released" // certainly not executed; the key is free
 )
--- a/plan.go
+++ b/plan.go
@@ -1,22 +1,21 @@
 package tamarindworks
 
 type (
-	// Plan is a hall's decision: for each of its instances the one pool, the
-	// state and the jobs. Only the holder of the planner's lease writes it,
-	// by compare-and-swap.
+	// Plan assigns each instance of a hall its pool, state and jobs. Only the
+	// holder of the planner lease writes it, by compare-and-swap.
 	Plan struct {
 		Hall       HallID       `json:"hall"`
 		Generation Generation   `json:"generation"`
 		Epoch      Epoch        `json:"epoch"`
-		Revision   Revision     `json:"revision"` // configuration it follows
+		Revision   Revision     `json:"revision"` // of the configuration it implements
 		Instances  []Assignment `json:"instances"`
-		// Unplaced lists the jobs that can run nowhere, with the reason.
+		// Unplaced lists the jobs that fit on no instance, with the reason.
 		Unplaced []UnplacedJob `json:"set_aside,omitempty"`
-		// SparesNeeded is how many spares the hall should hold.
+		// SparesNeeded is the number of spare instances the hall should have.
 		SparesNeeded int `json:"spares_needed"`
 	}
 
-	// UnplacedJob is a job that the hall cannot place.
+	// UnplacedJob is a job that cannot be placed in the hall.
 	UnplacedJob struct {
 		Job    JobID  `json:"job"`
 		Reason Reason `json:"reason"`
@@ -33,7 +32,7 @@
 	return nil
 }
 
-// NewerThan tells whether the plan was written after another one of its hall.
+// NewerThan reports whether p is newer than q, a plan of the same hall.
 func (p *Plan) NewerThan(q *Plan) bool {
 	if p.Generation != q.Generation {
 		return p.Generation > q.Generation
@@ -41,7 +40,7 @@
 	return p.Epoch > q.Epoch
 }
 
-// Clone copies the plan deeply.
+// Clone returns a deep copy of the plan.
 func (p *Plan) Clone() Plan {
 	c := *p
 	c.Instances = make([]Assignment, len(p.Instances))
--- a/queue/busy.go
+++ b/queue/busy.go
@@ -9,50 +9,51 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// An owner refuses what it can't start in time. What the routers know of that spares it the
-// submissions that it would only refuse.
+// An owner refuses submissions that it cannot start in time. Routers cache this state, so that
+// they do not send it further submissions that it would refuse.
 
-// busyOwner is an owner that is known to be busy until a moment, when it will take
-// submissions again, and when it has said so.
+// busyOwner is the cached state of a busy owner: the time until which it is assumed to be busy
+// without being asked, the time from which it will accept submissions again, and the time of its
+// refusal.
 type busyOwner struct{ assumedUntil, retryAt, reportedAt time.Time }
 
 const (
-	// busyTTL bounds how long an owner is taken to be busy without being asked: a new
-	// owner of its pool may not be.
+	// busyTTL is the maximum time for which an owner is assumed to be busy without being
+	// asked. A new owner of its pool may not be busy.
 	busyTTL = 2 * time.Second
-	// busyAfterOwnerLoss is how long a pool counts as busy whose owner can't be asked any more:
-	// about as long as a takeover on a narrow link takes.
+	// busyAfterOwnerLoss is how long a pool counts as busy after the last refusal by an owner that
+	// cannot be reached any more. It is about the duration of a takeover on a slow link.
 	busyAfterOwnerLoss = 5 * time.Second
 )
 
-// submitWithoutOwner has the store keep a submission, unless the pool's owner was busy just
-// before: its successor inherits what it owed. In 4.5 s of a takeover 250 submissions came to
-// 120 that waited already, and nothing of most of them was begun in time.
+// submitWithoutOwner writes a submission to the store, unless the pool's owner was busy shortly
+// before, because its successor inherits its backlog. During a takeover of 4.5 s, 250 submissions
+// were added to 120 waiting ones, and most of them were not started in time.
 func (r *Router) submitWithoutOwner(ctx context.Context, s tw.Submission) error {
 	r.mu.Lock()
-	told := r.busy[s.Policy.Pool].reportedAt
+	reportedAt := r.busy[s.Policy.Pool].reportedAt
 	r.mu.Unlock()
-	if !told.IsZero() && r.Clock.Now().Sub(told) < busyAfterOwnerLoss {
+	if !reportedAt.IsZero() && r.Clock.Now().Sub(reportedAt) < busyAfterOwnerLoss {
 		return r.nilIfStored(ctx, s, &run.BusyError{RetryAfter: busyTTL})
 	}
 	return r.submitToStore(ctx, s)
 }
 
-// recordBusy keeps for a while that a pool's owner is busy: half as long as that surely lasts,
-// which is half of the time that it tells callers at the most.
+// recordBusy caches that a pool's owner is busy, for a quarter of its RetryAfter. The owner is
+// busy for at least half of RetryAfter, and half of that is used.
 func (r *Router) recordBusy(pool tw.PoolID, busy *run.BusyError) {
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if now.Before(r.busy[pool].assumedUntil) {
-		return // the answer came from here
+		return // the error came from the cache
 	}
 	r.busy[pool] = busyOwner{assumedUntil: now.Add(min(busy.RetryAfter/4, busyTTL)), retryAt: now.Add(busy.RetryAfter), reportedAt: now}
 }
 
-// cachedBusy is a BusyError while a pool's owner is known to be busy. A submission has up to
-// 4 kB: 100 a second of them, only to be refused, filled the link of an owner with 2 Mbit/s,
-// so that it could send 40 starts a second where it had sent 150.
+// cachedBusy returns a BusyError while a pool's owner is assumed to be busy. Submissions have up
+// to 4 kB: 100 refused ones per second filled the 2 Mbit/s link of an owner, so that it could send
+// only 40 starts per second instead of 150.
 func (r *Router) cachedBusy(pool tw.PoolID) error {
 	now := r.Clock.Now()
 	r.mu.Lock()
@@ -64,8 +65,9 @@
 	return &run.BusyError{RetryAfter: known.retryAt.Sub(now)}
 }
 
-// nilIfStored is nil if a submission that its owner is too busy for was kept in another try, of
-// which the owner may not know yet: to say then that it never runs would be wrong.
+// nilIfStored returns nil if an earlier attempt stored the submission, and busy otherwise. The owner
+// may not have read the stored submission yet, and a refusal would wrongly tell the caller that it
+// never runs.
 func (r *Router) nilIfStored(ctx context.Context, s tw.Submission, busy *run.BusyError) error {
 	if r.Stored(ctx, &s) {
 		return nil
@@ -73,7 +75,8 @@
 	return busy
 }
 
-// Stored tells whether the store is known to have a submission of the caller's.
+// Stored reports whether the store has the submission and it belongs to the same organisation. It
+// is false if the store does not answer.
 func (r *Router) Stored(ctx context.Context, s *tw.Submission) bool {
 	record, err := ledger.FindSubmission(ctx, r.KV, s.ID)
 	return err == nil && record.Organisation == s.Organisation
--- a/queue/busy_test.go
+++ b/queue/busy_test.go
@@ -16,25 +16,25 @@
 
 var errBusy = &run.BusyError{RetryAfter: 1700 * time.Millisecond}
 
-// busyCases are what becomes of a submission whose owner has accepted all that it can start
-// in time. answers are the owner's, the last of them for good.
+// busyCases are the expected results of a submission to a busy owner. answers are the owner's
+// responses; the last one is repeated.
 var busyCases = map[string]struct {
 	answers []error
-	// keptBefore: another try of it has been kept without the owner.
-	keptBefore bool
-	busy, kept bool
-	within     time.Duration
+	// storedBefore: an earlier attempt was stored without the owner.
+	storedBefore bool
+	busy, stored bool
+	within       time.Duration
 }{
-	"is refused at once, and the store does not keep it": {
+	"is refused immediately and not stored": {
 		answers: []error{errBusy}, busy: true, within: 20 * time.Millisecond,
 	},
-	"was kept in another try": {
-		answers: []error{errBusy}, keptBefore: true, kept: true, within: 20 * time.Millisecond,
+	"was stored in an earlier attempt": {
+		answers: []error{errBusy}, storedBefore: true, stored: true, within: 20 * time.Millisecond,
 	},
-	"is not said to be refused after a try that is unclear": {
-		answers: []error{tw.ErrAmbiguous, errBusy}, kept: true, within: 20 * time.Millisecond,
+	"is not reported as refused after an ambiguous attempt": {
+		answers: []error{tw.ErrAmbiguous, errBusy}, stored: true, within: 20 * time.Millisecond,
 	},
-	"is taken once the owner takes it": {answers: []error{nil}, within: 20 * time.Millisecond},
+	"is accepted by an owner that is not busy": {answers: []error{nil}, within: 20 * time.Millisecond},
 }
 
 func TestBusyOwner(t *testing.T) {
@@ -42,21 +42,21 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				r, end := lonely()
+				r, end := newTestRouter()
 				defer end()
 				s := tw.Submission{ID: "00000000000000aa", Policy: tw.RoutePolicy{Pool: "p"}}
-				if c.keptBefore {
+				if c.storedBefore {
 					_, err := r.KV.Commit(t.Context(), ledger.AcceptViaInbox(&s))
 					g.Expect(err).NotTo(HaveOccurred())
 				}
 				answers := c.answers
-				began := time.Now()
+				start := time.Now()
 				err := r.submit(t.Context(), s, func(context.Context, tw.Submission) error {
 					answer := answers[0]
 					answers = answers[min(1, len(answers)-1):]
 					return answer
 				})
-				g.Expect(time.Since(began)).To(BeNumerically("<=", c.within))
+				g.Expect(time.Since(start)).To(BeNumerically("<=", c.within))
 				if c.busy {
 					g.Expect(err).To(Equal(errBusy))
 					g.Expect(notApplied(err)).To(BeTrue())
@@ -64,7 +64,7 @@
 					g.Expect(err).NotTo(HaveOccurred())
 				}
 				_, err = ledger.FindSubmission(t.Context(), r.KV, s.ID)
-				g.Expect(err == nil).To(Equal(c.kept))
+				g.Expect(err == nil).To(Equal(c.stored))
 			})
 		})
 	}
@@ -77,22 +77,23 @@
 	}{
 		"none":          {want: "1"},
 		"less than one": {after: 200 * time.Millisecond, want: "1"},
-		"a part more":   {after: 1700 * time.Millisecond, want: "2"},
+		"a fraction":    {after: 1700 * time.Millisecond, want: "2"},
 		"whole":         {after: 3 * time.Second, want: "3"},
 	} {
 		t.Run(name, func(t *testing.T) { NewWithT(t).Expect(wholeSeconds(c.after)).To(Equal(c.want)) })
 	}
 }
 
-// An owner that is busy is not asked again while it surely still is, and is asked again then.
-func TestBusyOwnerIsLeftAlone(t *testing.T) {
+// A busy owner must not be called again while it is certainly still busy, and must be called
+// again afterwards.
+func TestBusyOwnerIsCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		r, end := lonely()
+		r, end := newTestRouter()
 		defer end()
-		asked := 0
+		calls := 0
 		owner := func(context.Context, tw.Submission) error {
-			asked++
+			calls++
 			return &run.BusyError{RetryAfter: 2 * time.Second}
 		}
 		submit := func(id tw.SubmissionID) error {
@@ -103,21 +104,21 @@
 			g.Expect(errors.As(submit("00000000000000aa"), &busy)).To(BeTrue())
 			g.Expect(busy.RetryAfter).To(BeNumerically("<=", 2*time.Second))
 		}
-		g.Expect(asked).To(Equal(1))
+		g.Expect(calls).To(Equal(1))
 		time.Sleep(time.Second)
 		g.Expect(submit("00000000000000ab")).To(HaveOccurred())
-		g.Expect(asked).To(Equal(2))
+		g.Expect(calls).To(Equal(2))
 		_, err := ledger.FindSubmission(t.Context(), r.KV, "00000000000000aa")
 		g.Expect(err).To(MatchError(tw.ErrNotFound))
 	})
 }
 
-// What a busy owner would refuse must not be kept for its successor while nobody owns the
-// pool; an owner that has been gone for long says nothing any more.
-func TestBusyPoolWithoutAnOwner(t *testing.T) {
+// While a pool has no owner, submissions that its busy former owner would have refused must not
+// be stored for the successor. They are stored again some time after the last refusal.
+func TestBusyPoolWithoutOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		r, end := lonely()
+		r, end := newTestRouter()
 		defer end()
 		var answer error = errBusy
 		submit := func(id tw.SubmissionID) error {
--- a/queue/cap_test.go
+++ b/queue/cap_test.go
@@ -9,23 +9,23 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// A gang that asks for more than its organisation's whole cap was accepted and waited for
-// ever, as its members have to start together. It is known at once that it can't be served.
+// A gang that needs more than its organisation's usage cap must be refused. It was accepted and
+// waited forever, because its subtasks have to start together.
 var gangCapCases = map[string]struct {
-	body    string
-	maximum tw.Resources
-	// before: it was kept under a larger cap.
-	before bool
-	status int
+	body     string
+	usageCap tw.Resources
+	// storedBefore: the submission was stored under a larger cap.
+	storedBefore bool
+	status       int
 }{
-	"a gang within the cap": {body: gangBody, maximum: tw.Resources{CPU: 8000}, status: http.StatusOK},
-	"a gang over the cap":   {body: gangBody, maximum: tw.Resources{CPU: 7999}, status: http.StatusServiceUnavailable},
-	"no cap on what it asks for": {
-		body: gangBody, maximum: tw.Resources{GPU: 1}, status: http.StatusOK,
+	"a gang within the cap": {body: gangBody, usageCap: tw.Resources{CPU: 8000}, status: http.StatusOK},
+	"a gang over the cap":   {body: gangBody, usageCap: tw.Resources{CPU: 7999}, status: http.StatusServiceUnavailable},
+	"no cap on the resource": {
+		body: gangBody, usageCap: tw.Resources{GPU: 1}, status: http.StatusOK,
 	},
-	"others over the cap run one by one": {body: looseBody, maximum: tw.Resources{CPU: 1000}, status: http.StatusOK},
-	"a gang that was kept before the cap fell": {
-		body: gangBody, maximum: tw.Resources{CPU: 7999}, before: true, status: http.StatusOK,
+	"independent subtasks over the cap": {body: looseBody, usageCap: tw.Resources{CPU: 1000}, status: http.StatusOK},
+	"a gang that was stored before the cap was lowered": {
+		body: gangBody, usageCap: tw.Resources{CPU: 7999}, storedBefore: true, status: http.StatusOK,
 	},
 }
 
@@ -37,15 +37,15 @@
 func TestGangOverTheCap(t *testing.T) {
 	for name, c := range gangCapCases {
 		t.Run(name, func(t *testing.T) {
-			g := newKeyedGate(t)
-			if c.before {
+			g := newKeyedFixture(t)
+			if c.storedBefore {
 				g.Expect(g.callWith([]string{redKey}, http.MethodPost, "/x/"+goodID, c.body).Code).To(Equal(http.StatusOK))
 			}
-			g.config.Organisations[0].UsageCap = c.maximum
+			g.config.Organisations[0].UsageCap = c.usageCap
 			w := g.callWith([]string{redKey}, http.MethodPost, "/x/"+goodID, c.body)
 			g.Expect(w.Code).To(Equal(c.status), w.Body.String())
 			g.Expect(w.Header().Get("Retry-After") != "").To(Equal(c.status == http.StatusServiceUnavailable))
-			g.Expect(g.kept()).To(Equal(c.status == http.StatusOK))
+			g.Expect(g.stored()).To(Equal(c.status == http.StatusOK))
 		})
 	}
 }
--- a/queue/doc.go
+++ b/queue/doc.go
@@ -1,4 +1,4 @@
-// Package queue takes submissions from callers at any daemon, and tells them
-// what has become of them. It finds the owner of a pool, and goes to the
-// store itself when the owner can't be reached.
+// Package queue accepts submissions from callers at any daemon and reports
+// their states. It forwards requests to the owner of the pool, and uses the
+// store directly when the owner cannot be reached.
 package queue
--- a/queue/handler.go
+++ b/queue/handler.go
@@ -20,15 +20,15 @@
 )
 
 type (
-	// Codec reads what callers send and writes what they are told. The
-	// platform's adapter implements it.
+	// Codec decodes the requests of callers and encodes the responses. Package
+	// platform implements it.
 	Codec interface {
 		ParseID(text string) (tw.SubmissionID, bool)
 		DecodeSubmission(body []byte) (tw.Submission, error)
 		Timeout(r *http.Request) time.Duration
-		// Key is the key that a request brings; false if it brings none, or several.
+		// Key returns the key of a request; false if it has none, or several.
 		Key(r *http.Request) (string, bool)
-		// Challenge names what a request without a key that counts lacks.
+		// Challenge returns the value of the WWW-Authenticate header for requests without a valid key.
 		Challenge() string
 		EncodeState(state tw.SubmissionState) []byte
 		EncodeWaitingCount(count int) []byte
@@ -38,51 +38,55 @@
 	HandlerConfig struct {
 		Router *Router
 		Codec  Codec
-		// Config is the configuration in force; nil if there is none yet.
+		// Config returns the active configuration; nil if there is none yet.
 		Config func() *tw.QueueConfig
-		// RequireKeys: the deployment has organisations, whose callers show a key.
+		// RequireKeys means that the deployment has organisations, whose callers must send a
+		// key.
 		RequireKeys bool
 		Clock       tw.Clock
 		Log         *zap.Logger
 		Metrics     *metrics.Set
 	}
 
-	// Handler serves callers.
+	// Handler handles the HTTP requests of callers.
 	Handler struct{ HandlerConfig }
 
-	// target is what a request is for, and from whom.
+	// target is the route and the organisation of a request.
 	target struct {
 		config *tw.QueueConfig
 		route  *tw.QueueRoute
-		// caller is who calls; nil for nobody.
+		// caller is the organisation of the caller; nil if there is none.
 		caller *tw.Organisation
 	}
 )
 
 const (
-	// answerMargin is left of a caller's time when a request is given up, for
-	// the way of the answer.
+	// answerMargin is the part of a caller's timeout that is reserved for
+	// transmitting the response.
 	answerMargin = 200 * time.Millisecond
-	// minRequestTime is what a request is given however little its caller says.
+	// minRequestTime is the minimum time for handling a request, even if the caller's
+	// timeout is shorter.
 	minRequestTime = 100 * time.Millisecond
-	// retryAfter tells callers when to come back, in seconds: outages of the
-	// store and changes of owners last about so long.
+	// retryAfter is the Retry-After header in seconds, about the duration of
+	// outages of the store and changes of owners.
 	retryAfter = "1"
-	// capRetryAfter is the same for what only another configuration allows.
+	// capRetryAfter is the Retry-After header in seconds for submissions that
+	// cannot be accepted unless the configuration changes.
 	capRetryAfter = "30"
-	// defaultBodyLimit holds until the configuration names one.
+	// defaultBodyLimit is the maximum body size in bytes if the configuration
+	// sets none.
 	defaultBodyLimit = 1 << 20
 )
 
-// New makes the handler.
+// New creates the handler.
 func (c HandlerConfig) New() *Handler { return &Handler{HandlerConfig: c} }
 
-// submissionRequest is the question for a submission of the caller's.
+// submissionRequest returns the request for a submission of the caller's organisation.
 func (t target) submissionRequest(id tw.SubmissionID) member.SubmissionRequest {
 	return member.SubmissionRequest{Pool: t.route.Policy.Pool, ID: id, Organisation: t.organisation()}
 }
 
-// organisation is who calls; empty for nobody.
+// organisation returns the id of the caller's organisation; empty if there is none.
 func (t target) organisation() tw.OrganisationID {
 	if t.caller == nil {
 		return ""
@@ -108,7 +112,7 @@
 	}
 	caller, known := h.caller(r, config, route)
 	if !known {
-		// It says the same of a key that is missing, taken away or never was one.
+		// The response is the same for missing, revoked and unknown keys.
 		w.Header().Set("WWW-Authenticate", h.Codec.Challenge())
 		h.refuse(w, r, http.StatusUnauthorized, "no valid key")
 		return
@@ -126,8 +130,8 @@
 	h.serve(ctx, w, r, target{config: config, route: route, caller: caller})
 }
 
-// caller is the organisation that a request comes from: nobody where no key is asked
-// for. It is false for a request whose key opens nothing.
+// caller returns the organisation of a request, nil where no key is required. It returns
+// false if the key is missing or invalid.
 func (h *Handler) caller(r *http.Request, config *tw.QueueConfig, route *tw.QueueRoute) (*tw.Organisation, bool) {
 	if !h.RequireKeys || route.Public {
 		return nil, true
@@ -184,9 +188,9 @@
 		h.refuse(w, r, http.StatusServiceUnavailable, "not taken: a gang of it asks for more than the organisation's usage cap")
 		return
 	}
-	began := h.Clock.Now()
+	start := h.Clock.Now()
 	err = h.Router.Submit(ctx, s)
-	h.Metrics.GetOrCreateHistogram("tamarind_submit_seconds").Update(h.Clock.Now().Sub(began).Seconds())
+	h.Metrics.GetOrCreateHistogram("tamarind_submit_seconds").Update(h.Clock.Now().Sub(start).Seconds())
 	switch {
 	case err == nil:
 		h.answer(w, r, h.Codec.EncodeState(tw.SubmissionWaiting))
@@ -237,27 +241,27 @@
 	h.Metrics.GetOrCreateCounter(`tamarind_requests_total{method="` + r.Method + `",status="200"}`).Inc()
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // a caller that is gone needs no answer
+	_, _ = w.Write(body) // fails only if the caller is gone
 }
 
-// refuse answers that a request was not served, and says why.
-func (h *Handler) refuse(w http.ResponseWriter, r *http.Request, status int, why string) {
+// refuse responds with an error status and the reason.
+func (h *Handler) refuse(w http.ResponseWriter, r *http.Request, status int, reason string) {
 	h.Metrics.GetOrCreateCounter(`tamarind_requests_total{method="` + r.Method + `",status="` + strconv.Itoa(status) + `"}`).Inc()
 	h.Log.Info("request: refused", zap.String("method", r.Method), zap.String("host", r.Host),
-		zap.String("path", r.URL.Path), zap.Int("status", status), zap.String("why", why))
+		zap.String("path", r.URL.Path), zap.Int("status", status), zap.String("why", reason))
 	if status == http.StatusServiceUnavailable && w.Header().Get("Retry-After") == "" {
 		w.Header().Set("Retry-After", retryAfter)
 	}
 	if h.Router.Members.Isolated() {
-		// The balancer sends the caller's next connection to another hall.
+		// The load balancer sends the caller's next connection to another hall.
 		w.Header().Set("Connection", "close")
 	}
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, `{"title":`+strconv.Quote(http.StatusText(status))+`,"detail":`+strconv.QuoteToASCII(why)+`}`)
+	_, _ = io.WriteString(w, `{"title":`+strconv.Quote(http.StatusText(status))+`,"detail":`+strconv.QuoteToASCII(reason)+`}`)
 }
 
-// wholeSeconds rounds a time to come back after up, to at least one second.
+// wholeSeconds formats a duration as whole seconds, rounded up and at least one.
 func wholeSeconds(d time.Duration) string {
 	return strconv.Itoa(max(1, int(math.Ceil(d.Seconds()))))
 }
@@ -278,7 +282,7 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, int64(limit)))
 }
 
-// headerBytes is about what the header took on the wire.
+// headerBytes returns the approximate size of the request header on the wire.
 func headerBytes(r *http.Request) tw.Bytes {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
--- a/queue/handler_test.go
+++ b/queue/handler_test.go
@@ -25,13 +25,13 @@
 	goodBody = `{"spec":"x","steps":[{"count":1}]}`
 )
 
-// nobody owns any pool here.
-type nobody struct{}
+// noOwners implements queue.Pools for a daemon that owns no pool.
+type noOwners struct{}
 
-func (nobody) Local(tw.PoolID) *run.Owner { return nil }
+func (noOwners) Local(tw.PoolID) *run.Owner { return nil }
 
-// gate is a handler over a store, without an owner of any pool.
-type gate struct {
+// fixture is a handler with a store, in which no pool has an owner.
+type fixture struct {
 	*WithT
 	t       *testing.T
 	kv      *standin.KV
@@ -39,8 +39,8 @@
 	config  *tw.QueueConfig
 }
 
-func newGate(t *testing.T) *gate {
-	g := &gate{WithT: NewWithT(t), t: t, kv: standin.KVConfig{}.New()}
+func newFixture(t *testing.T) *fixture {
+	g := &fixture{WithT: NewWithT(t), t: t, kv: standin.KVConfig{}.New()}
 	g.config = &tw.QueueConfig{
 		Version: 1, Limits: tw.QueueLimits{Body: 200, Header: 500},
 		Routes: []tw.QueueRoute{{
@@ -48,7 +48,7 @@
 		}},
 	}
 	router := queue.RouterConfig{
-		Pools: nobody{}, Members: &member.Members{}, Peers: member.NewPeers(nil), KV: g.kv, Clock: tw.SystemClock{}, Log: zap.NewNop(),
+		Pools: noOwners{}, Members: &member.Members{}, Peers: member.NewPeers(nil), KV: g.kv, Clock: tw.SystemClock{}, Log: zap.NewNop(),
 	}.New()
 	g.handler = queue.HandlerConfig{
 		Router: router, Codec: platform.Codec{}, Config: func() *tw.QueueConfig { return g.config },
@@ -57,7 +57,7 @@
 	return g
 }
 
-func (g *gate) call(method, path, body string) *httptest.ResponseRecorder {
+func (g *fixture) call(method, path, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Host = "a.example:80"
 	w := httptest.NewRecorder()
@@ -65,58 +65,58 @@
 	return w
 }
 
-func (g *gate) kept() bool {
+func (g *fixture) stored() bool {
 	_, err := ledger.FindSubmission(g.t.Context(), g.kv, goodID)
 	return err == nil
 }
 
-// gateCases are calls and their answers.
-var gateCases = map[string]struct {
+// handlerCases are requests and the expected responses.
+var handlerCases = map[string]struct {
 	method, path, body string
 	faults             standin.KVFaults
-	prepare            func(g *gate)
+	prepare            func(g *fixture)
 	status             int
-	kept               bool
+	stored             bool
 	retry              bool
-	says               string
+	contains           string
 }{
-	"keeps a submission without an owner": {
-		method: "POST", path: "/x/" + goodID, body: goodBody, status: 200, kept: true,
+	"stores a submission without an owner": {
+		method: "POST", path: "/x/" + goodID, body: goodBody, status: 200, stored: true,
 	},
-	"knows no such route": {method: "POST", path: "/y/" + goodID, body: goodBody, status: 404},
-	"has no configuration yet": {
-		method: "POST", path: "/x/" + goodID, body: goodBody, prepare: func(g *gate) { g.config = nil }, status: 503, retry: true,
+	"unknown route": {method: "POST", path: "/y/" + goodID, body: goodBody, status: 404},
+	"no configuration yet": {
+		method: "POST", path: "/x/" + goodID, body: goodBody, prepare: func(g *fixture) { g.config = nil }, status: 503, retry: true,
 	},
-	"refuses an odd id":      {method: "POST", path: "/x/123", body: goodBody, status: 400},
-	"refuses a bad body":     {method: "POST", path: "/x/" + goodID, body: `{"steps":[]}`, status: 400, says: "steps"},
-	"refuses a large body":   {method: "POST", path: "/x/" + goodID, body: strings.Repeat(" ", 300), status: 413},
-	"refuses other methods":  {method: "PUT", path: "/x/" + goodID, status: 405},
-	"refuses a large header": {method: "GET", path: "/x/" + goodID + "?" + strings.Repeat("q", 600), status: 431},
-	"refuses for now what the store refuses": {
+	"refuses an invalid id":   {method: "POST", path: "/x/123", body: goodBody, status: 400},
+	"refuses an invalid body": {method: "POST", path: "/x/" + goodID, body: `{"steps":[]}`, status: 400, contains: "steps"},
+	"refuses a large body":    {method: "POST", path: "/x/" + goodID, body: strings.Repeat(" ", 300), status: 413},
+	"refuses other methods":   {method: "PUT", path: "/x/" + goodID, status: 405},
+	"refuses a large header":  {method: "GET", path: "/x/" + goodID + "?" + strings.Repeat("q", 600), status: 431},
+	"refuses while the store is unavailable": {
 		method: "POST", path: "/x/" + goodID, body: goodBody, faults: standin.KVFaults{Down: true}, status: 503, retry: true,
 	},
-	"does not say what it does not know": {
+	"reports an ambiguous result": {
 		method: "POST", path: "/x/" + goodID, body: goodBody, faults: standin.KVFaults{LateWrites: 1000}, status: 504,
 	},
-	"finds out that a write without an answer was done": {
-		method: "POST", path: "/x/" + goodID, body: goodBody, faults: standin.KVFaults{LoseAnswers: 1}, status: 200, kept: true,
+	"detects that an unanswered write was executed": {
+		method: "POST", path: "/x/" + goodID, body: goodBody, faults: standin.KVFaults{LoseAnswers: 1}, status: 200, stored: true,
 	},
-	"knows no such submission": {method: "GET", path: "/x/" + goodID, status: 410},
-	"tells the state of one that waits": {
-		method: "GET", path: "/x/" + goodID, prepare: func(g *gate) { g.call("POST", "/x/"+goodID, goodBody) },
-		status: 200, kept: true, says: `"pending"`,
+	"unknown submission": {method: "GET", path: "/x/" + goodID, status: 410},
+	"returns the state of a waiting submission": {
+		method: "GET", path: "/x/" + goodID, prepare: func(g *fixture) { g.call("POST", "/x/"+goodID, goodBody) },
+		status: 200, stored: true, contains: `"pending"`,
 	},
-	"does not guess a state": {method: "GET", path: "/x/" + goodID, faults: standin.KVFaults{Down: true}, status: 503, retry: true},
+	"state while the store is unavailable": {method: "GET", path: "/x/" + goodID, faults: standin.KVFaults{Down: true}, status: 503, retry: true},
 	"cancels without an owner": {
-		method: "DELETE", path: "/x/" + goodID, prepare: func(g *gate) { g.call("POST", "/x/"+goodID, goodBody) }, status: 200, kept: true,
+		method: "DELETE", path: "/x/" + goodID, prepare: func(g *fixture) { g.call("POST", "/x/"+goodID, goodBody) }, status: 200, stored: true,
 	},
-	"has nothing to cancel": {method: "DELETE", path: "/x/" + goodID, status: 410},
+	"cancel of an unknown submission": {method: "DELETE", path: "/x/" + goodID, status: 410},
 }
 
 func TestHandler(t *testing.T) {
-	for name, c := range gateCases {
+	for name, c := range handlerCases {
 		t.Run(name, func(t *testing.T) {
-			g := newGate(t)
+			g := newFixture(t)
 			if c.prepare != nil {
 				c.prepare(g)
 			}
@@ -125,8 +125,8 @@
 			g.kv.SetFaults(standin.KVFaults{})
 			g.Expect(w.Code).To(Equal(c.status), w.Body.String())
 			g.Expect(w.Header().Get("Retry-After") != "").To(Equal(c.retry))
-			g.Expect(w.Body.String()).To(ContainSubstring(c.says))
-			g.Expect(g.kept()).To(Equal(c.kept))
+			g.Expect(w.Body.String()).To(ContainSubstring(c.contains))
+			g.Expect(g.stored()).To(Equal(c.stored))
 			if c.status >= http.StatusBadRequest {
 				g.Expect(w.Header().Get("Content-Type")).To(Equal("application/problem+json"))
 			}
@@ -134,7 +134,7 @@
 	}
 }
 
-// outcomes are what owners fail with, and what that becomes on its way.
+// outcomes are the errors of owners, and the outcomes that are sent for them.
 var outcomes = map[string]struct {
 	err  error
 	want member.Outcome
@@ -145,7 +145,7 @@
 	"over rate":   {err: tw.ErrRateLimited, want: member.OutcomeNotApplied},
 	"busy":        {err: &run.BusyError{RetryAfter: time.Second}, want: member.OutcomeBusy},
 	"unknown":     {err: run.ErrUnknownSubmission, want: member.OutcomeUnknown},
-	"unclear":     {err: tw.ErrAmbiguous, want: member.OutcomeAmbiguous},
+	"ambiguous":   {err: tw.ErrAmbiguous, want: member.OutcomeAmbiguous},
 }
 
 func TestOutcomes(t *testing.T) {
--- a/queue/keys_test.go
+++ b/queue/keys_test.go
@@ -22,10 +22,10 @@
 	header  = "Tamarindworks-Credential"
 )
 
-// newKeyedGate is a gate of a deployment with two organisations, a route that asks for a
-// key and a public one.
-func newKeyedGate(t *testing.T) *gate {
-	g := newGate(t)
+// newKeyedFixture returns a fixture with two organisations, a route that requires a key and a
+// public one.
+func newKeyedFixture(t *testing.T) *fixture {
+	g := newFixture(t)
 	g.handler.RequireKeys = true
 	g.config.Routes = append(g.config.Routes, tw.QueueRoute{
 		Host: "a.example", Prefix: "/open/", Public: true, Policy: tw.RoutePolicy{Route: "o", Pool: "p", Attempts: 1},
@@ -37,8 +37,8 @@
 	return g
 }
 
-// callWith makes a call with keys, each in a header of its own.
-func (g *gate) callWith(keys []string, method, path, body string) *httptest.ResponseRecorder {
+// callWith sends a request with keys, each in a separate header.
+func (g *fixture) callWith(keys []string, method, path, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Host = "a.example"
 	for _, key := range keys {
@@ -49,7 +49,7 @@
 	return w
 }
 
-// keyCases are the keys that a caller shows, and whether they open a route.
+// keyCases are the keys of a request, and the expected status.
 var keyCases = map[string]struct {
 	keys   []string
 	path   string
@@ -64,7 +64,7 @@
 	"a padded one":       {keys: []string{" " + redKey}, path: "/x/", status: http.StatusUnauthorized},
 	"with a scheme":      {keys: []string{"Bearer " + redKey}, path: "/x/", status: http.StatusUnauthorized},
 	"an unknown one":     {keys: []string{"never"}, path: "/x/", status: http.StatusUnauthorized},
-	"one taken away":     {keys: []string{oldKey}, path: "/x/", status: http.StatusUnauthorized},
+	"a revoked one":      {keys: []string{oldKey}, path: "/x/", status: http.StatusUnauthorized},
 	"a digest":           {keys: []string{digestText(redKey)}, path: "/x/", status: http.StatusUnauthorized},
 	"a huge one":         {keys: []string{strings.Repeat("k", 300)}, path: "/x/", status: http.StatusUnauthorized},
 	"none, public route": {path: "/open/", status: http.StatusOK},
@@ -73,30 +73,30 @@
 }
 
 func digestText(key string) string {
-	text, _ := tw.DigestKey(key).MarshalText() // it never fails
+	text, _ := tw.DigestKey(key).MarshalText() // never fails
 	return string(text)
 }
 
 func TestKeys(t *testing.T) {
 	for name, c := range keyCases {
 		t.Run(name, func(t *testing.T) {
-			g := newKeyedGate(t)
+			g := newKeyedFixture(t)
 			for _, method := range []string{http.MethodPost, http.MethodDelete, http.MethodGet} {
 				w := g.callWith(c.keys, method, c.path+goodID, goodBody)
 				g.Expect(w.Code).To(Equal(c.status), method+" "+w.Body.String())
 				g.Expect(w.Header().Get("WWW-Authenticate") != "").To(Equal(c.status == http.StatusUnauthorized))
 			}
-			g.Expect(g.kept()).To(Equal(c.status == http.StatusOK))
+			g.Expect(g.stored()).To(Equal(c.status == http.StatusOK))
 		})
 	}
 }
 
-func TestKeysAreNotAskedForWithoutOrganisations(t *testing.T) {
-	g := newGate(t)
+func TestNoKeysWithoutOrganisations(t *testing.T) {
+	g := newFixture(t)
 	g.Expect(g.callWith(nil, http.MethodPost, "/x/"+goodID, goodBody).Code).To(Equal(http.StatusOK))
 }
 
-// unreadable fails when somebody reads it.
+// unreadable is a request body that fails the test if it is read.
 type unreadable struct{ t *testing.T }
 
 func (u unreadable) Read([]byte) (int, error) {
@@ -104,8 +104,8 @@
 	return 0, http.ErrBodyReadAfterClose
 }
 
-func TestKeyIsJudgedBeforeTheBody(t *testing.T) {
-	g := newKeyedGate(t)
+func TestKeyIsCheckedBeforeBody(t *testing.T) {
+	g := newKeyedFixture(t)
 	r := httptest.NewRequest(http.MethodPost, "/x/"+goodID, unreadable{t})
 	r.Host = "a.example"
 	w := httptest.NewRecorder()
@@ -113,13 +113,13 @@
 	g.Expect(w.Code).To(Equal(http.StatusUnauthorized))
 }
 
-// A submission of another organisation looks like one that does not exist.
-func TestOthersWorkIsNotShown(t *testing.T) {
+// Responses must not reveal whether a submission of another organisation exists.
+func TestOtherOrganisationsAreHidden(t *testing.T) {
 	for _, other := range []struct {
 		keys []string
 		path string
 	}{{[]string{blueKey}, "/x/"}, {nil, "/open/"}} {
-		g := newKeyedGate(t)
+		g := newKeyedFixture(t)
 		g.Expect(g.callWith([]string{redKey}, http.MethodPost, "/x/"+goodID, goodBody).Code).To(Equal(http.StatusOK))
 		for _, method := range []string{http.MethodGet, http.MethodDelete} {
 			const unknownID = "00000000000000aa"
@@ -137,8 +137,8 @@
 	}
 }
 
-func TestKeysStandNowhere(t *testing.T) {
-	g := newKeyedGate(t)
+func TestKeysAreNotExposed(t *testing.T) {
+	g := newKeyedFixture(t)
 	var log bytes.Buffer
 	g.handler.Log = zap.New(zapcore.NewCore(
 		zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&log), zap.DebugLevel))
--- a/queue/reach_test.go
+++ b/queue/reach_test.go
@@ -17,7 +17,7 @@
 	"github.com/tamarindworks/tamarindworks/member"
 )
 
-// mutedKV is a store that can fall silent: calls get no answer any more.
+// mutedKV is a store that does not answer while muted is true.
 type mutedKV struct {
 	*standin.KV
 	muted atomic.Bool
@@ -45,21 +45,21 @@
 	return k.KV.Renew(ctx, lease)
 }
 
-// cutDaemon is the router of a daemon whose network and store can fall silent.
-type cutDaemon struct {
+// partitionedDaemon is the router of a daemon that can be partitioned from other daemons and the store.
+type partitionedDaemon struct {
 	*Router
 	kv     *mutedKV
 	others *membertest.Peers
 }
 
-// cutNow makes everything outside the daemon silent.
-func (d *cutDaemon) cutNow() {
+// partition partitions the daemon from all others and from the store.
+func (d *partitionedDaemon) partition() {
 	d.kv.muted.Store(true)
 	d.others.Unresponsive.Store(true)
 }
 
-func startCutDaemon() (d *cutDaemon, end func()) {
-	d = &cutDaemon{kv: &mutedKV{KV: standin.KVConfig{Latency: time.Millisecond}.New()}, others: &membertest.Peers{}}
+func startPartitionedDaemon() (d *partitionedDaemon, end func()) {
+	d = &partitionedDaemon{kv: &mutedKV{KV: standin.KVConfig{Latency: time.Millisecond}.New()}, others: &membertest.Peers{}}
 	membertest.Announce(d.kv.KV, member.DaemonRecord{Daemon: "b", Incarnation: 1, Address: "b:1", Hall: "far"})
 	members, end := membertest.StartWithPeers(d.kv, member.DaemonRecord{Daemon: "a", Incarnation: 1, Address: "a:1", Hall: "near"}, d.others)
 	d.Router = RouterConfig{Pools: noOwners{}, Members: members, KV: d.kv, Clock: tw.SystemClock{}, Log: zap.NewNop()}.New()
@@ -67,32 +67,32 @@
 	return d, end
 }
 
-// The answers to a submission, by what was sent and what is proved. A deadline
-// of 3 s is never waited for once the answer is known.
+// answerCases are the expected results of a submission during faults. The router
+// must not wait for the caller's deadline of 3 s once the result is certain.
 var answerCases = map[string]struct {
-	befall func(d *cutDaemon)
-	proved bool // that it was not taken
+	event  func(d *partitionedDaemon)
+	proved bool // the error proves that it was not accepted
 	taken  bool
 	within time.Duration
 }{
-	"nothing is sent once the daemon is isolated": {
-		befall: func(d *cutDaemon) {
-			d.cutNow()
+	"the daemon is isolated": {
+		event: func(d *partitionedDaemon) {
+			d.partition()
 			time.Sleep(time.Second)
 		},
 		proved: true, within: time.Millisecond,
 	},
-	"sent just before the cut": {
-		befall: func(d *cutDaemon) { d.cutNow() }, within: isolationNoticed,
+	"sent just before the partition": {
+		event: func(d *partitionedDaemon) { d.partition() }, within: isolationNoticed,
 	},
-	"the store refuses it": {
-		befall: func(d *cutDaemon) { d.kv.SetFaults(standin.KVFaults{Down: true}) }, proved: true, within: 10 * time.Millisecond,
+	"the store is unavailable": {
+		event: func(d *partitionedDaemon) { d.kv.SetFaults(standin.KVFaults{Down: true}) }, proved: true, within: 10 * time.Millisecond,
 	},
-	"the store's answer was lost": {
-		befall: func(d *cutDaemon) { d.kv.SetFaults(standin.KVFaults{LoseAnswers: 1}) }, taken: true, within: 100 * time.Millisecond,
+	"the store's response was lost": {
+		event: func(d *partitionedDaemon) { d.kv.SetFaults(standin.KVFaults{LoseAnswers: 1}) }, taken: true, within: 100 * time.Millisecond,
 	},
-	"an owner that is known not to answer is not asked": {
-		befall: func(d *cutDaemon) {
+	"an owner that does not answer pings is not called": {
+		event: func(d *partitionedDaemon) {
 			d.Members.RecordOwner(ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Incarnation: 1, Fence: 3})
 			d.others.Unresponsive.Store(true)
 			time.Sleep(2 * time.Second)
@@ -101,22 +101,22 @@
 	},
 }
 
-// isolationNoticed is within how long a daemon knows that it is isolated.
+// isolationNoticed is the maximum time in which a daemon detects that it is isolated.
 const isolationNoticed = 900 * time.Millisecond
 
-func TestAnswersByProof(t *testing.T) {
+func TestSubmitDuringFaults(t *testing.T) {
 	for name, c := range answerCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				d, end := startCutDaemon()
+				d, end := startPartitionedDaemon()
 				defer end()
-				c.befall(d)
+				c.event(d)
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
-				began := time.Now()
+				start := time.Now()
 				err := d.Submit(ctx, tw.Submission{ID: "5c0e7a21d94b36f8", Policy: tw.RoutePolicy{Pool: "p"}})
-				g.Expect(time.Since(began)).To(BeNumerically("<=", c.within))
+				g.Expect(time.Since(start)).To(BeNumerically("<=", c.within))
 				g.Expect(err == nil).To(Equal(c.taken))
 				g.Expect(err != nil && notApplied(err)).To(Equal(c.proved))
 			})
--- a/queue/router.go
+++ b/queue/router.go
@@ -15,9 +15,9 @@
 )
 
 type (
-	// Pools finds the owners that run in this daemon.
+	// Pools provides the pool owners that run in this daemon.
 	Pools interface {
-		// Local is the owner of a pool if it is this daemon, else nil.
+		// Local returns the owner of a pool if it runs in this daemon, or nil.
 		Local(pool tw.PoolID) *run.Owner
 	}
 
@@ -31,18 +31,18 @@
 		Log     *zap.Logger
 	}
 
-	// Router brings requests to the owner of their pool.
+	// Router forwards requests to the owner of their pool.
 	Router struct {
 		RouterConfig
 
 		mu sync.Mutex
-		// counts are the last counts of waiting submissions, by route.
+		// counts caches the number of waiting submissions, by route.
 		counts map[tw.RouteName]waitingCount
-		// busy are the pools whose owners were busy when they were last asked.
+		// busy caches the state of the owners that were busy at the last request.
 		busy map[tw.PoolID]busyOwner
 	}
 
-	// waitingCount is what an owner told at a moment.
+	// waitingCount is a number of waiting submissions and the time of its request.
 	waitingCount struct {
 		count int
 		at    time.Time
@@ -50,26 +50,27 @@
 )
 
 const (
-	// peerTimeout bounds one call to an owner: a submission takes two round
-	// trips of 2 ms and a write of 4 ms, or of 240 ms in a slow store.
+	// peerTimeout is the timeout of a call to an owner. A submission takes two
+	// round trips of 2 ms and a write of 4 ms, or of 240 ms if the store is slow.
 	peerTimeout = 900 * time.Millisecond
-	// retryDelay is the pause before an owner is looked for again.
+	// retryDelay is the delay before another attempt to reach an owner.
 	retryDelay = 60 * time.Millisecond
-	// countMaxAge is how old a count of waiting submissions may be; the platform
-	// allows 2 s.
+	// countMaxAge is the maximum age of a cached count of waiting submissions. The
+	// platform allows 2 s.
 	countMaxAge = 1500 * time.Millisecond
 )
 
-// errIsolated proves that nothing was sent: nothing would answer.
+// errIsolated means that no request was sent because this daemon is isolated.
 var errIsolated = errors.Wrap(tw.ErrUnavailable, "queue: neither the store nor another hall answers this daemon")
 
-// New makes a router.
+// New creates a router.
 func (c RouterConfig) New() *Router {
 	return &Router{RouterConfig: c, counts: map[tw.RouteName]waitingCount{}, busy: map[tw.PoolID]busyOwner{}}
 }
 
-// Submit has a submission kept. ErrUnavailable proves that it was not taken
-// and never runs; after ErrUnclear it may have been.
+// Submit has a submission accepted by the owner of its pool, or stored for it.
+// ErrUnavailable means that it was not accepted and never runs; after
+// ErrAmbiguous it may have been accepted.
 func (r *Router) Submit(ctx context.Context, s tw.Submission) error {
 	return r.submit(ctx, s, r.submitToOwner)
 }
@@ -77,9 +78,9 @@
 func (r *Router) submit(ctx context.Context, s tw.Submission, toOwner func(context.Context, tw.Submission) error) error {
 	ctx, stop := r.Members.ContextUntilIsolated(ctx)
 	defer stop()
-	unclear := false
+	ambiguous := false
 	for {
-		if r.Members.Isolated() && !unclear {
+		if r.Members.Isolated() && !ambiguous {
 			return errIsolated
 		}
 		err := r.cachedBusy(s.Policy.Pool)
@@ -90,18 +91,18 @@
 			return nil
 		}
 		if busy := (*run.BusyError)(nil); errors.As(err, &busy) {
-			// The store would keep what the owner can't start in time.
+			// A submission that the owner cannot start in time is not stored for it.
 			r.recordBusy(s.Policy.Pool, busy)
 			err = r.nilIfStored(ctx, s, busy)
 		} else {
-			unclear = unclear || !notApplied(err)
+			ambiguous = ambiguous || !notApplied(err)
 			err = r.submitWithoutOwner(ctx, s)
 		}
 		if err == nil {
 			return nil
 		}
-		unclear = unclear || !notApplied(err)
-		if !unclear {
+		ambiguous = ambiguous || !notApplied(err)
+		if !ambiguous {
 			return err
 		}
 		if !r.waitRetry(ctx) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// notApplied tells whether an error proves that nothing was done.
+// notApplied reports whether an error proves that a call had no effect.
 func notApplied(err error) bool {
 	return tw.NotApplied(err) || errors.Is(err, run.ErrNotOwner) || errors.Is(err, tw.ErrNotListening)
 }
@@ -138,8 +139,8 @@
 	return ErrorOf(resp.Outcome)
 }
 
-// owner is the daemon to ask about a pool. It fails with run.ErrNotOwner, and
-// nothing is sent, if there is none or it is known not to answer.
+// owner returns the owner of a pool. It fails with run.ErrNotOwner, without
+// sending anything, if no owner is known or it does not answer pings.
 func (r *Router) owner(pool tw.PoolID) (ledger.Owner, error) {
 	owner, found := r.Members.Owner(pool)
 	if !found {
@@ -151,8 +152,8 @@
 	return owner, nil
 }
 
-// submitToStore keeps a submission without the pool's owner, which finds it
-// in its inbox.
+// submitToStore writes a submission to the pool's inbox in the store, from
+// which the pool's owner reads it.
 func (r *Router) submitToStore(ctx context.Context, s tw.Submission) error {
 	_, err := r.KV.Commit(ctx, ledger.AcceptViaInbox(&s))
 	var conflict *tw.KVConflictError
@@ -166,9 +167,9 @@
 	return err
 }
 
-// resolveDuplicate tells what it means for a submission that its id is taken: nothing if it was
-// kept before. One of another organisation is not to be told of; as far as the caller can
-// tell, its own was not taken.
+// resolveDuplicate returns the result for a submission whose id already exists: nil if it belongs to
+// the same organisation, so that a repeated request succeeds. The existence of a submission of
+// another organisation is not revealed; the caller gets the error that its own was not accepted.
 func resolveDuplicate(conflict *tw.KVConflictError, s *tw.Submission) error {
 	record, err := ledger.DecodeRecord(conflict.Find(ledger.SubmissionKey(s.ID)))
 	if err == nil && record.Organisation != s.Organisation {
@@ -177,7 +178,8 @@
 	return nil
 }
 
-// Cancel cancels a submission. It fails with run.ErrUnknown if there is none.
+// Cancel cancels a submission. It fails with run.ErrUnknownSubmission if there
+// is no such submission.
 func (r *Router) Cancel(ctx context.Context, m member.SubmissionRequest) error {
 	ctx, stop := r.Members.ContextUntilIsolated(ctx)
 	defer stop()
@@ -232,10 +234,10 @@
 	return ErrorOf(resp.Outcome)
 }
 
-// State tells a submission's state. It fails with run.ErrUnknown if there is
-// none.
+// State returns a submission's state. It fails with run.ErrUnknownSubmission if
+// there is no such submission.
 func (r *Router) State(ctx context.Context, m member.SubmissionRequest) (tw.SubmissionState, error) {
-	// What an owner here knows is told also while nothing else answers.
+	// A local owner can answer even while this daemon is isolated.
 	if local := r.Pools.Local(m.Pool); local != nil {
 		if state, err := local.State(ctx, m.Organisation, m.ID); err == nil {
 			return state, nil
@@ -276,7 +278,7 @@
 	return r.recordedState(ctx, record.Pool, m.ID)
 }
 
-// recordedState is what the store tells of a submission that has not ended.
+// recordedState returns the stored state of a submission that has not ended.
 func (r *Router) recordedState(ctx context.Context, pool tw.PoolID, id tw.SubmissionID) (tw.SubmissionState, error) {
 	progress, err := ledger.FindProgress(ctx, r.KV, pool, id)
 	if err != nil {
@@ -305,15 +307,15 @@
 	return resp.State, ErrorOf(resp.Outcome)
 }
 
-// Waiting counts a route's waiting submissions; if the owner can't be
-// reached, it is the last count that it told, unless that is too old.
+// Waiting returns the number of a route's waiting submissions. If the owner
+// cannot be reached, it returns the last known number unless that is too old.
 func (r *Router) Waiting(ctx context.Context, pool tw.PoolID, route tw.RouteName) (int, error) {
-	asked := r.Clock.Now()
+	requested := r.Clock.Now()
 	count, err := r.waitingAtOwner(ctx, pool, route)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
-		r.counts[route] = waitingCount{count: count, at: asked}
+		r.counts[route] = waitingCount{count: count, at: requested}
 		return count, nil
 	}
 	if last, known := r.counts[route]; known && r.Clock.Now().Sub(last.at) <= countMaxAge {
@@ -339,7 +341,7 @@
 	return resp.Count, ErrorOf(resp.Outcome)
 }
 
-// waitRetry waits before the next try; false if there is no time for one.
+// waitRetry waits before the next attempt. It returns false if ctx ends first.
 func (r *Router) waitRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
@@ -349,7 +351,7 @@
 	}
 }
 
-// ErrorOf is the error that an outcome stands for.
+// ErrorOf returns the error that corresponds to an outcome.
 func ErrorOf(o member.Outcome) error {
 	switch o {
 	case member.OutcomeDone:
@@ -366,7 +368,7 @@
 	return tw.ErrAmbiguous
 }
 
-// OutcomeOf is the outcome that an error of an Owner stands for.
+// OutcomeOf returns the outcome that corresponds to an error of a run.Owner.
 func OutcomeOf(err error) member.Outcome {
 	switch {
 	case err == nil:
--- a/queue_config.go
+++ b/queue_config.go
@@ -9,8 +9,9 @@
 )
 
 type (
-	// QueueConfig is the operators' configuration of routes and pools on the
-	// platform. Versions only rise. It is not changed once it is in use.
+	// QueueConfig is the operators' configuration of routes and pools, as
+	// stored on the platform. Versions only increase. It is immutable once in
+	// use.
 	QueueConfig struct {
 		Version       Version
 		Routes        []QueueRoute
@@ -23,33 +24,36 @@
 		byKey    map[KeyDigest]*Organisation
 	}
 
-	// QueueRoute leads submissions to the pool whose workers run them.
+	// QueueRoute routes submissions to the pool whose workers run them.
 	QueueRoute struct {
 		Host    string
 		Prefix  string
 		Timeout time.Duration
 		Policy  RoutePolicy
-		// Public routes ask for no key, and what is handed in there belongs to nobody.
+		// Public routes require no key, and their submissions belong to no
+		// organisation.
 		Public bool
 	}
 
-	// hostRoutes are the routes of a host.
+	// hostRoutes holds the routes of a host.
 	hostRoutes struct {
 		byPrefix map[string]*QueueRoute
-		// lengths are those of the prefixes, the longest first.
+		// lengths lists the distinct prefix lengths in bytes, longest first.
 		lengths []int
 	}
 
 	// QueuePool is a pool of workers.
 	QueuePool struct {
 		ID PoolID
-		// EnforcesCapacity says that workers refuse what does not fit.
+		// EnforcesCapacity means that workers refuse starts that exceed their
+		// capacity.
 		EnforcesCapacity bool
-		// Parking says that the pool's machines are off and cost nothing.
+		// Parking means that the pool's machines are switched off and cost
+		// nothing.
 		Parking bool
 	}
 
-	// QueueLimits bounds what callers may send. Zero is no bound.
+	// QueueLimits limits the requests of callers. Zero means no limit.
 	QueueLimits struct {
 		Header     Bytes
 		Body       Bytes
@@ -58,8 +62,8 @@
 	}
 )
 
-// Prepare builds the tables by which requests are looked up. Whoever puts a
-// configuration in force calls it first, so that no request waits for it.
+// Prepare builds the lookup tables of Route and OrganisationOf. It is called
+// before a configuration is activated, so that no request waits for it.
 func (c *QueueConfig) Prepare() { c.prepared.Do(c.buildTables) }
 
 func (c *QueueConfig) buildTables() {
@@ -89,10 +93,10 @@
 	}
 }
 
-// Route finds the route of a request: its host, and the longest prefix that
-// the path begins with. Host is without port. Among 1,440 routes it and the
-// look-up of a key take 0.3 us and allocate nothing; going through all routes took 13 us
-// (BenchmarkRoute).
+// Route returns the route of a request: the one of its host with the longest
+// prefix of the path, or nil. Host has no port. With 1,440 routes, Route and
+// the lookup of a key take 0.3 us and do not allocate; a linear scan of the
+// routes took 13 us (BenchmarkRoute).
 func (c *QueueConfig) Route(host, path string) *QueueRoute {
 	c.Prepare()
 	routes := c.byHost[strings.ToLower(host)]
@@ -107,8 +111,8 @@
 	return nil
 }
 
-// OrganisationOf finds the organisation that a key belongs to, or nil. How long it
-// takes tells nothing of the keys, as only digests are compared.
+// OrganisationOf returns the organisation that a key belongs to, or nil. Only digests
+// are compared, so its timing reveals nothing about the keys.
 func (c *QueueConfig) OrganisationOf(key string) *Organisation {
 	if key == "" || len(key) > maxKeyBytes {
 		return nil
@@ -117,7 +121,7 @@
 	return c.byKey[DigestKey(key)]
 }
 
-// Pool finds a pool, or nil.
+// Pool returns a pool by id, or nil.
 func (c *QueueConfig) Pool(id PoolID) *QueuePool {
 	for i := range c.Pools {
 		if c.Pools[i].ID == id {
@@ -127,7 +131,7 @@
 	return nil
 }
 
-// ParkingPool finds the pool whose machines are off, or nil.
+// ParkingPool returns the pool whose machines are switched off, or nil.
 func (c *QueueConfig) ParkingPool() *QueuePool {
 	for i := range c.Pools {
 		if c.Pools[i].Parking {
--- a/queue_config_test.go
+++ b/queue_config_test.go
@@ -11,7 +11,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// routeByScan is what Route has to find: the first of the longest prefixes.
+// routeByScan is a reference implementation of Route: it returns the first of the routes with the
+// longest matching prefix.
 func routeByScan(c *tw.QueueConfig, host, path string) *tw.QueueRoute {
 	var best *tw.QueueRoute
 	for i := range c.Routes {
@@ -41,13 +42,14 @@
 	})
 }
 
-func TestHostsAreFoundInAnyCase(t *testing.T) {
+func TestRouteIgnoresHostCase(t *testing.T) {
 	config := &tw.QueueConfig{Routes: []tw.QueueRoute{{Host: "A.example", Prefix: "/x/"}}}
 	NewWithT(t).Expect(config.Route("a.EXAMPLE", "/x/1")).NotTo(BeNil())
 }
 
-// Daemons pass configurations on: keys are in them as digests, and open what they did.
-func TestConfigKeepsItsKeysOnTheWay(t *testing.T) {
+// Daemons send configurations to each other as JSON. They must contain only digests of keys,
+// which must still identify the organisations after decoding.
+func TestConfigRoundTripKeepsKeys(t *testing.T) {
 	g := NewWithT(t)
 	sent := largeConfig(40, 3)
 	message, err := json.Marshal(sent)
@@ -60,7 +62,7 @@
 	g.Expect(read.Route("host.example", "/route7/x")).NotTo(BeNil())
 }
 
-func TestDigestIsReadStrictly(t *testing.T) {
+func TestKeyDigestRejectsInvalidText(t *testing.T) {
 	for _, text := range []string{`""`, `"00"`, `"zz"`, `7`} {
 		var d tw.KeyDigest
 		NewWithT(t).Expect(json.Unmarshal([]byte(text), &d)).NotTo(Succeed())
@@ -85,8 +87,8 @@
 	foundOrg   *tw.Organisation
 )
 
-// BenchmarkRoute looks up a route and a key among 200: 0.16 us at 40 routes, 0.26 us at
-// 1,440, nothing allocated. Going through all routes took 0.32 and 13 us without a key.
+// BenchmarkRoute measures the lookup of a route and of one key among 200: 0.16 us with 40 routes,
+// 0.26 us with 1,440, without allocations. A linear scan took 0.32 and 13 us, without the key.
 func BenchmarkRoute(b *testing.B) {
 	for _, routes := range []int{40, 1440} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
@@ -101,7 +103,7 @@
 	}
 }
 
-// BenchmarkRouteByScan is the way before the tables.
+// BenchmarkRouteByScan measures a linear scan of the routes for comparison.
 func BenchmarkRouteByScan(b *testing.B) {
 	for _, routes := range []int{40, 1440} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
@@ -114,8 +116,8 @@
 	}
 }
 
-// BenchmarkPrepare is what a new version costs before it is in force, with the digests of
-// its keys: 0.75 ms.
+// BenchmarkPrepare measures the creation and preparation of a configuration, including the digests
+// of its keys: 0.75 ms.
 func BenchmarkPrepare(b *testing.B) {
 	for b.Loop() {
 		largeConfig(1440, 200).Prepare()
--- a/relay.go
+++ b/relay.go
@@ -8,36 +8,37 @@
 )
 
 type (
-	// RelayedStart is an order to start that one daemon gives for another.
+	// RelayedStart is a start order that one daemon sends on behalf of another.
 	RelayedStart struct {
 		To    WorkerRef
 		Order StartOrder
-		// SpecCached: the order lacks its spec, which the relay was sent with an earlier
-		// order of the submission.
+		// SpecCached means that the order omits its spec, because the relay received it
+		// with an earlier order of the submission.
 		SpecCached bool
-		// Limit is how long the order may take from when the relay has it.
+		// Limit is the time allowed for the order, from its receipt by the relay.
 		Limit time.Duration
 	}
 
-	// RelayedAnswer is what became of one order of a batch.
+	// RelayedAnswer is the result of one order of a batch.
 	RelayedAnswer struct {
 		Index int // of the order in the batch
 		Clock WorkerTime
-		// Err is as for WorkerOrders, or ErrSpecUnknown.
+		// Err is an error as for WorkerOrders, or ErrSpecUnknown.
 		Err error
 	}
 
-	// Relays are other daemons that give orders to start for this one.
+	// Relays sends start orders through other daemons.
 	Relays interface {
 		// Candidates lists the addresses of some daemons in a data hall.
 		Candidates(hall HallID) []string
-		// Start has a daemon give orders to different workers. It hands over each answer
-		// as it comes. After an error, orders without an answer are unclear, except after
-		// ErrGone and ErrUnavailable, which prove that nothing was done.
+		// Start has a daemon send orders to different workers. It calls answer with each
+		// result as it arrives. After an error, the outcome of orders without a result is
+		// unknown, except after ErrNotListening and ErrUnavailable, which prove that no
+		// order was sent.
 		Start(ctx context.Context, address string, batch []RelayedStart, answer func(RelayedAnswer)) error
 	}
 )
 
-// ErrSpecUnknown is the error of an order without its spec that the relay does not know: it
-// was not given.
+// ErrSpecUnknown is the error of an order that omits its spec when the relay does not have the
+// spec; the order was not sent.
 var ErrSpecUnknown = errors.New("spec unknown")
--- a/route.go
+++ b/route.go
@@ -7,19 +7,19 @@
 )
 
 type (
-	// Class says how urgent a request is.
+	// Class is the priority class of a request.
 	Class string
 
-	// Route leads requests for a host and path prefix to a job.
+	// Route routes requests for a host and path prefix to a job.
 	Route struct {
 		Host  string `toml:"host"` // empty matches every host
-		Path  string `toml:"path"` // prefix, by whole segments
+		Path  string `toml:"path"` // prefix of whole segments
 		Job   JobID  `toml:"job"`
 		Class Class  `toml:"class"`
-		// Repeatable says whether a request may be run more than once. When
-		// left out, the method decides (RFC 9110, section 9.2.2).
+		// Repeatable says whether a request may be executed more than once.
+		// If unset, this depends on the method (RFC 9110, section 9.2.2).
 		Repeatable *bool `toml:"repeatable"`
-		// Timeout bounds a request whose caller names no shorter time.
+		// Timeout limits requests whose caller sets no shorter timeout.
 		Timeout Duration `toml:"timeout"`
 	}
 )
@@ -39,10 +39,10 @@
 	maxTimeout     = Duration(10 * time.Minute)
 )
 
-// Valid tells whether c is one of Classes.
+// Valid reports whether c is one of Classes.
 func (c Class) Valid() bool { return c == ClassQuick || c == ClassNormal || c == ClassLong }
 
-// SetDefaults fills what was left out.
+// SetDefaults sets default values for unset fields.
 func (r *Route) SetDefaults() {
 	if r.Class == "" {
 		r.Class = ClassNormal
@@ -52,7 +52,7 @@
 	}
 }
 
-// MayRepeat tells whether a request with this method may be run again.
+// MayRepeat reports whether a request with this method may be executed again.
 func (r *Route) MayRepeat(method string) bool {
 	if r.Repeatable != nil {
 		return *r.Repeatable
@@ -64,7 +64,7 @@
 	return false
 }
 
-// Matches tells whether the route takes a request. Host is without port.
+// Matches reports whether the route applies to a request. Host has no port.
 func (r *Route) Matches(host, path string) bool {
 	if r.Host != "" && !strings.EqualFold(r.Host, host) {
 		return false
@@ -72,21 +72,21 @@
 	if !strings.HasPrefix(path, r.Path) {
 		return false
 	}
-	// "/check" takes "/check/1" but not "/checkout".
+	// "/check" matches "/check/1" but not "/checkout".
 	return len(path) == len(r.Path) || strings.HasSuffix(r.Path, "/") || path[len(r.Path)] == '/'
 }
 
-func (r *Route) validate(at string, faults *ValidationErrors) {
+func (r *Route) validate(path string, errs *ValidationErrors) {
 	if !strings.HasPrefix(r.Path, "/") {
-		faults.Add(at+".path", "is %q, must begin with /", r.Path)
+		errs.Add(path+".path", "is %q, must begin with /", r.Path)
 	}
 	if r.Job == "" {
-		faults.Add(at+".job", "is missing")
+		errs.Add(path+".job", "is missing")
 	}
 	if !r.Class.Valid() {
-		faults.Add(at+".class", "is %q, must be quick, normal or long", r.Class)
+		errs.Add(path+".class", "is %q, must be quick, normal or long", r.Class)
 	}
 	if r.Timeout < 0 || r.Timeout > maxTimeout {
-		faults.Add(at+".timeout", "is %v, must be between 0 and %v", r.Timeout.Std(), maxTimeout.Std())
+		errs.Add(path+".timeout", "is %v, must be between 0 and %v", r.Timeout.Std(), maxTimeout.Std())
 	}
 }
