--- a/selector.go
+++ b/selector.go
@@ -5,15 +5,16 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Selector picks instances or jobs by label, in the syntax that operators
-// know from Kubernetes ("tier=a,rack notin (r1,r2)"). The empty selector
-// matches nothing here: a forgotten line must not take the whole fleet.
+// Selector selects instances or jobs by label, in the syntax of Kubernetes
+// label selectors ("tier=a,rack notin (r1,r2)"). Unlike in Kubernetes, the
+// empty selector matches nothing, so that a missing line in the configuration
+// does not select the whole fleet.
 type Selector struct {
 	text   string
 	parsed labels.Selector
 }
 
-// ParseSelector reads a selector.
+// ParseSelector parses a selector.
 func ParseSelector(text string) (Selector, error) {
 	parsed, err := labels.Parse(text)
 	if err != nil {
@@ -22,7 +23,7 @@
 	return Selector{text: text, parsed: parsed}, nil
 }
 
-// UnmarshalText reads a selector.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (s *Selector) UnmarshalText(text []byte) error {
 	parsed, err := ParseSelector(string(text))
 	if err != nil {
@@ -32,16 +33,16 @@
 	return nil
 }
 
-// MarshalText writes the selector as it was read.
+// MarshalText returns the text that the selector was parsed from.
 func (s Selector) MarshalText() ([]byte, error) { return []byte(s.text), nil }
 
-// String is the selector as it was read.
+// String returns the text that the selector was parsed from.
 func (s Selector) String() string { return s.text }
 
-// IsEmpty tells whether the selector names nothing.
+// IsEmpty reports whether the selector has no requirements.
 func (s Selector) IsEmpty() bool { return s.parsed == nil || s.parsed.Empty() }
 
-// Matches tells whether the labels satisfy the selector.
+// Matches reports whether the labels satisfy the selector.
 func (s Selector) Matches(set map[string]string) bool {
 	return !s.IsEmpty() && s.parsed.Matches(labels.Set(set))
 }
--- a/service.go
+++ b/service.go
@@ -1,16 +1,16 @@
 package tamarindworks
 
-// Service is a set of routes under one availability budget.
+// Service is a set of routes with a common availability budget.
 type Service struct {
 	ID ServiceID `toml:"id"`
-	// MaxUnavailable bounds how many replicas of the service, counted over
-	// all halls, may be unavailable because of planned work. Unplanned
-	// losses use it up too.
+	// MaxUnavailable is the maximum number of replicas of the service, across
+	// all halls, that may be unavailable because of planned work. Unplanned
+	// losses count towards it too.
 	MaxUnavailable int     `toml:"max_unavailable"`
 	Routes         []Route `toml:"routes"`
 }
 
-// SetDefaults fills what was left out.
+// SetDefaults sets default values for unset fields.
 func (s *Service) SetDefaults() {
 	if s.MaxUnavailable == 0 {
 		s.MaxUnavailable = 1
@@ -20,11 +20,11 @@
 	}
 }
 
-func (s *Service) validate(at string, faults *ValidationErrors) {
+func (s *Service) validate(path string, errs *ValidationErrors) {
 	if s.ID == "" {
-		faults.Add(at+".id", "is missing")
+		errs.Add(path+".id", "is missing")
 	}
 	if s.MaxUnavailable < 0 {
-		faults.Add(at+".max_unavailable", "is %d, must be 1 or more", s.MaxUnavailable)
+		errs.Add(path+".max_unavailable", "is %d, must be 1 or more", s.MaxUnavailable)
 	}
 }
--- a/spares.go
+++ b/spares.go
@@ -1,18 +1,18 @@
 package tamarindworks
 
-// Spares says how much capacity a hall holds back for losses.
+// Spares configures the capacity that a hall reserves for losses.
 type Spares struct {
-	// Racks is how many whole racks a hall may lose at a time without a
-	// pool falling short. 1 unless said otherwise.
+	// Racks is the number of whole racks that a hall may lose at the same
+	// time without a pool running short of instances. The default is 1.
 	Racks *int `toml:"racks"`
-	// MaxMoves bounds the instances of a hall that planned work moves at
-	// the same time.
+	// MaxMoves is the maximum number of instances of a hall that planned work
+	// moves at the same time.
 	MaxMoves int `toml:"max_moves"`
 }
 
-const defaultMaxMoves = 4
+const defaultMaxMoves = 4 // instances
 
-// SetDefaults fills what was left out.
+// SetDefaults sets default values for unset fields.
 func (s *Spares) SetDefaults() {
 	if s.Racks == nil {
 		one := 1
@@ -23,11 +23,11 @@
 	}
 }
 
-func (s *Spares) validate(at string, faults *ValidationErrors) {
+func (s *Spares) validate(path string, errs *ValidationErrors) {
 	if s.Racks != nil && *s.Racks < 0 {
-		faults.Add(at+".racks", "is %d, must be 0 or more", *s.Racks)
+		errs.Add(path+".racks", "is %d, must be 0 or more", *s.Racks)
 	}
 	if s.MaxMoves < 0 {
-		faults.Add(at+".max_moves", "is %d, must be 1 or more", s.MaxMoves)
+		errs.Add(path+".max_moves", "is %d, must be 1 or more", s.MaxMoves)
 	}
 }
--- a/submission.go
+++ b/submission.go
@@ -5,107 +5,117 @@
 )
 
 type (
-	// SubmissionID names a submission. The caller picks it, so that a
-	// repeated request is recognised.
+	// SubmissionID identifies a submission. The caller chooses it, so that
+	// repeated requests are recognised.
 	SubmissionID string
-	// RouteName names a route of the accepted configuration.
+	// RouteName identifies a route of the accepted configuration.
 	RouteName string
-	// RackLabel is the label that names a worker's rack.
+	// RackLabel is the label that identifies a worker's rack.
 	RackLabel string
 	// Millicores counts thousandths of a processor core.
 	Millicores int64
 
-	// Resources is what a subtask needs of a worker, or what a worker has.
+	// Resources are the resources that a subtask needs or a worker has.
 	Resources struct {
 		CPU      Millicores `json:"cpu,omitempty"`
 		MemoryMB int64      `json:"mem,omitempty"`
 		GPU      int64      `json:"gpu,omitempty"`
 	}
 
-	// Step is a set of equal subtasks of a submission.
+	// Step is a set of identical subtasks of a submission.
 	Step struct {
 		Count int       `json:"count"`
 		Need  Resources `json:"need"`
-		// Estimate is the caller's rough guess of a subtask's run time.
+		// Estimate is the caller's estimate of a subtask's run time.
 		Estimate time.Duration `json:"estimate,omitempty"`
-		// After lists earlier steps that must be done before this one starts.
+		// After lists the indexes of earlier steps that must be done before
+		// this one starts.
 		After []int `json:"after,omitempty"`
-		// Checkpoints says that a stopped subtask can go on where it was.
+		// Checkpoints means that a stopped subtask can resume from a
+		// checkpoint.
 		Checkpoints bool `json:"checkpoints,omitempty"`
-		// Gang subtasks work only while all of them run.
+		// Gang subtasks make progress only while all of them are running.
 		Gang     bool `json:"gang,omitempty"`
 		SameRack bool `json:"same_rack,omitempty"`
-		// Label is a label that the worker must have; empty for none.
+		// Label is a label that the worker must have; empty means none.
 		Label string `json:"label,omitempty"`
-		// PreferredRack is the rack on which subtasks run fast; empty for any.
+		// PreferredRack is the rack on which subtasks run faster; empty means none.
 		PreferredRack RackLabel `json:"near,omitempty"`
-		// MaxPerWorker bounds the step's subtasks on one worker; 0 for no bound.
+		// MaxPerWorker limits the step's subtasks on one worker; 0 means no
+		// limit.
 		MaxPerWorker int `json:"max_per_worker,omitempty"`
-		// AllowCopies says that a subtask may run twice at the same time.
+		// AllowCopies allows a subtask to have two runs at the same time.
 		AllowCopies bool `json:"copies,omitempty"`
 		// LongRunning subtasks run until the submission is cancelled.
 		LongRunning bool `json:"lasting,omitempty"`
-		// Image names the program; subtasks of one image behave alike.
+		// Image is the name of the program; subtasks with the same image
+		// behave alike.
 		Image string `json:"image,omitempty"`
-		// TailTarget bounds the tail latency of a subtask that serves users
-		// of its own; 0 if it serves none.
+		// TailTarget is the maximum tail latency of a subtask that serves
+		// users; 0 if it serves none.
 		TailTarget time.Duration `json:"tail_target,omitempty"`
-		// Filler subtasks take whatever processor time the others leave.
+		// Filler subtasks use the processor time that other subtasks leave
+		// free.
 		Filler bool `json:"filler,omitempty"`
-		// MaxDisrupted bounds how many subtasks of a lasting step the system
-		// itself may have interrupted at the same time.
+		// MaxDisrupted is the maximum number of subtasks of a long-running step
+		// that the system itself may interrupt at the same time.
 		MaxDisrupted int `json:"max_away,omitempty"`
 	}
 
-	// Schedule says when the steps run. The zero value is once, at once.
+	// Schedule configures repetitions of the steps. The zero value runs them
+	// once, immediately.
 	Schedule struct {
 		Times    int           `json:"times,omitempty"`
 		First    time.Time     `json:"first,omitzero"`
 		Interval time.Duration `json:"interval,omitempty"`
 	}
 
-	// RoutePolicy is what the configuration in force at acceptance says of a
-	// submission's route.
+	// RoutePolicy is the configuration of a submission's route that was
+	// active when the submission was accepted.
 	RoutePolicy struct {
 		Route RouteName `json:"route"`
 		Pool  PoolID    `json:"pool"`
-		// Attempts is how often a subtask may fail.
+		// Attempts is the maximum number of failures of a subtask.
 		Attempts int `json:"attempts"`
-		// Priority is the rank of the route; 0 goes first.
+		// Priority is the priority of the route; 0 is the highest.
 		Priority int `json:"priority"`
-		// Stretch times the longest chain plus Target is the latency objective.
+		// Stretch times the run time of the longest chain of steps, plus
+		// Target, is the latency objective.
 		Stretch float64       `json:"stretch"`
 		Target  time.Duration `json:"target"`
 		Advice  AdvicePolicy  `json:"advice,omitzero"`
 	}
 
-	// AdvicePolicy says that only workers which the advice service names may
-	// run a step. The zero value asks for no advice.
+	// AdvicePolicy restricts the workers of a step to those that the advice
+	// service names. The zero value means no restriction.
 	AdvicePolicy struct {
+		// Decide and Each are the platform's decide_ms and each_ms. They are
+		// stored but not used.
 		Decide time.Duration `json:"decide,omitempty"`
 		Each   time.Duration `json:"each,omitempty"`
-		Valid  time.Duration `json:"valid,omitempty"`
+		// Valid is how long a ticket is valid.
+		Valid time.Duration `json:"valid,omitempty"`
 	}
 
-	// Submission is a piece of work that a caller handed in.
+	// Submission is work submitted by a caller.
 	Submission struct {
 		ID SubmissionID `json:"id"`
-		// Organisation is who handed it in; empty is nobody. It does not change with
-		// the key that was used.
+		// Organisation is the submitting organisation; empty if there is none. It is
+		// the same for all keys of the organisation.
 		Organisation OrganisationID `json:"organisation,omitempty"`
 		Policy       RoutePolicy    `json:"policy"`
 		Spec         string         `json:"spec"`
 		Steps        []Step         `json:"steps"`
 		Schedule     Schedule       `json:"schedule,omitzero"`
-		// Accepted is the accepting daemon's time of day.
+		// Accepted is the wall-clock time at which a daemon accepted it.
 		Accepted time.Time `json:"accepted"`
 	}
 
-	// SubmissionState is what callers are told of a submission.
+	// SubmissionState is the state of a submission as reported to callers.
 	SubmissionState string
 )
 
-// States of a submission. The last three are final.
+// Submission states. The last three are final.
 const (
 	SubmissionWaiting   SubmissionState = "waiting"
 	SubmissionStarted   SubmissionState = "started"
@@ -114,8 +124,9 @@
 	SubmissionCancelled SubmissionState = "cancelled"
 )
 
-// Bounds of a submission. The platform's pages bound only the spec; the
-// others keep one submission from using up a daemon's memory.
+// Limits of a submission, counts except for MaxSpecBytes. The platform's
+// documentation limits only the spec; the others keep a single submission from
+// exhausting a daemon's memory.
 const (
 	MaxSpecBytes   = 4000
 	MaxSteps       = 256
@@ -124,43 +135,43 @@
 	MaxRepetitions = 100000
 )
 
-// Final tells whether the state never changes again.
+// Final reports whether the state never changes again.
 func (s SubmissionState) Final() bool {
 	return s == SubmissionSucceeded || s == SubmissionFailed || s == SubmissionCancelled
 }
 
-// Required tells whether starts need a ticket of the advice service.
+// Required reports whether starts require a ticket from the advice service.
 func (a AdvicePolicy) Required() bool { return a.Valid > 0 }
 
-// Fits tells whether need can be taken out of r.
+// Fits reports whether need is at most r in every resource.
 func (r Resources) Fits(need Resources) bool {
 	return need.CPU <= r.CPU && need.MemoryMB <= r.MemoryMB && need.GPU <= r.GPU
 }
 
-// Allows tells whether used is within the limit r, of which a resource that is zero has no
+// Allows reports whether used is within the limit r. A resource that is zero in r has no
 // limit.
 func (r Resources) Allows(used Resources) bool {
 	return (r.CPU == 0 || used.CPU <= r.CPU) && (r.MemoryMB == 0 || used.MemoryMB <= r.MemoryMB) &&
 		(r.GPU == 0 || used.GPU <= r.GPU)
 }
 
-// Minus is r less other.
+// Minus returns r minus other.
 func (r Resources) Minus(other Resources) Resources {
 	return Resources{CPU: r.CPU - other.CPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPU: r.GPU - other.GPU}
 }
 
-// Plus is r and other together.
+// Plus returns the sum of r and other.
 func (r Resources) Plus(other Resources) Resources {
 	return Resources{CPU: r.CPU + other.CPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPU: r.GPU + other.GPU}
 }
 
-// Times is n times the resources.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int) Resources {
 	return Resources{CPU: r.CPU * Millicores(n), MemoryMB: r.MemoryMB * int64(n), GPU: r.GPU * int64(n)}
 }
 
-// Reservation is what one subtask of the step takes out of a worker's capacity. A
-// filler takes memory only.
+// Reservation returns the share of a worker's capacity that one subtask of the step
+// reserves. Fillers reserve no processor.
 func (s *Step) Reservation() Resources {
 	if s.Filler {
 		return Resources{MemoryMB: s.Need.MemoryMB, GPU: s.Need.GPU}
@@ -168,13 +179,13 @@
 	return s.Need
 }
 
-// Repetitions is how often the steps run.
+// Repetitions returns how many times the steps run.
 func (s *Submission) Repetitions() int { return max(1, s.Schedule.Times) }
 
-// Scheduled tells whether the steps run at given times.
+// Scheduled reports whether the steps run at scheduled times.
 func (s *Submission) Scheduled() bool { return s.Schedule.Times > 0 }
 
-// Due is when repetition k may start.
+// Due returns the earliest start time of repetition k.
 func (s *Submission) Due(k int) time.Time {
 	if !s.Scheduled() {
 		return s.Accepted
@@ -182,28 +193,28 @@
 	return s.Schedule.First.Add(time.Duration(k) * s.Schedule.Interval)
 }
 
-// Validate gathers all faults; the error is of type Faults.
+// Validate returns all errors as ValidationErrors, or nil.
 func (s *Submission) Validate() error {
-	var faults ValidationErrors
+	var errs ValidationErrors
 	if len(s.Spec) > MaxSpecBytes {
-		faults.Add("spec", "has %d bytes, must have at most %d", len(s.Spec), MaxSpecBytes)
+		errs.Add("spec", "has %d bytes, must have at most %d", len(s.Spec), MaxSpecBytes)
 	}
 	if len(s.Steps) == 0 || len(s.Steps) > MaxSteps {
-		faults.Add("steps", "are %d, must be between 1 and %d", len(s.Steps), MaxSteps)
+		errs.Add("steps", "are %d, must be between 1 and %d", len(s.Steps), MaxSteps)
 	}
 	total := 0
 	for i := range s.Steps {
-		s.Steps[i].validate(i, &faults)
+		s.Steps[i].validate(i, &errs)
 		total += s.Steps[i].Count
 	}
 	if total > MaxSubtasks {
-		faults.Add("steps", "have %d subtasks, must have at most %d", total, MaxSubtasks)
+		errs.Add("steps", "have %d subtasks, must have at most %d", total, MaxSubtasks)
 	}
 	if s.Schedule.Times < 0 || s.Schedule.Times > MaxRepetitions {
-		faults.Add("schedule.times", "is %d, must be between 0 and %d", s.Schedule.Times, MaxRepetitions)
+		errs.Add("schedule.times", "is %d, must be between 0 and %d", s.Schedule.Times, MaxRepetitions)
 	}
 	if s.Schedule.Interval < 0 {
-		faults.Add("schedule.interval", "is negative")
+		errs.Add("schedule.interval", "is negative")
 	}
-	return faults.Err()
+	return errs.Err()
 }
--- a/subtask.go
+++ b/subtask.go
@@ -6,7 +6,7 @@
 )
 
 type (
-	// SubtaskID names one subtask of one repetition of a submission.
+	// SubtaskID identifies one subtask of one repetition of a submission.
 	SubtaskID struct {
 		Submission SubmissionID
 		Repetition int
@@ -14,36 +14,37 @@
 		Index      int
 	}
 
-	// RunNumber counts the starts of a subtask; a higher one is newer.
+	// RunNumber numbers the runs of a subtask in the order of their starts.
 	RunNumber int64
 
-	// FencingToken is the number by which workers and the platform tell a newer
-	// owner from an older one.
+	// FencingToken is the fencing token by which workers and the platform reject
+	// orders of a former owner.
 	FencingToken int64
 
-	// Checkpoint is saved progress of a subtask; empty for none.
+	// Checkpoint is the saved progress of a subtask; empty means none.
 	Checkpoint string
 
 	// EndKind says how a run ended.
 	EndKind string
 
-	// RunningSubtask is a run that a worker lists as running.
+	// RunningSubtask is a run that a worker reports as running.
 	RunningSubtask struct {
 		Subtask    SubtaskID
 		Run        RunNumber
 		Checkpoint Checkpoint
-		// Percent is the progress of the work or, for a lasting subtask, the
-		// pace at which it works.
+		// Percent is the progress of the work or, for a long-running subtask,
+		// the share of full speed at which it works.
 		Percent int
 		// TailLatency is the measured tail latency of a subtask that serves users.
 		TailLatency time.Duration
-		// Usage is the measured processor use of any other subtask.
+		// Usage is the measured processor usage of any other subtask.
 		Usage Millicores
 	}
 
-	// EndedSubtask is the end of a run that a worker lists.
+	// EndedSubtask is the end of a run that a worker reports.
 	EndedSubtask struct {
-		// Sequence rises by one with each end in a worker's life.
+		// Sequence numbers the ends reported by one incarnation of a worker,
+		// in steps of one.
 		Sequence   int64
 		Subtask    SubtaskID
 		Run        RunNumber
@@ -54,21 +55,21 @@
 
 // Kinds of ends.
 const (
-	// EndDone is success.
+	// EndDone: the run succeeded.
 	EndDone EndKind = "done"
-	// EndFailed is a failure of the subtask or of its worker.
+	// EndFailed: the subtask or its worker failed.
 	EndFailed EndKind = "failed"
-	// EndStopped follows a stop order.
+	// EndStopped: the run was stopped by an order.
 	EndStopped EndKind = "stopped"
-	// EndExpired is the end of a run whose deadline passed.
+	// EndExpired: the deadline of the run passed.
 	EndExpired EndKind = "lapsed"
-	// EndGangBroken is the end of a gang's member because another one ended.
+	// EndGangBroken: another subtask of the gang ended.
 	EndGangBroken EndKind = "broken"
-	// EndGangTimeout is the end of a gang's member that waited for the others in vain.
+	// EndGangTimeout: the other subtasks of the gang did not start in time.
 	EndGangTimeout EndKind = "alone"
 )
 
-// String is for logs.
+// String formats the id for logs.
 func (s SubtaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", s.Submission, s.Repetition, s.Step, s.Index)
 }
--- a/units.go
+++ b/units.go
@@ -9,19 +9,19 @@
 type (
 	// Cores counts processor cores.
 	Cores float64
-	// Megabytes counts memory in units of 1e6 bytes.
+	// Megabytes is an amount of memory in units of 1e6 bytes.
 	Megabytes int64
-	// Bytes counts octets.
+	// Bytes is a size in bytes.
 	Bytes int64
-	// BytesPerSecond is a rate of transfer.
+	// BytesPerSecond is a transfer rate.
 	BytesPerSecond float64
-	// Slots counts requests that an instance runs at the same time.
+	// Slots is a number of requests that an instance runs at the same time.
 	Slots int
-	// Duration is a time.Duration that reads and writes as text ("1.5s").
+	// Duration is a time.Duration that is encoded as text, such as "1.5s".
 	Duration time.Duration
 )
 
-// UnmarshalText reads a duration such as "300ms"; errors name the text.
+// UnmarshalText parses a duration such as "300ms". Errors quote the text.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -31,10 +31,10 @@
 	return nil
 }
 
-// MarshalText writes the duration as time.Duration prints it.
+// MarshalText formats the duration like time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Std is d as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/worker.go
+++ b/worker.go
@@ -9,16 +9,17 @@
 )
 
 type (
-	// WorkerID names one life of a worker; after a crash or a move the same
-	// machine has another one.
+	// WorkerID identifies a worker. After a crash or a move, the worker on the
+	// same machine normally has a new id.
 	WorkerID string
 
-	// WorkerStartTime is when a life of a worker began, in Unix milliseconds; zero if it
-	// does not say. A worker may start again under the id that it had, and then has
-	// another one: nothing runs there, and its counts and its clock start anew.
+	// WorkerStartTime is the start time of a worker's incarnation in Unix milliseconds,
+	// zero if the worker does not report it. A worker may restart under its previous
+	// id. It then reports another start time, runs nothing, and its sequence numbers
+	// and clock start again.
 	WorkerStartTime int64
 
-	// WorkerEntry is a worker's own account of itself.
+	// WorkerEntry is the record that a worker publishes about itself.
 	WorkerEntry struct {
 		ID        WorkerID
 		StartTime WorkerStartTime
@@ -27,55 +28,58 @@
 		Hall      HallID
 		Instance  InstanceID
 		Draining  bool
-		// Remaining is the least time until a draining worker ends; zero if
-		// it did not say.
+		// Remaining is the minimum time until a draining worker ends; zero if
+		// the worker did not report it.
 		Remaining time.Duration
 		Capacity  Resources
 		Labels    []string
 	}
 
-	// WorkerTime is a time on a worker's own steady clock.
+	// WorkerTime is a time on a worker's monotonic clock, in milliseconds.
 	WorkerTime int64
 
-	// WorkerRef addresses one life of a worker.
+	// WorkerRef is the address of a worker.
 	WorkerRef struct {
 		ID      WorkerID
 		Address string
 		Hall    HallID
 	}
 
-	// StartOrder tells a worker to start a run.
+	// StartOrder orders a worker to start a run.
 	StartOrder struct {
 		Subtask    SubtaskID
 		Run        RunNumber
 		Spec       string
 		Checkpoint Checkpoint
 		Ticket     string
-		// Deadline covers everything that runs on the worker; it never
-		// shortens.
+		// Deadline applies to everything that runs on the worker. It is only
+		// ever extended.
 		Deadline WorkerTime
 		Fence    FencingToken
 	}
 
-	// StopOrder tells a worker to stop a run, or never to start it.
+	// StopOrder orders a worker to stop a run, or not to start it later.
 	StopOrder struct {
 		Subtask SubtaskID
 		Run     RunNumber
 		Fence   FencingToken
 	}
 
-	// HoldOrder prolongs what runs on a worker and asks what runs and ended.
+	// HoldOrder extends the deadline of the runs on a worker and requests a
+	// report of the running and ended ones.
 	HoldOrder struct {
 		Fence FencingToken
-		// AckedSequence confirms ends up to a sequence; the worker forgets them.
+		// AckedSequence acknowledges the ends up to this sequence number; the worker
+		// drops them.
 		AckedSequence int64
-		// Deadline prolongs everything on the worker; zero leaves it.
+		// Deadline is the new deadline of all runs on the worker; zero leaves
+		// it unchanged.
 		Deadline WorkerTime
 		// Wait is how long the worker may wait for an end to report.
 		Wait time.Duration
 	}
 
-	// PaceOrder sets the share at which a subtask works.
+	// PaceOrder sets the speed of a subtask as a percentage of full speed.
 	PaceOrder struct {
 		Subtask SubtaskID
 		Run     RunNumber
@@ -83,7 +87,7 @@
 		Fence   FencingToken
 	}
 
-	// HoldReport is a worker's answer to a HoldOrder.
+	// HoldReport is a worker's response to a HoldOrder.
 	HoldReport struct {
 		StartTime WorkerStartTime
 		Clock     WorkerTime
@@ -91,19 +95,20 @@
 		Ended     []EndedSubtask
 	}
 
-	// RefusalReason says why a worker refused an order.
+	// RefusalReason is the reason why a worker refused an order.
 	RefusalReason string
 
-	// OrderRefusedError is the error of an order that a worker surely did not do.
+	// OrderRefusedError is the error of an order that a worker refused; it was
+	// certainly not executed.
 	OrderRefusedError struct {
 		Reason RefusalReason
-		// Clock is the worker's clock, zero if it did not say.
+		// Clock is the worker's time, zero if the worker did not report it.
 		Clock WorkerTime
 	}
 
-	// WorkerOrders gives orders to workers. Calls fail with *OrderRefused,
-	// ErrUnclear (the order may have been done, or may be done later), or
-	// ErrUnavailable (surely not done).
+	// WorkerOrders sends orders to workers. Calls fail with
+	// *OrderRefusedError, ErrAmbiguous (the order may have been executed, or
+	// may be executed later) or ErrUnavailable (certainly not executed).
 	WorkerOrders interface {
 		Start(ctx context.Context, to WorkerRef, order StartOrder) (WorkerTime, error)
 		Stop(ctx context.Context, to WorkerRef, order StopOrder) (WorkerTime, error)
@@ -111,43 +116,46 @@
 		Pace(ctx context.Context, to WorkerRef, order PaceOrder) (WorkerTime, error)
 	}
 
-	// ParallelStarter is a WorkerOrders that may take several starts to one worker at once.
+	// ParallelStarter is implemented by a WorkerOrders that accepts several concurrent
+	// starts for one worker.
 	ParallelStarter interface {
-		// MaxParallelStarts is how many it takes at present.
+		// MaxParallelStarts returns how many it currently accepts.
 		MaxParallelStarts() int
 	}
 
-	// Advice is the answer of the advice service for a step.
+	// Advice is the response of the advice service for a step.
 	Advice struct {
 		Tickets map[WorkerID]string
 		Valid   time.Duration
 	}
 
-	// Advisor names the workers that may run a step.
+	// Advisor determines the workers that may run a step.
 	Advisor interface {
 		Advise(ctx context.Context, step SubtaskID, workers []WorkerID) (Advice, error)
 	}
 )
 
-// MaxEndsListed is how many ends a worker lists in one answer; further ones come
-// once these are confirmed.
+// MaxEndsListed is the maximum number of ends in one HoldReport. Further ends follow
+// once these are acknowledged.
 const MaxEndsListed = 500
 
 // Reasons of refused orders.
 const (
-	// RefusedStaleFence: a newer owner has given orders.
+	// RefusedStaleFence: an owner with a higher fencing token has sent orders.
 	RefusedStaleFence RefusalReason = "fence"
-	// RefusedStaleRun: the run is not above one that was stopped or ended.
+	// RefusedStaleRun: the run number is not above that of a run that was
+	// stopped or ended.
 	RefusedStaleRun RefusalReason = "old-run"
 	// RefusedDeadlinePassed: the order's deadline has passed.
 	RefusedDeadlinePassed RefusalReason = "late"
-	// RefusedNoCapacity: the worker has no room.
+	// RefusedNoCapacity: the worker has not enough free capacity.
 	RefusedNoCapacity RefusalReason = "room"
 	// RefusedTicket: the ticket is missing or has expired.
 	RefusedTicket RefusalReason = "ticket"
-	// RefusedOtherIncarnation: another life of a worker listens at the address.
+	// RefusedOtherIncarnation: another worker, or another incarnation of it, listens at
+	// the address.
 	RefusedOtherIncarnation RefusalReason = "other-life"
-	// RefusedUnhealthy: the worker takes no orders at present.
+	// RefusedUnhealthy: the worker currently accepts no orders.
 	RefusedUnhealthy RefusalReason = "unhealthy"
 	// RefusedInvalid: the worker does not understand the order.
 	RefusedInvalid RefusalReason = "invalid"
@@ -156,40 +164,39 @@
 // Error implements error.
 func (r *OrderRefusedError) Error() string { return "worker refused the order: " + string(r.Reason) }
 
-// RefusedFor tells whether an order was refused for a reason.
+// RefusedFor reports whether an order was refused for a reason.
 func RefusedFor(err error, reason RefusalReason) bool {
 	var refused *OrderRefusedError
 	return errors.As(err, &refused) && refused.Reason == reason
 }
 
-// Answered tells whether a worker has answered an order, if only to refuse it.
+// Answered reports whether a worker responded to an order, including with a refusal.
 func Answered(err error) bool {
 	var refused *OrderRefusedError
 	return err == nil || errors.As(err, &refused)
 }
 
-// Add is c moved by d.
+// Add returns c plus d.
 func (c WorkerTime) Add(d time.Duration) WorkerTime { return c + WorkerTime(d.Milliseconds()) }
 
-// Rack is the label that names the worker's rack; see RackOf.
+// Rack returns the label of the worker's rack; see RackOf.
 func (w *WorkerEntry) Rack() RackLabel { return RackOf(w.Labels) }
 
-// HasLabel tells whether the worker has a label; see the function HasLabel.
+// HasLabel reports whether the worker has a label; see the function HasLabel.
 func (w *WorkerEntry) HasLabel(label string) bool { return HasLabel(w.Labels, label) }
 
-// HasLabel tells whether a label is among those of a worker; every worker has
-// the empty one.
+// HasLabel reports whether labels contains label. It is true for the empty label.
 func HasLabel(labels []string, label string) bool {
 	return label == "" || slices.Contains(labels, label)
 }
 
-// Ref addresses the worker.
+// Ref returns the address of the worker.
 func (w *WorkerEntry) Ref() WorkerRef {
 	return WorkerRef{ID: w.ID, Address: w.Address, Hall: w.Hall}
 }
 
-// RackOf finds the rack among a worker's labels, which are its kind and its
-// rack, in this order.
+// RackOf returns the rack label among a worker's labels, which are its kind and
+// its rack, in this order; empty if there is none.
 func RackOf(labels []string) RackLabel {
 	if len(labels) < 2 {
 		return ""
--- a/workers.go
+++ b/workers.go
@@ -6,10 +6,10 @@
 )
 
 type (
-	// TaskState is where a task is in its life.
+	// TaskState is the state of a task.
 	TaskState string
 
-	// Task is a job running on an instance under the platform's lease.
+	// Task is an execution of a job on an instance under the platform's lease.
 	Task struct {
 		ID       TaskID     `json:"id"`
 		Job      JobID      `json:"job"`
@@ -17,18 +17,18 @@
 		State    TaskState  `json:"state"`
 	}
 
-	// Workers is the platform's way to run tasks on instances. All methods
-	// may fail with ErrUnavailable or ErrUnclear; all may be told twice.
+	// Workers is the platform's interface for running tasks on instances. All
+	// methods may fail with ErrUnavailable or ErrAmbiguous and are idempotent.
 	Workers interface {
 		// Tasks lists the tasks of a hall.
 		Tasks(ctx context.Context, hall HallID) ([]Task, error)
 		// Start starts a task; a task id starts at most once.
 		Start(ctx context.Context, task Task) error
-		// Stop ends a task; it is no error if there is none.
+		// Stop ends a task. It does not fail if there is no such task.
 		Stop(ctx context.Context, id TaskID) error
-		// Reboot asks for maintenance of an instance: the count Boots
-		// in the instance list must be boots; if it is larger, the reboot
-		// has been done already.
+		// Reboot requests maintenance of an instance. It applies only if the
+		// count Boots in the instance list is boots; if it is larger, the
+		// reboot has already happened.
 		Reboot(ctx context.Context, id InstanceID, boots uint64) error
 	}
 )
@@ -40,9 +40,9 @@
 	TaskFailed   TaskState = "failed"
 )
 
-// NewTaskID makes the id of a job's task on an instance. The generation that
-// placed it is part of it, so that a start told twice starts once and a late
-// stop never ends a newer task.
+// NewTaskID returns the id of a job's task on an instance. It includes the
+// generation that placed the job, so that a repeated start takes effect once
+// and a delayed stop never ends a newer task.
 func NewTaskID(job JobID, instance InstanceID, placed Generation) TaskID {
 	return TaskID(fmt.Sprintf("%s.%s.%d", job, instance, placed))
 }
