--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,12 +16,12 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-// fleetSource is the demonstration's fleet configuration.
+// fleetSource is the fleet configuration of the demonstration.
 //
 //go:embed fleet.toml
 var fleetSource string
 
-// waveSource asks for maintenance; it is appended to fleetSource.
+// waveSource configures a maintenance wave; it is appended to fleetSource.
 const waveSource = `
 [[waves]]
 id = "demo-wave"
@@ -31,16 +31,17 @@
 
 const (
 	requestCount      = 1200
-	requestsPerSecond = 200 // a second
-	lossAt            = time.Second
+	requestsPerSecond = 200
+	lossAt            = time.Second // after the start, as are the next two
 	leaveAt           = 2 * time.Second
 	waveAt            = 3 * time.Second
 )
 
-// errGuaranteeViolated is a demonstration in which a promise was broken.
-var errGuaranteeViolated = errors.New("demo: a promise was broken")
+// errGuaranteeViolated means that the report counts faults, such as a request
+// that was run twice; see standin.Report.
+var errGuaranteeViolated = errors.New("demo: a guarantee was violated")
 
-// Run runs the demonstration and writes what happens to out.
+// Run runs the demonstration and prints its events to out.
 func Run(ctx context.Context, out io.Writer, verbose bool) error {
 	fleet, err := FleetConfig{
 		Halls:            []tw.HallID{"h1", "h2"},
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// Configure applies a configuration over base and waits until it is in force.
+// Configure applies a configuration based on revision base, and waits until it
+// is in force.
 func (f *Fleet) Configure(ctx context.Context, source string, base tw.Revision) error {
 	accepted, err := f.Operator.Apply(ctx, source, "demo", base)
 	if err != nil {
@@ -83,8 +85,8 @@
 	return err
 }
 
-// WaitServing waits until the pools serve in every hall, and every daemon
-// there has said so.
+// WaitServing waits until the pools serve in every hall and every daemon has
+// acknowledged its hall's plan.
 func (f *Fleet) WaitServing(ctx context.Context, pools ...tw.PoolID) error {
 	for !f.serving(ctx, pools) {
 		select {
@@ -120,7 +122,8 @@
 	return true
 }
 
-// poolSettled tells whether a pool serves and nothing of it is still joining.
+// poolSettled reports whether a pool has instances and none of them is still
+// joining or starting a job.
 func poolSettled(plan *tw.Plan, pool tw.PoolID) bool {
 	serving := 0
 	for i := range plan.Instances {
@@ -131,8 +134,8 @@
 		if a.State == tw.InstanceJoining {
 			return false
 		}
-		for _, at := range a.Jobs {
-			if at.State == tw.PlacementStarting {
+		for _, placement := range a.Jobs {
+			if placement.State == tw.PlacementStarting {
 				return false
 			}
 		}
@@ -141,15 +144,16 @@
 	return serving > 0
 }
 
-// runUnderLoad sends requests while things go wrong.
+// runUnderLoad runs the events while requests are sent, and reports on the
+// requests.
 func (f *Fleet) runUnderLoad(ctx context.Context, out io.Writer) (standin.Report, error) {
-	story := make(chan error, 1)
-	go func() { story <- f.runEvents(ctx, out) }()
+	events := make(chan error, 1)
+	go func() { events <- f.runEvents(ctx, out) }()
 	report, err := f.Load(requestCount, requestsPerSecond).Run(ctx)
-	return report, errors.CombineErrors(err, <-story)
+	return report, errors.CombineErrors(err, <-events)
 }
 
-// Load is a mix of requests for the demonstration's services.
+// Load returns a mix of requests for the demonstration's services.
 func (f *Fleet) Load(n int, perSecond float64) standin.LoadConfig {
 	return standin.LoadConfig{
 		Entries:  f.Entries(),
@@ -168,21 +172,21 @@
 
 func (f *Fleet) runEvents(ctx context.Context, out io.Writer) error {
 	start := time.Now()
-	until := func(d time.Duration) { time.Sleep(time.Until(start.Add(d))) }
-	until(lossAt)
+	sleepUntil := func(d time.Duration) { time.Sleep(time.Until(start.Add(d))) }
+	sleepUntil(lossAt)
 	lost := f.servingInstance("h1", "boards")
 	printLine(out, "losing %s, which serves boards in h1", lost)
 	f.Upstreams[lost].Close()
-	until(leaveAt)
+	sleepUntil(leaveAt)
 	leaving := f.servingInstance("h2", "leases")
 	printLine(out, "the platform reclaims %s, which serves leases in h2", leaving)
 	f.Platform.SetPhase(leaving, tw.PhaseLeaving)
-	until(waveAt)
+	sleepUntil(waveAt)
 	printLine(out, "a maintenance wave over all instances begins")
 	return f.Configure(ctx, fleetSource+waveSource, 1)
 }
 
-// servingInstance is an instance that serves a pool.
+// servingInstance returns an instance that serves the pool, or "".
 func (f *Fleet) servingInstance(hall tw.HallID, pool tw.PoolID) tw.InstanceID {
 	plan, err := f.Operator.Plan(context.Background(), hall)
 	if err != nil {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -17,7 +17,7 @@
 )
 
 type (
-	// FleetConfig says how large a fleet to run.
+	// FleetConfig configures a Fleet.
 	FleetConfig struct {
 		Halls            []tw.HallID
 		RacksPerHall     int
@@ -25,10 +25,10 @@
 		DaemonsPerHall   int
 		Log              *zap.Logger
 		Pace             control.Intervals
-		Silence          tw.Duration // after which a lost upstream is not listed
+		Silence          tw.Duration // time without contact after which an upstream is lost
 	}
 
-	// Fleet is a running one: all parts listen on loopback.
+	// Fleet is a running fleet, all parts of which listen on loopback.
 	Fleet struct {
 		Platform  *standin.Platform
 		Recorder  *standin.Recorder
@@ -41,9 +41,9 @@
 	}
 )
 
-// New starts a fleet without a configuration; Close ends it.
+// New starts a fleet without a configuration. Call Close to stop it.
 func (c FleetConfig) New() (*Fleet, error) {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "demo.New")
 	}
@@ -51,11 +51,11 @@
 		Platform:  standin.PlatformConfig{Silence: c.Silence.Std()}.New(),
 		Recorder:  standin.NewRecorder(nil),
 		Upstreams: map[tw.InstanceID]*standin.Upstream{},
-		url:       "http://" + at.Addr().String(),
+		url:       "http://" + listener.Addr().String(),
 		config:    c,
 	}
 	f.server = &http.Server{Handler: f.Platform.Handler()}
-	go func() { _ = f.server.Serve(at) }() // ends with Close
+	go func() { _ = f.server.Serve(listener) }() // ends with Close
 	f.Operator = control.OperatorConfig{
 		Documents: platform.DocumentsConfig{Store: f.client(), Clock: tw.SystemClock{}}.New(),
 		Peers:     control.PeerClientConfig{}.New(),
@@ -70,7 +70,7 @@
 	return f, nil
 }
 
-// Entries lists the gateways' addresses.
+// Entries returns the addresses of the gateways.
 func (f *Fleet) Entries() []string {
 	var out []string
 	for _, d := range f.Daemons {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// Close ends everything at once.
+// Close stops all daemons, upstreams and the platform at once.
 func (f *Fleet) Close() {
 	for _, d := range f.Daemons {
 		d.Kill()
@@ -87,7 +87,7 @@
 	for _, u := range f.Upstreams {
 		u.Close()
 	}
-	_ = f.server.Close() // nobody is left to tell
+	_ = f.server.Close() // an error does not matter here
 }
 
 func (f *Fleet) client() *platform.Client { return platform.ClientConfig{URL: f.url}.New() }
