--- a/cmd/tamarind-standin/experiment.go
+++ b/cmd/tamarind-standin/experiment.go
@@ -11,22 +11,22 @@
 )
 
 const experimentHelp = `Measure the product on the stand-ins, in one process. The pages in docs/ quote
-these figures; run them on a quiet machine.
+these figures; run the experiments on an idle machine.
 
 Example: tamarind-standin experiment overload`
 
-// experiments by name, with what each measures.
+// experiments lists the subcommands with what each measures.
 var experiments = []struct {
 	name string
 	help string
 	run  func(ctx context.Context, out io.Writer) error
 }{
-	{"overload", "Latency and goodput at a tenth and at twice the capacity.", experiment.Overload},
-	{"cost", "What the gateway adds to a request.", experiment.Cost},
-	{"claims", "Requests that callers repeat, without and with a key.", experiment.Claims},
-	{"control", "What a daemon costs at rest, and how long a change takes, in halls of four sizes.", experiment.Control},
-	{"schedule", "Policies of placement under turning demand and the cut of a hall, in simulated time; plots waiting against load.", experiment.Schedule},
-	{"fleet", "Moves, spares and the time of a planning pass.", experiment.Fleet},
+	{"overload", "Latency and goodput at 10% and at 200% of the capacity.", experiment.Overload},
+	{"cost", "Latency that the gateway adds to a request.", experiment.Cost},
+	{"claims", "Requests repeated by callers, without and with an idempotency key.", experiment.Claims},
+	{"control", "Cost of an idle daemon, and how long a change takes, in halls of four sizes.", experiment.Control},
+	{"schedule", "Placement policies under changing demand and with a hall cut off, in simulated time; plots waiting time against load.", experiment.Schedule},
+	{"fleet", "Moves, spares and the duration of a planning pass.", experiment.Fleet},
 }
 
 func addExperiment(app *kingpin.Application) {
--- a/cmd/tamarind-standin/load.go
+++ b/cmd/tamarind-standin/load.go
@@ -12,10 +12,11 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-const loadHelp = `Send a bounded stream of requests at a steady rate and count, from the
-upstreams' own records, how many were answered, refused, lost and doubled.
+const loadHelp = `Send a bounded stream of requests at a constant rate and count, from the
+upstreams' own records, how many were answered, refused, lost and run twice.
 
-Exit code 1 means that something happened that never must.`
+Exit code 1 means that a request was answered without being run, run twice,
+reported as not run although it was run, or got another request's answer.`
 
 func addLoad(app *kingpin.Application) {
 	var config standin.LoadConfig
@@ -24,12 +25,12 @@
 	cmd.Flag("entry", "Gateway, IP:port; may be repeated.").Required().StringsVar(&config.Entries)
 	cmd.Flag("requests", "How many requests to send.").Default("1000").IntVar(&config.Requests)
 	cmd.Flag("rate", "Requests a second.").Default("200").Float64Var(&config.Rate)
-	cmd.Flag("timeout", "What a caller waits.").Default("15s").DurationVar(&config.Timeout)
-	cmd.Flag("repeat", "More tries of each request.").IntVar(&config.Repeat)
+	cmd.Flag("timeout", "Client timeout of a request.").Default("15s").DurationVar(&config.Timeout)
+	cmd.Flag("repeat", "How many more times to send each request.").IntVar(&config.Repeat)
 	cmd.Flag("method", "HTTP method.").Default("POST").StringVar(&stream.Method)
 	cmd.Flag("host", "Host header.").Default("demo").StringVar(&stream.Host)
 	cmd.Flag("path", "Path.").Default("/").StringVar(&stream.Path)
-	cmd.Flag("work", "How long each request takes.").Default("5ms").DurationVar(&stream.Work)
+	cmd.Flag("work", "Processing time of a request.").Default("5ms").DurationVar(&stream.Work)
 	cmd.Flag("keyed", "Send an Idempotency-Key.").BoolVar(&stream.Keyed)
 	class := cmd.Flag("class", "Class.").Enum("quick", "normal", "long")
 	team := cmd.Flag("team", "Team.").String()
@@ -47,7 +48,7 @@
 	})
 }
 
-// settleTime is how long what is still running may take to be recorded.
+// settleTime is how long to wait for requests that still run to be recorded.
 const settleTime = 200 * time.Millisecond
 
 func runLoad(config standin.LoadConfig, asJSON bool) error {
--- a/cmd/tamarind-standin/main.go
+++ b/cmd/tamarind-standin/main.go
@@ -1,4 +1,4 @@
-// Command tamarind-standin runs stand-ins for what lies around tamarindworks:
+// Command tamarind-standin runs stand-ins for the systems around tamarindworks:
 // the platform, upstreams and callers. It is for development and tests only.
 package main
 
--- a/cmd/tamarind-standin/platform.go
+++ b/cmd/tamarind-standin/platform.go
@@ -20,15 +20,15 @@
 func addPlatform(app *kingpin.Application) {
 	cmd := app.Command("platform", platformHelp)
 	listen := cmd.Flag("listen", "IP:port to listen on.").Default("127.0.0.1:0").String()
-	silence := cmd.Flag("silence", "An upstream silent for so long is lost.").Default("1s").Duration()
+	silence := cmd.Flag("silence", "Time without contact after which an upstream counts as lost.").Default("1s").Duration()
 	cmd.Action(func(*kingpin.ParseContext) error { return servePlatform(*listen, *silence) })
 }
 
 func servePlatform(listen string, silence time.Duration) error {
-	at, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
-	fmt.Println(at.Addr())
-	return http.Serve(at, standin.PlatformConfig{Silence: silence}.New().Handler())
+	fmt.Println(listener.Addr())
+	return http.Serve(listener, standin.PlatformConfig{Silence: silence}.New().Handler())
 }
--- a/cmd/tamarind-standin/upstream.go
+++ b/cmd/tamarind-standin/upstream.go
@@ -11,7 +11,7 @@
 )
 
 const upstreamHelp = `Run a worker. It registers with the platform, runs the jobs that the platform
-gives it, and appends a line to its record before each run. The address is
+assigns to it, and appends a line to its record file before each run. The address is
 printed on the first line.`
 
 func addUpstream(app *kingpin.Application) {
@@ -23,7 +23,7 @@
 	rack := cmd.Flag("rack", "Rack.").Required().String()
 	labels := cmd.Flag("label", "Label, name=value; may be repeated.").StringMap()
 	records := cmd.Flag("records", "File to append a line to for each run.").String()
-	work := cmd.Flag("work", "How long a request takes.").Default("5ms").Duration()
+	work := cmd.Flag("work", "Processing time of a request.").Default("5ms").Duration()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		config := standin.UpstreamConfig{
 			Listen:   *listen,
--- a/cmd/tamarind/config.go
+++ b/cmd/tamarind/config.go
@@ -17,16 +17,16 @@
 const (
 	configHelp = `Check, apply, get and compare the fleet configuration.`
 
-	checkHelp = `Check a configuration file. Every fault is printed, with its line.
+	checkHelp = `Check a configuration file. All errors are printed, with their lines.
 
 Example: tamarind config check fleet.toml`
 
 	applyHelp = `Make a file the configuration of the fleet.
 
 --base names the revision that the change was made from; "tamarind config get"
-prints it on stderr. If somebody else was first, nothing is changed, the
-difference is shown, and the exit code is 3. --wait waits until the change is
-in force in every registered daemon and says how long that took.
+prints it on stderr. If the configuration has been changed since, nothing is
+applied, the difference is shown, and the exit code is 3. --wait waits until the
+change is in force in every registered daemon and prints how long that took.
 
 Example: tamarind config apply fleet.toml --base 7 --wait 10s`
 
@@ -35,7 +35,7 @@
 
 Example: tamarind config get > fleet.toml`
 
-	diffHelp = `Show what applying a file would change in the configuration's text.
+	diffHelp = `Show the changes to the configuration's text that applying a file would make.
 
 Example: tamarind config diff fleet.toml`
 )
@@ -70,7 +70,7 @@
 	file := cmd.Arg("file", "Configuration, TOML.").Required().String()
 	base := cmd.Flag("base", "Revision that the change was made from; 0 for the first.").Required().Uint64()
 	operator := cmd.Flag("operator", "Who applies it.").Envar("USER").String()
-	wait := cmd.Flag("wait", "Wait so long until it is in force everywhere.").Duration()
+	wait := cmd.Flag("wait", "How long to wait until it is in force in every daemon.").Duration()
 	cmd.Action(action(func() error {
 		source, err := readConfig(*file)
 		if err != nil {
--- a/cmd/tamarind/connection.go
+++ b/cmd/tamarind/connection.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// connection is how the commands reach the fleet.
+// connection holds the flags for connecting to the fleet.
 type connection struct {
 	platform *string
 	timeout  *time.Duration
@@ -21,11 +21,11 @@
 func addConnection(app *kingpin.Application) *connection {
 	return &connection{
 		platform: app.Flag("platform", "URL of the platform.").Envar("TAMARIND_PLATFORM").String(),
-		timeout:  app.Flag("timeout", "How long to try.").Default("10s").Duration(),
+		timeout:  app.Flag("timeout", "Timeout of the command's calls.").Default("10s").Duration(),
 	}
 }
 
-// withOperator calls do with an operator, within the timeout.
+// withOperator calls do with an operator and a context with the timeout.
 func (c *connection) withOperator(do func(ctx context.Context, o *control.Operator) error) error {
 	if *c.platform == "" {
 		return errors.Wrap(errUsage, "give --platform or set TAMARIND_PLATFORM")
--- a/cmd/tamarind/delays.go
+++ b/cmd/tamarind/delays.go
@@ -12,12 +12,13 @@
 	"github.com/tamarindworks/tamarindworks/internal/delays"
 )
 
-const delaysHelp = `Tell from the daemons' logs where the time of submissions went.
+const delaysHelp = `Break down the time of submissions by cause, from the daemons' logs.
 
-Each submission is followed back from its last end: a subtask waited for a worker
-(waits), ran (runs), ran far longer than its siblings (slow), had to start again
-(lost), or its end was still to be recorded (record). The table has the mean
-seconds by the time of acceptance; what took longer than --over is told one by one.
+Each submission is traced back from its last end: a subtask waited for a worker
+(waits), ran (runs), ran far longer than its siblings (slow), had to be restarted
+(lost), or its end was not yet recorded (record). The table has the mean seconds
+by the time of acceptance; submissions that took longer than --over are also
+listed one by one.
 
 Example: tamarind delays daemons.log --window 2s --over 8s`
 
@@ -25,7 +26,7 @@
 	cmd := app.Command("delays", delaysHelp)
 	path := cmd.Arg("log", "The logs of all daemons, in any order.").Required().String()
 	window := cmd.Flag("window", "Width of a row.").Default("2s").Duration()
-	over := cmd.Flag("over", "What took longer is told one by one; 0 for none.").Default("0s").Duration()
+	over := cmd.Flag("over", "List submissions that took longer; 0 for none.").Default("0s").Duration()
 	cmd.Action(action(func() error {
 		if *window <= 0 {
 			return errors.Wrap(errUsage, "--window must be above zero")
@@ -34,35 +35,35 @@
 		if err != nil {
 			return errors.Wrap(err, "delays")
 		}
-		defer func() { _ = file.Close() }() // it was only read
-		accounts, err := delays.Read(file)
+		defer func() { _ = file.Close() }() // opened for reading only
+		breakdowns, err := delays.Read(file)
 		if err != nil {
 			return err
 		}
-		return printDelays(accounts, *window, *over)
+		return printDelays(breakdowns, *window, *over)
 	}))
 }
 
-func printDelays(accounts []delays.Breakdown, window, over time.Duration) error {
-	if len(accounts) == 0 {
+func printDelays(breakdowns []delays.Breakdown, window, over time.Duration) error {
+	if len(breakdowns) == 0 {
 		fmt.Println("no submission ended in these logs")
 		return nil
 	}
-	begin, all := accounts[0].Accepted, accounts
+	begin, all := breakdowns[0].Accepted, breakdowns
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "FROM\tENDED\tMEAN\t")
 	for _, cause := range delays.Causes {
 		fmt.Fprintf(w, "%s\t", cause)
 	}
 	fmt.Fprintln(w)
-	for len(accounts) > 0 {
-		from := accounts[0].Accepted.Sub(begin).Truncate(window)
+	for len(breakdowns) > 0 {
+		from := breakdowns[0].Accepted.Sub(begin).Truncate(window)
 		n := 0
-		for n < len(accounts) && accounts[n].Accepted.Sub(begin) < from+window {
+		for n < len(breakdowns) && breakdowns[n].Accepted.Sub(begin) < from+window {
 			n++
 		}
-		printDelayRow(w, from, accounts[:n])
-		accounts = accounts[n:]
+		printDelayRow(w, from, breakdowns[:n])
+		breakdowns = breakdowns[n:]
 	}
 	if err := w.Flush(); err != nil {
 		return errors.Wrap(err, "delays")
@@ -75,29 +76,29 @@
 	return nil
 }
 
-func printBreakdown(a *delays.Breakdown, begin time.Time) {
-	fmt.Printf("%s %s accepted %.2f took %.2f:", a.ID, a.Pool, a.Accepted.Sub(begin).Seconds(), a.Duration.Seconds())
-	for i := len(a.Segments) - 1; i >= 0; i-- {
-		part := a.Segments[i]
-		fmt.Printf(" %s %.2f", part.Cause, part.Duration.Seconds())
-		if part.Worker != "" {
-			fmt.Printf(" (%s on %s)", part.Subtask[len(a.ID)+1:], part.Worker)
+func printBreakdown(b *delays.Breakdown, begin time.Time) {
+	fmt.Printf("%s %s accepted %.2f took %.2f:", b.ID, b.Pool, b.Accepted.Sub(begin).Seconds(), b.Duration.Seconds())
+	for i := len(b.Segments) - 1; i >= 0; i-- {
+		segment := b.Segments[i]
+		fmt.Printf(" %s %.2f", segment.Cause, segment.Duration.Seconds())
+		if segment.Worker != "" {
+			fmt.Printf(" (%s on %s)", segment.Subtask[len(b.ID)+1:], segment.Worker)
 		}
 	}
 	fmt.Println()
 }
 
-func printDelayRow(w *tabwriter.Writer, from time.Duration, accounts []delays.Breakdown) {
+func printDelayRow(w *tabwriter.Writer, from time.Duration, breakdowns []delays.Breakdown) {
 	var total time.Duration
 	sums := map[delays.Cause]time.Duration{}
-	for i := range accounts {
-		total += accounts[i].Duration
-		for cause, took := range accounts[i].ByCause() {
+	for i := range breakdowns {
+		total += breakdowns[i].Duration
+		for cause, took := range breakdowns[i].ByCause() {
 			sums[cause] += took
 		}
 	}
-	n := float64(len(accounts))
-	fmt.Fprintf(w, "%s\t%d\t%.2f\t", from, len(accounts), total.Seconds()/n)
+	n := float64(len(breakdowns))
+	fmt.Fprintf(w, "%s\t%d\t%.2f\t", from, len(breakdowns), total.Seconds()/n)
 	for _, cause := range delays.Causes {
 		fmt.Fprintf(w, "%.2f\t", sums[cause].Seconds()/n)
 	}
--- a/cmd/tamarind/demo.go
+++ b/cmd/tamarind/demo.go
@@ -11,9 +11,9 @@
 )
 
 const demoHelp = `Run a small fleet in this process, on stand-ins: a platform, upstreams in two
-halls, four entry daemons, and callers. While the callers go on, an upstream is
-lost, one is reclaimed, and a maintenance wave begins. The last line counts
-what became of the requests, from the upstreams' own records.
+halls, four entry daemons, and callers. While the callers send requests, an
+upstream is lost, one is reclaimed, and a maintenance wave begins. The last line
+counts the outcomes of the requests, from the upstreams' own records.
 
 Example: tamarind demo`
 
--- a/cmd/tamarind/entry.go
+++ b/cmd/tamarind/entry.go
@@ -13,10 +13,11 @@
 const (
 	entryHelp = `Entry daemons.`
 
-	forgetHelp = `Attest that a daemon is gone for good, so that no move waits for its word.
+	forgetHelp = `Confirm that a daemon is gone permanently, so that no move waits for its
+acknowledgement.
 
-Only for a daemon whose process cannot run any more: one that is merely paused
-or cut off could still send requests to an instance that has moved.
+Only for a daemon whose process cannot run any more: one that is only paused or
+partitioned could still send requests to an instance that has moved.
 
 Example: tamarind entry forget --hall h1 entry-3`
 )
@@ -24,8 +25,8 @@
 func addEntry(app *kingpin.Application, conn *connection) {
 	entry := app.Command("entry", entryHelp)
 	cmd := entry.Command("forget", forgetHelp)
-	id := cmd.Arg("id", "Daemon.").Required().String()
-	hall := cmd.Flag("hall", "Its data hall.").Required().String()
+	id := cmd.Arg("id", "Daemon id.").Required().String()
+	hall := cmd.Flag("hall", "Data hall of the daemon.").Required().String()
 	cmd.Action(action(func() error {
 		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			if err := o.Forget(ctx, tw.HallID(*hall), tw.DaemonID(*id)); err != nil {
--- a/cmd/tamarind/explain.go
+++ b/cmd/tamarind/explain.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	explainHelp = `Say why something is as it is.`
+	explainHelp = `Explain the state of an instance or a job.`
 
-	explainInstanceHelp = `Say in which pool and state an instance is, why, and what it waits for.
+	explainInstanceHelp = `Show an instance's pool and state, the reason, and what it waits for.
 
 Example: tamarind explain instance w12`
 
-	explainJobHelp = `Say where a job runs in each hall, or why it cannot.
+	explainJobHelp = `Show where a job runs in each hall, or why it cannot.
 
 Example: tamarind explain job board-check`
 )
@@ -26,14 +26,14 @@
 func addExplain(app *kingpin.Application, conn *connection) {
 	explain := app.Command("explain", explainHelp)
 	instance := explain.Command("instance", explainInstanceHelp)
-	instanceID := instance.Arg("id", "Instance.").Required().String()
+	instanceID := instance.Arg("id", "Instance id.").Required().String()
 	instance.Action(action(func() error {
 		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			return explainInstance(ctx, o, tw.InstanceID(*instanceID))
 		})
 	}))
 	job := explain.Command("job", explainJobHelp)
-	jobID := job.Arg("id", "Job.").Required().String()
+	jobID := job.Arg("id", "Job id.").Required().String()
 	job.Action(action(func() error {
 		return conn.withOperator(func(ctx context.Context, o *control.Operator) error {
 			return explainJob(ctx, o, tw.JobID(*jobID))
@@ -41,7 +41,7 @@
 	}))
 }
 
-// loadPlans reads the configuration and every hall's plan.
+// loadPlans reads the configuration and the plans of all halls.
 func loadPlans(ctx context.Context, o *control.Operator) (*tw.FleetConfig, []tw.Plan, error) {
 	current, err := o.Get(ctx)
 	if err != nil {
@@ -67,28 +67,28 @@
 }
 
 func explainInstance(ctx context.Context, o *control.Operator, id tw.InstanceID) error {
-	_, all, err := loadPlans(ctx, o)
+	_, plans, err := loadPlans(ctx, o)
 	if err != nil {
 		return err
 	}
-	for i := range all {
-		a := all[i].Find(id)
+	for i := range plans {
+		a := plans[i].Find(id)
 		if a == nil {
 			continue
 		}
-		fmt.Printf("%s is %s in pool %s of hall %s since plan %d\nreason: %s\n", id, a.State, a.Pool, all[i].Hall, a.Generation, a.Reason)
-		for _, at := range a.Jobs {
-			fmt.Printf("job %s: %s since plan %d\n", at.Job, at.State, at.Generation)
+		fmt.Printf("%s is %s in pool %s of hall %s since plan %d\nreason: %s\n", id, a.State, a.Pool, plans[i].Hall, a.Generation, a.Reason)
+		for _, placement := range a.Jobs {
+			fmt.Printf("job %s: %s since plan %d\n", placement.Job, placement.State, placement.Generation)
 		}
 		if a.State != tw.InstanceDraining {
 			return nil
 		}
-		return explainDrainWait(ctx, o, all[i].Hall, a)
+		return explainDrainWait(ctx, o, plans[i].Hall, a)
 	}
 	return errors.Wrapf(tw.ErrNotFound, "instance %s in any plan", id)
 }
 
-// explainDrainWait names the daemons that a drain waits for.
+// explainDrainWait prints the daemons that a drain waits for.
 func explainDrainWait(ctx context.Context, o *control.Operator, hall tw.HallID, a *tw.Assignment) error {
 	daemons, err := o.Daemons(ctx, []tw.HallID{hall})
 	if err != nil {
@@ -103,13 +103,13 @@
 		fmt.Printf("waits for daemon %s to acknowledge plan %d (reached: %v, acknowledged: %d)\n", d.ID, a.Generation, d.Reached, d.Acked)
 	}
 	if !waits {
-		fmt.Println("waits for its work in flight and its tasks to end")
+		fmt.Println("waits for requests in flight and tasks to end")
 	}
 	return nil
 }
 
 func explainJob(ctx context.Context, o *control.Operator, id tw.JobID) error {
-	config, all, err := loadPlans(ctx, o)
+	config, plans, err := loadPlans(ctx, o)
 	if err != nil {
 		return err
 	}
@@ -117,28 +117,28 @@
 	if job == nil {
 		return errors.Wrapf(tw.ErrNotFound, "job %s in the configuration", id)
 	}
-	for i := range all {
-		explainJobInHall(job, &all[i])
+	for i := range plans {
+		explainJobInHall(job, &plans[i])
 	}
 	return nil
 }
 
 func explainJobInHall(job *tw.Job, plan *tw.Plan) {
 	if !job.In(plan.Hall) {
-		fmt.Printf("hall %s: not wanted there\n", plan.Hall)
+		fmt.Printf("hall %s: not configured for this hall\n", plan.Hall)
 		return
 	}
 	for _, s := range plan.Unplaced {
 		if s.Job == job.ID {
-			fmt.Printf("hall %s: set aside: %s\n", plan.Hall, s.Reason)
+			fmt.Printf("hall %s: not placed: %s\n", plan.Hall, s.Reason)
 			return
 		}
 	}
-	fmt.Printf("hall %s: %d wanted\n", plan.Hall, job.Replicas)
+	fmt.Printf("hall %s: %d replicas wanted\n", plan.Hall, job.Replicas)
 	for i := range plan.Instances {
 		a := &plan.Instances[i]
-		if at := a.Placement(job.ID); at != nil {
-			fmt.Printf("  %s: %s on an instance that is %s\n", a.Instance, at.State, a.State)
+		if placement := a.Placement(job.ID); placement != nil {
+			fmt.Printf("  %s: %s on an instance that is %s\n", a.Instance, placement.State, a.State)
 		}
 	}
 }
--- a/cmd/tamarind/main.go
+++ b/cmd/tamarind/main.go
@@ -12,11 +12,12 @@
 	"github.com/tamarindworks/tamarindworks/control"
 )
 
-const help = `Drive a tamarindworks fleet: change labels, selectors and budgets, and look.
-There is no command to place, move or drain anything by hand; see docs/OPERATING.md.
+const help = `Manage a tamarindworks fleet: change labels, selectors and budgets, and show
+its state. There is no command to place, move or drain anything by hand; see
+docs/OPERATING.md.
 
-Exit codes: 0 done, 1 failed, 2 bad configuration or bad use (nothing was
-changed), 3 somebody else's change was first (nothing was changed).
+Exit codes: 0 done, 1 failed, 2 invalid configuration or command line (nothing
+was changed), 3 conflict with another change (nothing was changed).
 
 Examples:
 
@@ -58,15 +59,16 @@
 	}
 	fmt.Fprintf(os.Stderr, "tamarind: %v\n", err)
 	if !commandStarted {
-		os.Exit(exitBadInput) // the library could make no sense of the line
+		os.Exit(exitBadInput) // the command line could not be parsed
 	}
 	os.Exit(exitCode(err))
 }
 
-// commandStarted says that a command was understood and begun.
+// commandStarted means that the command line was parsed and a command was
+// started.
 var commandStarted bool
 
-// action is what a command does.
+// action wraps the function of a command.
 func action(do func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		commandStarted = true
@@ -86,5 +88,5 @@
 	return exitFailed
 }
 
-// errUsage is a command line that makes no sense.
-var errUsage = errors.New("bad use")
+// errUsage means that the command line is invalid.
+var errUsage = errors.New("invalid command line")
--- a/cmd/tamarind/plan.go
+++ b/cmd/tamarind/plan.go
@@ -14,7 +14,7 @@
 )
 
 const planHelp = `Show what a configuration would move, and why, without changing anything.
-Budgets are taken as unused: real drains may come later than shown.
+Disruption budgets are assumed to be unused: actual drains may start later.
 
 Example: tamarind plan fleet.toml`
 
@@ -98,7 +98,7 @@
 		moves++
 	}
 	for _, s := range out.Plan.Unplaced {
-		fmt.Printf("%s job %s: set aside (%s)\n", hall, s.Job, s.Reason)
+		fmt.Printf("%s job %s: not placed (%s)\n", hall, s.Job, s.Reason)
 	}
 	return moves
 }
--- a/cmd/tamarind/queue.go
+++ b/cmd/tamarind/queue.go
@@ -18,32 +18,33 @@
 )
 
 const (
-	queueHelp = `Look at the pools and submissions of the platform, as its store has them.`
+	queueHelp = `Show the pools and submissions that are recorded in the platform's store.`
 
-	queueStatusHelp = `Show the evacuated halls, and each pool: its owner, whether that lives, and its
-submissions.
+	queueStatusHelp = `Show the evacuated halls, and each pool with its owner, whether the owner is
+alive, and its submissions.
 
 Example: tamarind queue status --store 10.200.1.7:8621`
 
-	queueCapsHelp = `Show which part of each organisation's usage cap the pools have, in 1/1,024.
+	queueCapsHelp = `Show the share of each organisation's usage cap that each pool has, in units of
+1/1,024.
 
 Example: tamarind queue caps --store 10.200.1.7:8621`
 
-	queueSubmissionHelp = `Show what the store has of one submission: its steps and progress, or how it
-ended. docs/OPERATIONS.md goes on from there.
+	queueSubmissionHelp = `Show the record of a submission in the store: its steps and progress, or how it
+ended. See also docs/OPERATIONS.md.
 
 Example: tamarind queue submission 5c0e7a21d94b36f8 --store 10.200.1.7:8621`
 )
 
 type (
-	// queueStatus is what is printed of the pools.
+	// queueStatus is the output of queue status.
 	queueStatus struct {
 		*ledger.Survey
-		// Evacuated are the data halls in which nothing may be started.
+		// Evacuated lists the data halls in which nothing may be started.
 		Evacuated []tw.HallID `json:"evacuated"`
 	}
 
-	// submissionRecord is what is printed of a submission.
+	// submissionRecord is the output of queue submission.
 	submissionRecord struct {
 		ID       tw.SubmissionID `json:"id"`
 		Record   ledger.Record   `json:"record"`
@@ -92,17 +93,17 @@
 	submission := queue.Command("submission", queueSubmissionHelp)
 	id := submission.Arg("id", "16 hex digits.").Required().String()
 	submission.Action(action(func() error {
-		known, valid := platform.ParseSubmissionID(*id)
+		parsed, valid := platform.ParseSubmissionID(*id)
 		if !valid {
 			return errors.Wrapf(errUsage, "%q is not an id of 16 hex digits", *id)
 		}
 		return conn.withStore(*store, func(ctx context.Context, kv tw.KV) error {
-			return printSubmission(ctx, kv, known)
+			return printSubmission(ctx, kv, parsed)
 		})
 	}))
 }
 
-// withStore calls do with the platform's store, within the timeout.
+// withStore calls do with the platform's store and a context with the timeout.
 func (c *connection) withStore(address string, do func(ctx context.Context, kv tw.KV) error) error {
 	client := platform.KVConfig{Address: address}.New()
 	defer client.Close()
@@ -117,7 +118,7 @@
 	for _, hall := range s.Evacuated {
 		fmt.Fprintf(w, "hall %s is evacuated\n", hall)
 	}
-	fmt.Fprintln(w, "POOL\tOWNER\tLIVES\tFENCE\tOPEN\tSUCCEEDED\tFAILED\tCANCELLED\tINBOX")
+	fmt.Fprintln(w, "POOL\tOWNER\tALIVE\tFENCE\tOPEN\tSUCCEEDED\tFAILED\tCANCELLED\tINBOX")
 	for _, p := range s.Pools {
 		fmt.Fprintf(w, "%s\t%s\t%t\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Owner.Pool, p.Owner.Daemon, p.OwnerAlive, p.Owner.Fence,
 			p.Open, p.Ended[tw.SubmissionSucceeded], p.Ended[tw.SubmissionFailed], p.Ended[tw.SubmissionCancelled], p.Inbox)
@@ -137,12 +138,11 @@
 	return w.Flush()
 }
 
-// printSubmission prints JSON in any case: a record has too many parts for a
-// table.
+// printSubmission always prints JSON: a record has too many parts for a table.
 func printSubmission(ctx context.Context, kv tw.KV, id tw.SubmissionID) error {
 	record, err := ledger.FindSubmission(ctx, kv, id)
 	if errors.Is(err, tw.ErrNotFound) {
-		return errors.Newf("nobody has kept a submission %s, or it ended more than two minutes ago", id)
+		return errors.Newf("there is no submission %s, or it ended more than two minutes ago", id)
 	}
 	if err != nil {
 		return err
--- a/cmd/tamarind/status.go
+++ b/cmd/tamarind/status.go
@@ -13,8 +13,8 @@
 	"github.com/tamarindworks/tamarindworks/control"
 )
 
-const statusHelp = `Show the fleet at a glance: the configuration, each hall's daemons, pools,
-spares, and what waits.
+const statusHelp = `Show an overview of the fleet: the configuration, and each hall's daemons,
+pools, spares, and jobs that could not be placed.
 
 Example: tamarind status --output json`
 
@@ -133,7 +133,7 @@
 		}
 		fmt.Fprintf(out, "  spares\t%d held\t%d needed\n", h.Spares, h.SparesNeeded)
 		for _, a := range h.Unplaced {
-			fmt.Fprintf(out, "  job %s\tset aside\t%s\n", a.Job, a.Reason)
+			fmt.Fprintf(out, "  job %s\tnot placed\t%s\n", a.Job, a.Reason)
 		}
 	}
 	return out.Flush()
--- a/cmd/tamarindd/main.go
+++ b/cmd/tamarindd/main.go
@@ -1,6 +1,6 @@
-// Command tamarindd is the daemon of tamarindworks: it takes callers' requests
-// and brings each to an instance that carries its job, or takes submissions
-// and runs their subtasks on the platform's workers.
+// Command tamarindd is the daemon of tamarindworks. It forwards callers'
+// requests to instances, or accepts submissions and runs their subtasks on the
+// platform's workers.
 package main
 
 import (
@@ -18,11 +18,11 @@
 const help = `The daemon of tamarindworks.
 
 It reads its settings from one TOML file and needs no disk. SIGTERM or SIGINT
-is a planned stop: the daemon says that it is not ready, hands over what it
+is a planned stop: the daemon reports that it is not ready, hands over what it
 owns, finishes what is in flight, and exits.
 
-Exit codes: 0 planned stop, 1 it could not start or stop in order, 2 bad
-settings (every fault is printed, with its line).
+Exit codes: 0 planned stop, 1 start or planned stop failed, 2 invalid settings
+(all errors are printed, with their lines).
 `
 
 // Exit codes.
@@ -43,7 +43,8 @@
 	}
 }
 
-// reportBadSettings prints all faults of a settings file.
+// reportBadSettings prints the errors of a settings file and returns the exit
+// code.
 func reportBadSettings(path string, err error) int {
 	fmt.Fprintf(os.Stderr, "tamarindd: %s:\n%v\n", path, err)
 	return exitBadSettings
@@ -54,7 +55,8 @@
 	return exitFailed
 }
 
-// logger writes structured lines to standard output, without ever blocking.
+// logger returns a logger that writes JSON lines to standard output without
+// blocking.
 func logger(level string) (*zap.Logger, *logsink.Sink, error) {
 	parsed, err := zap.ParseAtomicLevel(level)
 	if err != nil {
--- a/cmd/tamarindd/queue.go
+++ b/cmd/tamarindd/queue.go
@@ -14,11 +14,11 @@
 	"github.com/tamarindworks/tamarindworks/internal/logsink"
 )
 
-const queueHelp = `Take submissions and run their subtasks on the platform's workers.
+const queueHelp = `Accept submissions and run their subtasks on the platform's workers.
 
-The settings file is named by the flag, or by the variable TAMARINDWORKS_CONFIG
-in which the platform gives its path. It is read again on SIGHUP and when it
-has changed.
+The path of the settings file is given by the flag or by the variable
+TAMARINDWORKS_CONFIG, which the platform sets. The file is read again on SIGHUP
+and when it has changed.
 
 Examples:
 
@@ -27,15 +27,18 @@
 `
 
 const (
-	// settingsVariable is where the platform puts the path of the settings.
+	// settingsVariable is the environment variable in which the platform gives
+	// the path of the settings file.
 	settingsVariable = "TAMARINDWORKS_CONFIG"
-	// settingsPoll is how often the settings file is looked at for a change.
+	// settingsPoll is the interval at which the settings file is checked for
+	// changes.
 	settingsPoll = time.Second
-	// stopMargin is left of the platform's grace when a planned stop gives up.
+	// stopMargin is how long before the end of the platform's grace period a
+	// planned stop gives up.
 	stopMargin = 500 * time.Millisecond
 )
 
-// queueCommand runs the daemon that takes submissions.
+// queueCommand runs the queue daemon, which accepts submissions.
 type queueCommand struct {
 	name  string
 	path  *string
@@ -78,7 +81,8 @@
 	return 0
 }
 
-// waitForStop takes up changes of the settings until the process is to stop.
+// waitForStop reloads the settings when they change, and returns when the
+// process is told to stop.
 func (c *queueCommand) waitForStop(d *daemon.QueueDaemon, log *zap.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
@@ -105,13 +109,13 @@
 func (c *queueCommand) reload(d *daemon.QueueDaemon, log *zap.Logger) {
 	settings, err := daemon.LoadQueueSettings(*c.path)
 	if err != nil {
-		log.Error("daemon: new settings are bad, the former ones stay in force", logsink.Err(err))
+		log.Error("daemon: new settings are invalid, the previous ones stay in force", logsink.Err(err))
 		return
 	}
 	d.Reload(settings)
 }
 
-// modTime is when the settings file was last written; zero if unknown.
+// modTime returns when the settings file was last written; zero if unknown.
 func (c *queueCommand) modTime() time.Time {
 	info, err := os.Stat(*c.path)
 	if err != nil {
--- a/cmd/tamarindd/serve.go
+++ b/cmd/tamarindd/serve.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindworks/tamarindworks/daemon"
 )
 
-const serveHelp = `Stand between callers and instances (the default).
+const serveHelp = `Forward callers' requests to instances (the default).
 
 Example:
 
--- a/gateway/activity.go
+++ b/gateway/activity.go
@@ -2,41 +2,41 @@
 
 import "sync"
 
-// requestTracker counts the exchanges under way. A sync.WaitGroup would not do: it
-// forbids a first Add while somebody waits.
+// requestTracker counts the requests in flight. A sync.WaitGroup does not work
+// here: it forbids an Add from zero concurrent with Wait.
 type requestTracker struct {
 	mu    sync.Mutex
 	count int
-	idle  chan struct{} // closed when n falls to 0; nil if nobody waits
+	idle  chan struct{} // closed when no request is in flight; nil without waiters
 }
 
-func (a *requestTracker) begin() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.count++
+func (t *requestTracker) begin() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.count++
 }
 
-func (a *requestTracker) end() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.count--
-	if a.count == 0 && a.idle != nil {
-		close(a.idle)
-		a.idle = nil
+func (t *requestTracker) end() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.count--
+	if t.count == 0 && t.idle != nil {
+		close(t.idle)
+		t.idle = nil
 	}
 }
 
-// whenIdle is closed once nothing is under way.
-func (a *requestTracker) whenIdle() <-chan struct{} {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.idle == nil {
-		a.idle = make(chan struct{})
+// whenIdle returns a channel that is closed once no request is in flight.
+func (t *requestTracker) whenIdle() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.idle == nil {
+		t.idle = make(chan struct{})
 	}
-	out := a.idle
-	if a.count == 0 {
-		close(a.idle)
-		a.idle = nil
+	idle := t.idle
+	if t.count == 0 {
+		close(t.idle)
+		t.idle = nil
 	}
-	return out
+	return idle
 }
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -9,58 +9,59 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// Bounds of a queue. The wait of quick requests is bounded by their own
-// service time, so that what is admitted stays quick at any overload; the
-// others may wait as long as their deadline allows, up to a bound.
+// Limits of a queue. The wait of quick requests is limited by their own service
+// time, so that admitted ones stay quick at any overload. Other classes may
+// wait as long as their deadline allows, up to a maximum.
 const (
-	quickWaitFactor       = 0.7                  // of the mean service time
-	minQuickWait          = 5 * time.Millisecond // a burst that nobody notices
+	quickWaitFactor       = 0.7                  // multiple of the mean service time
+	minQuickWait          = 5 * time.Millisecond // lets short bursts through
 	maxNormalWait         = 2 * time.Second
 	maxLongWait           = 20 * time.Second
-	maxQueued             = 1024 // a job and class
-	initialServiceSeconds = 0.010
-	serviceTimeAlpha      = 0.1
-	defaultTeamWeight     = 1
+	maxQueued             = 1024  // waiters per job and class
+	initialServiceSeconds = 0.010 // until one was observed
+	serviceTimeAlpha      = 0.1   // weight of a new observation in the moving average
+	defaultTeamWeight     = 1     // of requests without a team
 )
 
-// admit grants a slot now, queues the ask, or refuses it. The lock is held.
-func (s *scheduler) admit(a slotRequest) (*grant, *waiter, *Refusal) {
-	line := s.jobs[a.job]
-	if line == nil || len(line.workers) == 0 {
+// admit grants a slot, queues the request, or refuses it. The caller holds
+// s.mu.
+func (s *scheduler) admit(req slotRequest) (*grant, *waiter, *Refusal) {
+	js := s.jobs[req.job]
+	if js == nil || len(js.workers) == 0 {
 		return nil, nil, notRunRetryAfter(ReasonNoInstance, retryAfterPromotion, "no instance carries the job now")
 	}
-	if !line.hasUntried(a.tried) {
+	if !js.hasUntried(req.tried) {
 		return nil, nil, notRunRetryAfter(ReasonNoInstance, retryAfterPromotion, "every instance of the job has been tried")
 	}
-	weight, refusal := s.checkTeamQuota(a.team)
+	weight, refusal := s.checkTeamQuota(req.team)
 	if refusal != nil {
 		return nil, nil, refusal
 	}
 	now := s.clock.Now()
-	line.arrivals[a.class].count(false, now)
-	queue := line.queues[a.class]
-	if s.noWaiterAhead(line, a.class) {
-		if w := s.pickWorker(line, a, now); w != nil {
-			return s.grant(w, a, now), nil, nil
+	js.arrivals[req.class].count(false, now)
+	queue := js.queues[req.class]
+	if s.noWaiterAhead(js, req.class) {
+		if w := s.pickWorker(js, req, now); w != nil {
+			return s.grant(w, req, now), nil, nil
 		}
 	}
-	if refusal := s.checkWait(line, a, now); refusal != nil {
+	if refusal := s.checkWait(js, req, now); refusal != nil {
 		return nil, nil, refusal
 	}
 	if queue.size >= maxQueued {
-		victim := queue.evictionCandidate(a.team, weight)
+		victim := queue.evictionCandidate(req.team, weight)
 		if victim == nil {
-			return nil, nil, notRunRetryAfter(ReasonQueueFull, s.estimateWait(line, a.class), "the queue is full")
+			return nil, nil, notRunRetryAfter(ReasonQueueFull, s.estimateWait(js, req.class), "the queue is full")
 		}
-		s.refuse(line, victim, notRunRetryAfter(ReasonTeamShare, s.estimateWait(line, a.class), "the queue went to teams that use less of it"))
+		s.refuse(js, victim, notRunRetryAfter(ReasonTeamShare, s.estimateWait(js, req.class), "the queue went to teams that use less of it"))
 	}
 	s.lastSeq++
-	w := &waiter{req: a, seq: s.lastSeq, ready: make(chan waitResult, 1)}
+	w := &waiter{req: req, seq: s.lastSeq, ready: make(chan waitResult, 1)}
 	if queue.size == 0 {
-		s.catchUpPass(a.class)
+		s.catchUpPass(req.class)
 	}
 	queue.push(w, weight)
-	s.teamRequests[a.team]++
+	s.teamRequests[req.team]++
 	return nil, w, nil
 }
 
@@ -76,82 +77,85 @@
 	return team.Weight, nil
 }
 
-// noWaiterAhead tells whether nobody of the same or a more urgent class waits.
-func (s *scheduler) noWaiterAhead(line *jobState, class tw.Class) bool {
+// noWaiterAhead reports whether no request of the same or a more urgent class
+// is queued for the job.
+func (s *scheduler) noWaiterAhead(js *jobState, class tw.Class) bool {
 	for _, c := range tw.Classes {
-		if rank(c) <= rank(class) && line.queues[c].size > 0 {
+		if rank(c) <= rank(class) && js.queues[c].size > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// checkWait refuses what would wait too long to be of use.
-func (s *scheduler) checkWait(line *jobState, a slotRequest, now time.Time) *Refusal {
-	wait := s.estimateWait(line, a.class)
-	service := seconds(line.meanServiceSeconds(a.class))
-	left := a.deadline.Sub(now)
-	if wait+service > left {
+// checkWait refuses a request that would miss its deadline in the queue, or
+// wait longer than its class allows.
+func (s *scheduler) checkWait(js *jobState, req slotRequest, now time.Time) *Refusal {
+	wait := s.estimateWait(js, req.class)
+	service := seconds(js.meanServiceSeconds(req.class))
+	remaining := req.deadline.Sub(now)
+	if wait+service > remaining {
 		return notRunRetryAfter(ReasonWaitTooLong, wait, "the wait would outlast the request's deadline")
 	}
-	if wait > s.maxWait(line, a.class) {
+	if wait > s.maxWait(js, req.class) {
 		return notRunRetryAfter(ReasonWaitTooLong, wait, "the wait would be too long for its class")
 	}
 	return nil
 }
 
-func (s *scheduler) maxWait(line *jobState, class tw.Class) time.Duration {
+func (s *scheduler) maxWait(js *jobState, class tw.Class) time.Duration {
 	switch class {
 	case tw.ClassQuick:
-		return max(minQuickWait, seconds(quickWaitFactor*line.meanServiceSeconds(tw.ClassQuick)))
+		return max(minQuickWait, seconds(quickWaitFactor*js.meanServiceSeconds(tw.ClassQuick)))
 	case tw.ClassNormal:
 		return maxNormalWait
 	}
 	return maxLongWait
 }
 
-// estimateWait estimates how long a new request of a class would wait: for those of
-// its class, and for the turns that other classes get meanwhile.
-func (s *scheduler) estimateWait(line *jobState, class tw.Class) time.Duration {
+// estimateWait estimates how long a new request of a class would wait: for the
+// requests queued in its class, and for the turns that other classes get
+// meanwhile.
+func (s *scheduler) estimateWait(js *jobState, class tw.Class) time.Duration {
 	now := s.clock.Now()
-	keep := line.computeReserve(now)
+	reserved := js.computeReserve(now)
 	slots := 0
-	for _, w := range line.workers {
+	for _, w := range js.workers {
 		if n := w.usableSlots(now); n > 0 {
-			slots += keep.limit(class, n)
+			slots += reserved.limit(class, n)
 		}
 	}
 	if slots == 0 {
 		return retryAfterPromotion
 	}
-	ahead := float64(line.queues[class].size) + 0.5 // half a turn until a slot is freed
-	own := ahead * line.meanServiceSeconds(class)
+	ahead := float64(js.queues[class].size) + 0.5 // half a service time until a slot is free
+	own := ahead * js.meanServiceSeconds(class)
 	work := own
 	for _, c := range tw.Classes {
 		if c != class {
-			waiting := float64(line.queues[c].size) * line.meanServiceSeconds(c)
+			waiting := float64(js.queues[c].size) * js.meanServiceSeconds(c)
 			work += min(waiting, own*classWeight[c]/classWeight[class])
 		}
 	}
 	return seconds(work / float64(slots))
 }
 
-// hasUntried tells whether an instance is left for a retry.
-func (l *jobState) hasUntried(tried map[tw.InstanceID]bool) bool {
-	return slices.ContainsFunc(l.workers, func(w *worker) bool { return !tried[w.id] })
+// hasUntried reports whether the job has an instance that is not in tried.
+func (js *jobState) hasUntried(tried map[tw.InstanceID]bool) bool {
+	return slices.ContainsFunc(js.workers, func(w *worker) bool { return !tried[w.id] })
 }
 
-// meanServiceSeconds is the mean time in a slot, in seconds.
-func (l *jobState) meanServiceSeconds(class tw.Class) float64 {
-	if v := l.serviceSeconds[class]; v > 0 {
+// meanServiceSeconds is the moving average of the time in a slot, in seconds.
+func (js *jobState) meanServiceSeconds(class tw.Class) float64 {
+	if v := js.serviceSeconds[class]; v > 0 {
 		return v
 	}
 	return initialServiceSeconds
 }
 
-func (l *jobState) recordServiceTime(class tw.Class, took time.Duration) {
-	old := l.meanServiceSeconds(class)
-	l.serviceSeconds[class] = old + serviceTimeAlpha*(took.Seconds()-old)
+func (js *jobState) recordServiceTime(class tw.Class, took time.Duration) {
+	old := js.meanServiceSeconds(class)
+	js.serviceSeconds[class] = old + serviceTimeAlpha*(took.Seconds()-old)
 }
 
 func seconds(s float64) time.Duration {
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -8,11 +8,11 @@
 )
 
 type (
-	// forwardResult says how passing an answer on ended.
+	// forwardResult says how forwarding a response ended.
 	forwardResult int
 
-	// errorTrackingReader remembers that reading failed, to tell a lost upstream
-	// from a caller that has gone.
+	// errorTrackingReader records read errors, to tell a lost upstream from a
+	// caller that has gone.
 	errorTrackingReader struct {
 		io.Reader
 		failed bool
@@ -20,17 +20,18 @@
 )
 
 const (
-	forwardDone      forwardResult = iota // all of it, or its caller has gone
-	forwardNothing                        // cut before anything was passed on
-	forwardTruncated                      // cut after a part was passed on
+	forwardDone      forwardResult = iota // complete, or the caller has gone
+	forwardNothing                        // upstream lost before anything was forwarded
+	forwardTruncated                      // upstream lost after a part was forwarded
 )
 
-// maxBufferedResponse is read whole before any of it is passed on, so that a slow
-// caller does not hold a slot, and a cut small answer can still be refused.
+// maxBufferedResponse is the size in bytes below which a response is read
+// completely before it is forwarded: a slow caller then holds no slot, and a
+// truncated response can still be replaced by a refusal.
 const maxBufferedResponse = 64 << 10
 
-// forwardResponse copies a response to the caller. It calls free when the upstream has
-// nothing more to say.
+// forwardResponse copies a response to the caller. It calls free once the
+// response is completely buffered, if it is small enough.
 func forwardResponse(w http.ResponseWriter, resp *http.Response, free func()) forwardResult {
 	defer resp.Body.Close()
 	body := &errorTrackingReader{Reader: resp.Body}
@@ -38,13 +39,13 @@
 	if err != nil {
 		return forwardNothing
 	}
-	whole := len(head) < maxBufferedResponse
-	if whole {
+	complete := len(head) < maxBufferedResponse
+	if complete {
 		free()
 	}
 	copyHeader(w.Header(), resp)
 	w.WriteHeader(resp.StatusCode)
-	if _, err := w.Write(head); err != nil || whole {
+	if _, err := w.Write(head); err != nil || complete {
 		return forwardDone
 	}
 	if _, err := io.Copy(w, body); err != nil && body.failed {
@@ -53,7 +54,7 @@
 	return forwardDone
 }
 
-// Read reads and remembers a failure.
+// Read implements io.Reader.
 func (r *errorTrackingReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
 	if err != nil && !errors.Is(err, io.EOF) {
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// BenchmarkRequest compares a request through the gateway with one made
+// BenchmarkRequest compares a request through the gateway with one sent
 // directly to the same upstream.
 func BenchmarkRequest(b *testing.B) {
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(w, r.Body) // the caller is the benchmark
+		_, _ = io.Copy(w, r.Body) // a failure shows in the benchmark's client
 	}))
 	defer upstream.Close()
 	g := Config{}.New()
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -6,26 +6,26 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// release modes.
+// releaseMode says how the use of a slot ended.
 type releaseMode int
 
 const (
-	releaseOK     releaseMode = iota // the instance did its work
+	releaseOK     releaseMode = iota // the instance did not fail
 	releaseFailed                    // the instance failed
-	releaseUnused                    // nothing was asked of the instance
+	releaseUnused                    // nothing was sent to the instance
 )
 
-// pickWorker picks two instances with room at random and takes the less loaded.
-// The lock is held.
-func (s *scheduler) pickWorker(line *jobState, a slotRequest, now time.Time) *worker {
+// pickWorker picks two instances with free slots at random and returns the less
+// loaded one (power of two choices), or nil. The caller holds s.mu.
+func (s *scheduler) pickWorker(js *jobState, req slotRequest, now time.Time) *worker {
 	var first, second *worker
-	keep := line.computeReserve(now)
+	reserved := js.computeReserve(now)
 	seen := 0
-	for _, w := range line.workers {
-		if a.tried[w.id] || !w.hasRoom(a.class, keep, now) {
+	for _, w := range js.workers {
+		if req.tried[w.id] || !w.hasRoom(req.class, reserved, now) {
 			continue
 		}
-		// Reservoir sampling: both picks are uniform over those with room.
+		// Reservoir sampling: both picks are uniform over the candidates.
 		seen++
 		switch {
 		case first == nil:
@@ -33,9 +33,9 @@
 		case second == nil:
 			second = w
 		default:
-			if at := s.rand.IntN(seen); at == 0 {
+			if i := s.rand.IntN(seen); i == 0 {
 				first = w
-			} else if at == 1 {
+			} else if i == 1 {
 				second = w
 			}
 		}
@@ -46,14 +46,15 @@
 	return first
 }
 
-func (s *scheduler) grant(w *worker, a slotRequest, now time.Time) *grant {
-	w.begin(a.job, a.class)
+func (s *scheduler) grant(w *worker, req slotRequest, now time.Time) *grant {
+	w.begin(req.job, req.class)
 	s.running++
-	s.teamRequests[a.team]++
-	return &grant{worker: w, address: w.address, req: a, start: now}
+	s.teamRequests[req.team]++
+	return &grant{worker: w, address: w.address, req: req, start: now}
 }
 
-// release gives a slot back, once, and passes it to whoever waits for it.
+// release returns a slot and dispatches waiters to its instance. Repeated calls
+// have no effect.
 func (s *scheduler) release(g *grant, mode releaseMode) {
 	g.once.Do(func() {
 		s.mu.Lock()
@@ -75,26 +76,27 @@
 		return
 	}
 	w.finish(g.req.job, g.req.class, mode == releaseFailed, now)
-	line := s.jobStateFor(g.req.job)
+	js := s.jobStateFor(g.req.job)
 	if mode == releaseOK {
-		line.recordServiceTime(g.req.class, now.Sub(g.start))
+		js.recordServiceTime(g.req.class, now.Sub(g.start))
 	}
-	if w.consecutiveFailures >= ejectAfter && s.mayEject(line, now) {
+	if w.consecutiveFailures >= ejectAfter && s.mayEject(js, now) {
 		w.ejectNow(now)
 	}
 }
 
-// mayEject keeps ejections under a ceiling: when most instances of a job fail,
-// it is not the instances. One of two may go, the only one may not.
-func (s *scheduler) mayEject(line *jobState, now time.Time) bool {
-	out := 1
-	for _, w := range line.workers {
+// mayEject limits the share of a job's instances that are ejected: when most of
+// them fail, the cause is not the instances. One of two may be ejected, the
+// only one may not.
+func (s *scheduler) mayEject(js *jobState, now time.Time) bool {
+	ejected := 1
+	for _, w := range js.workers {
 		if now.Before(w.ejectedUntil) {
-			out++
+			ejected++
 		}
 	}
-	n := len(line.workers)
-	return n > 1 && out <= max(1, int(maxEjectedShare*float64(n)))
+	n := len(js.workers)
+	return n > 1 && ejected <= max(1, int(maxEjectedShare*float64(n)))
 }
 
 func (s *scheduler) releaseTeam(team tw.TeamID) {
@@ -104,47 +106,48 @@
 	}
 }
 
-// dispatch gives the free slots of an instance to those who wait.
+// dispatch grants the free slots of an instance to waiters.
 func (s *scheduler) dispatch(w *worker) {
 	now := s.clock.Now()
 	for {
-		next, line := s.nextWaiter(w, now)
+		next, js := s.nextWaiter(w, now)
 		if next == nil {
 			return
 		}
-		s.dequeue(line, next)
-		line.queues[next.req.class].charge(next)
+		s.dequeue(js, next)
+		js.queues[next.req.class].charge(next)
 		s.virtualTime = s.classPass[next.req.class]
-		s.classPass[next.req.class] += line.meanServiceSeconds(next.req.class) / classWeight[next.req.class]
+		s.classPass[next.req.class] += js.meanServiceSeconds(next.req.class) / classWeight[next.req.class]
 		next.ready <- waitResult{grant: s.grant(w, next.req, now)}
 	}
 }
 
-// nextWaiter finds who has the next turn at an instance: the class that is most
-// behind its weight, then the team likewise, then the first to come.
+// nextWaiter returns the waiter to serve next on an instance, and its job. The
+// class with the lowest pass goes first, within it the team with the lowest
+// pass, then the earliest arrival.
 func (s *scheduler) nextWaiter(w *worker, now time.Time) (*waiter, *jobState) {
 	var best *waiter
-	var of *jobState
+	var bestJob *jobState
 	for job := range w.jobs {
-		line := s.jobs[job]
-		if line.waiting() == 0 {
-			continue // by far the most releases: don't work out a reserve
+		js := s.jobs[job]
+		if js.waiting() == 0 {
+			continue // the common case: skip computing the reserve
 		}
-		keep := line.computeReserve(now)
+		reserved := js.computeReserve(now)
 		for _, class := range tw.Classes {
-			if line.queues[class].size == 0 || !w.hasRoom(class, keep, now) {
+			if js.queues[class].size == 0 || !w.hasRoom(class, reserved, now) {
 				continue
 			}
-			head := line.queues[class].head()
+			head := js.queues[class].head()
 			if head == nil || head.req.tried[w.id] {
 				continue
 			}
 			if best == nil || s.precedes(head, best) {
-				best, of = head, line
+				best, bestJob = head, js
 			}
 		}
 	}
-	return best, of
+	return best, bestJob
 }
 
 func (s *scheduler) precedes(a, b *waiter) bool {
@@ -154,43 +157,43 @@
 	return a.seq < b.seq
 }
 
-// catchUpPass brings a class that nobody waited in up to the last turn, so that
-// it neither claims the turns it did not need nor pays for turns that nobody
-// else wanted (start-time fair queueing).
+// catchUpPass advances the pass of a class whose queue was empty to the virtual
+// time, so that it neither catches up on turns it did not need nor pays for
+// turns that no other class wanted (start-time fair queueing).
 func (s *scheduler) catchUpPass(class tw.Class) {
 	s.classPass[class] = max(s.classPass[class], s.virtualTime)
 }
 
-// dispatchAll serves all who wait after the view has changed, and refuses
-// those whose job nothing carries any more.
+// dispatchAll dispatches waiters after the view has changed, and refuses those
+// whose job no longer has an instance.
 func (s *scheduler) dispatchAll() {
 	for _, w := range s.workers {
 		s.dispatch(w)
 	}
-	for _, line := range s.jobs {
-		if len(line.workers) > 0 {
+	for _, js := range s.jobs {
+		if len(js.workers) > 0 {
 			continue
 		}
-		for _, q := range line.queues {
+		for _, q := range js.queues {
 			for w := q.head(); w != nil; w = q.head() {
-				s.refuse(line, w, notRunRetryAfter(ReasonNoInstance, retryAfterPromotion, "the job's last instance has gone"))
+				s.refuse(js, w, notRunRetryAfter(ReasonNoInstance, retryAfterPromotion, "the job's last instance has gone"))
 			}
 		}
 	}
 }
 
-// refuse ends a wait with a refusal.
-func (s *scheduler) refuse(line *jobState, w *waiter, refusal *Refusal) {
-	s.dequeue(line, w)
+// refuse removes a waiter from its queue and sends it a refusal.
+func (s *scheduler) refuse(js *jobState, w *waiter, refusal *Refusal) {
+	s.dequeue(js, w)
 	w.ready <- waitResult{refusal: refusal}
 }
 
-func (s *scheduler) dequeue(line *jobState, w *waiter) {
-	line.queues[w.req.class].remove(w)
+func (s *scheduler) dequeue(js *jobState, w *waiter) {
+	js.queues[w.req.class].remove(w)
 	s.releaseTeam(w.req.team)
 }
 
-// removeWaiter takes a waiter out if it still waits.
+// removeWaiter removes a waiter if it is still queued.
 func (s *scheduler) removeWaiter(w *waiter) {
 	if !w.done {
 		s.dequeue(s.jobStateFor(w.req.job), w)
--- a/gateway/claimed.go
+++ b/gateway/claimed.go
@@ -7,8 +7,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// serveClaimed sends a request under an idempotency key that must run at most
-// once: first the key is claimed with several daemons of the hall.
+// serveClaimed handles a request with an idempotency key, which must run at
+// most once: the key is first claimed with several daemons of the hall.
 func (g *Gateway) serveClaimed(ctx context.Context, w http.ResponseWriter, ex *exchange) *Refusal {
 	if ex.body.rest != nil {
 		return notRunRefusal(ReasonBodyTooLarge, "a request under "+HeaderKey+" must fit in memory")
@@ -17,7 +17,7 @@
 	if !result.Granted {
 		return claimRefusal(claim, result.Existing)
 	}
-	state := tw.ClaimPending // also if the answer is cut and this panics
+	state := tw.ClaimPending // also if the response is truncated and serveLocally panics
 	defer func() { g.cfg.Claims.Settle(claim, state) }()
 	refusal := g.serveLocally(ctx, w, ex)
 	switch {
@@ -29,14 +29,15 @@
 	return refusal
 }
 
-// claimRefusal says what became of the request that has the key.
-func claimRefusal(claim, standing tw.Claim) *Refusal {
+// claimRefusal returns the refusal for a key that another request holds or that
+// could not be claimed.
+func claimRefusal(claim, existing tw.Claim) *Refusal {
 	switch {
-	case standing.Holder == "":
+	case existing.Holder == "":
 		return notRunRetryAfter(ReasonKeyUnavailable, retryAfterRestart, "too few daemons could keep the key")
-	case standing.Body != claim.Body:
+	case existing.Body != claim.Body:
 		return notRunRefusal(ReasonKeyMismatch, "the key was used for another request")
-	case standing.State == tw.ClaimAnswered:
+	case existing.State == tw.ClaimAnswered:
 		return &Refusal{Reason: ReasonKeyAnswered, Outcome: Answered, Detail: "the request under this key was run and answered"}
 	}
 	return &Refusal{
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// trackedConn knows whether a byte was handed to the kernel. Sealing it shuts
-// the race between that question and a late write.
+// trackedConn counts the writes to a connection. Sealing it prevents a write
+// from starting after the count was read.
 type trackedConn struct {
 	net.Conn
 
@@ -17,7 +17,8 @@
 	writes uint64
 }
 
-// Write counts before it writes: a write that failed may have sent a part.
+// Write counts the write before it starts, as a failed write may have sent a
+// part.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -29,14 +30,14 @@
 	return c.Conn.Write(b)
 }
 
-// writeCount tells how many writes were begun.
+// writeCount returns how many writes were started.
 func (c *trackedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal forbids any further write and tells how many were begun.
+// seal prevents further writes and returns how many were started.
 func (c *trackedConn) seal() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +45,7 @@
 	return c.writes
 }
 
-// trackedDial dials connections that know what was written to them.
+// trackedDial returns a dial function whose connections count their writes.
 func trackedDial(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,5 +1,6 @@
-// Package gateway takes callers' requests and brings each one to an instance
-// that carries its job, in the order route, admit, choose, send, judge,
-// answer. What cannot be served is refused at once, with the reason, with when
-// to come back, and with whether it may have been run.
+// Package gateway is the HTTP proxy between callers and instances. A request is
+// routed to a job, admitted or queued, sent to an instance that runs the job,
+// and retried on another one where that is safe. A request that cannot be
+// served is refused without delay, with a reason, a Retry-After and whether it
+// may have been run.
 package gateway
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -9,7 +9,7 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// exchange is one request on its way.
+// exchange is one caller's request and its state in the gateway.
 type exchange struct {
 	id         string
 	in         *http.Request
@@ -19,12 +19,13 @@
 	repeatable bool
 	timeout    time.Duration
 	key        string // idempotency key, or ""
-	relayed    bool   // came from another daemon
+	relayed    bool   // received from another daemon
 	body       payload
 	tried      map[tw.InstanceID]bool
 }
 
-// newExchange routes a request and checks what its caller asked for.
+// newExchange routes a request and validates its headers. The exchange is not
+// nil, also for a refused request.
 func (g *Gateway) newExchange(r *http.Request) (*exchange, *Refusal) {
 	ex := &exchange{id: requestID(r), in: r, tried: map[tw.InstanceID]bool{}}
 	if refusal := checkProtocol(r); refusal != nil {
@@ -81,16 +82,17 @@
 	case r.Method == http.MethodConnect || r.Method == http.MethodTrace || r.Header.Get("Upgrade") != "":
 		return notRunRefusal(ReasonBadMethod, "CONNECT, TRACE and upgrades are not served")
 	case !r.ProtoAtLeast(1, 1):
-		// An HTTP/1.0 caller could not tell a cut answer from a whole one.
+		// An HTTP/1.0 caller could not tell a truncated response from a
+		// complete one.
 		return notRunRefusal(ReasonBadVersion, "HTTP/1.1 is needed")
 	}
 	return nil
 }
 
-// headerSize is about what the header took on the wire. The server has a larger
-// bound of its own, over which it answers 431 without a reason.
+// headerSize is the approximate size of the header on the wire. The server has
+// a larger limit of its own, above which it answers 431 without a reason.
 func headerSize(r *http.Request) tw.Bytes {
-	const separators = 4 // ": " and the line's end
+	const separators = 4 // ": " and CRLF
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
@@ -100,7 +102,8 @@
 	return tw.Bytes(size)
 }
 
-// findRoute is the route with the longest path; a named host goes before any.
+// findRoute returns the matching route with the longest path, or nil. Routes
+// with a host take precedence over routes for any host.
 func findRoute(config *tw.FleetConfig, host, path string) *tw.Route {
 	var best *tw.Route
 	for i := range config.Services {
@@ -130,7 +133,8 @@
 	return nil
 }
 
-// lessUrgent keeps a caller from taking a more urgent class than the route's.
+// lessUrgent returns the less urgent class, so that a caller cannot get a more
+// urgent one than its route's.
 func lessUrgent(a, b tw.Class) tw.Class {
 	if rank(a) > rank(b) {
 		return a
--- a/gateway/failure_test.go
+++ b/gateway/failure_test.go
@@ -14,21 +14,21 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// upstreamFault is one way in which an upstream fails, what the caller is
-// told, and how often the request may have been run.
+// upstreamFault is a way in which an upstream fails, with the expected response
+// and how often the request may have been run.
 type upstreamFault struct {
 	play          func(conn net.Conn, request int) bool
 	method        string
 	path          string
 	body          string
 	headers       []string
-	healthySecond bool // a good upstream stands beside
+	healthySecond bool // there is a second, healthy upstream
 
-	truncated bool // the caller's connection ends without a whole answer
+	truncated bool // the caller's connection is closed before a complete response
 	status    int
 	reason    Reason
 	outcome   Outcome
-	maxRuns   int // runs at most, on both upstreams
+	maxRuns   int // maximum number of runs on both upstreams
 }
 
 func closeConn(net.Conn, int) bool { return false }
@@ -50,11 +50,11 @@
 		play: closeConn, method: "GET", path: "/once",
 		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
-	"closes on a GET, another instance is there: answered": {
+	"closes on a GET, with another instance: answered": {
 		play: closeConn, method: "GET", path: "/", healthySecond: true,
 		status: 200, outcome: Answered, maxRuns: 2,
 	},
-	"says not run to a POST, another instance is there: answered once": {
+	"reports a POST as not run, with another instance: answered once": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 503 Busy\r\nTamarind-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")
 			return true
@@ -62,7 +62,7 @@
 		method: "POST", path: "/", body: "x", healthySecond: true,
 		status: 200, outcome: Answered, maxRuns: 2,
 	},
-	"says 503 to a POST: its answer is passed on, run once": {
+	"answers 503 to a POST: response forwarded, run once": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy")
 			return true
@@ -70,7 +70,7 @@
 		method: "POST", path: "/", body: "x", healthySecond: true,
 		status: 503, outcome: Answered, maxRuns: 1,
 	},
-	"says 503 to a GET, and no other instance is there: its answer is passed on": {
+	"answers 503 to a GET, without another instance: response forwarded": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy")
 			return true
@@ -78,7 +78,7 @@
 		method: "GET", path: "/",
 		status: 503, outcome: Answered, maxRuns: 1,
 	},
-	"is lost in a small answer to a POST: unknown": {
+	"is lost during a small response to a POST: unknown": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 			return false
@@ -86,7 +86,7 @@
 		method: "POST", path: "/", body: "x",
 		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
-	"is lost in a chunked answer to a POST: unknown": {
+	"is lost during a chunked response to a POST: unknown": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 			return false
@@ -94,21 +94,21 @@
 		method: "POST", path: "/", body: "x",
 		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
 	},
-	"is lost in a large answer: the caller's connection is cut": {
+	"is lost during a large response: the caller's connection is closed": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 200_000))
 			return false
 		},
 		method: "POST", path: "/", body: "x", truncated: true, maxRuns: 1,
 	},
-	"is lost in a large chunked answer: the caller's connection is cut": {
+	"is lost during a large chunked response: the caller's connection is closed": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n"+strings.Repeat("x", 200_000)+"\r\n")
 			return false
 		},
 		method: "POST", path: "/", body: "x", truncated: true, maxRuns: 1,
 	},
-	"ends its answer with the connection: not passed as whole": {
+	"ends its response by closing the connection: not forwarded": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.0 200 OK\r\n\r\nmaybe all")
 			return false
@@ -116,12 +116,12 @@
 		method: "POST", path: "/", body: "x",
 		status: 502, reason: ReasonUnframed, outcome: Unknown, maxRuns: 1,
 	},
-	"answers nothing until the deadline: unknown": {
+	"sends no response before the deadline: unknown": {
 		play:   func(net.Conn, int) bool { time.Sleep(time.Second); return false },
 		method: "POST", path: "/short", body: "x",
 		status: 504, reason: ReasonDeadline, outcome: Unknown, maxRuns: 1,
 	},
-	"answers, and claims that it did not run: its answer is an answer": {
+	"sends a response with outcome not-run: counts as answered": {
 		play: func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 200 OK\r\nTamarind-Outcome: not-run\r\nTamarind-Reason: x\r\nContent-Length: 2\r\n\r\nok")
 			return true
@@ -129,7 +129,7 @@
 		method: "POST", path: "/", body: "x",
 		status: 200, outcome: Answered, maxRuns: 1,
 	},
-	"talks no HTTP: unknown": {
+	"does not speak HTTP: unknown": {
 		play:   func(conn net.Conn, _ int) bool { writeRaw(conn, "what?\r\n\r\n"); return false },
 		method: "POST", path: "/", body: "x",
 		status: 502, reason: ReasonUpstreamLost, outcome: Unknown, maxRuns: 1,
@@ -182,8 +182,9 @@
 	Expect(bad.requestCount() - warmups + good.requestCount()).To(BeNumerically("<=", f.maxRuns*tries))
 }
 
-// send sends the request until the bad upstream has had it, as the choice
-// between two is random; it returns how often it asked.
+// send sends the request until the faulty upstream has received it, as the
+// choice between two is random. It returns the last response and the number of
+// requests.
 func (f upstreamFault) send(g *testGateway, bad, good *scriptedUpstream, warmups int) (testResponse, int) {
 	if !f.healthySecond {
 		return g.do(f.method, f.path, f.body, f.headers...), 1
@@ -198,7 +199,7 @@
 }
 
 var _ = Describe("an instance that cannot be reached", func() {
-	It("is proved not run, for a POST too", func() {
+	It("has its requests refused as not run, also a POST", func() {
 		g := serve(Config{}, newView(8, closedAddress()))
 		got := g.do("POST", "/", "x")
 		Expect(got.status).To(Equal(http.StatusBadGateway))
@@ -207,7 +208,7 @@
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	It("is passed by when there is another", func() {
+	It("is avoided if there is another one", func() {
 		good := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("good")); return true })
 		g := serve(Config{}, newView(8, closedAddress(), good.address))
 		for range 20 {
@@ -215,22 +216,22 @@
 		}
 	})
 
-	It("is retried only from a budget", func() {
+	It("is retried only within the retry budget", func() {
 		good := newScriptedUpstream(func(conn net.Conn, _ int) bool {
 			writeRaw(conn, "HTTP/1.1 503 Busy\r\nTamarind-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")
 			return true
 		})
 		g := serve(Config{}, newView(8, good.address, good.address, good.address, good.address))
-		const asked = 100
-		for range asked {
+		const sent = 100
+		for range sent {
 			Expect(g.do("POST", "/", "x").reason).To(Equal(ReasonUpstreamRefused))
 		}
-		Expect(good.requestCount()).To(BeNumerically("<=", asked+maxRetryTokens+int(asked*retryRatio)))
+		Expect(good.requestCount()).To(BeNumerically("<=", sent+maxRetryTokens+int(sent*retryRatio)))
 	})
 })
 
-var _ = Describe("whole answers", func() {
-	It("reach their own caller, whatever comes late on the connection", func() {
+var _ = Describe("complete responses", func() {
+	It("reach their own caller even after a late response on the connection", func() {
 		u := newScriptedUpstream(func(conn net.Conn, request int) bool {
 			if request == 1 {
 				time.Sleep(400 * time.Millisecond) // after the deadline
@@ -247,7 +248,7 @@
 		}
 	})
 
-	It("do not wait for a caller that has gone", func() {
+	It("are not blocked by a caller that has gone", func() {
 		g := serve(Config{}, newView(1, newScriptedUpstream(func(conn net.Conn, request int) bool {
 			if request == 1 {
 				time.Sleep(300 * time.Millisecond)
@@ -264,7 +265,7 @@
 		Expect(g.do("GET", "/", "").body).To(Equal("x"))
 	})
 
-	It("come from the same connection in large numbers", func() {
+	It("can be many on one connection", func() {
 		u := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("own")); return true })
 		g := serve(Config{}, newView(8, u.address))
 		for range 200 {
@@ -283,11 +284,11 @@
 		runs    int
 	}
 	rows := map[string]row{
-		"granted":               {result: tw.ClaimResult{Granted: true}, status: 200, outcome: Answered, runs: 1},
-		"held by another":       {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", State: tw.ClaimPending}}, status: 409, reason: ReasonKeyInProgress, outcome: Unknown},
-		"answered before":       {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", State: tw.ClaimAnswered}}, status: 409, reason: ReasonKeyAnswered, outcome: Answered},
-		"used for another body": {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", Body: "other"}}, status: 422, reason: ReasonKeyMismatch, outcome: NotRun},
-		"not kept by enough":    {result: tw.ClaimResult{}, status: 503, reason: ReasonKeyUnavailable, outcome: NotRun},
+		"granted":                  {result: tw.ClaimResult{Granted: true}, status: 200, outcome: Answered, runs: 1},
+		"held by another":          {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", State: tw.ClaimPending}}, status: 409, reason: ReasonKeyInProgress, outcome: Unknown},
+		"answered before":          {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", State: tw.ClaimAnswered}}, status: 409, reason: ReasonKeyAnswered, outcome: Answered},
+		"used for another body":    {result: tw.ClaimResult{Existing: tw.Claim{Holder: "d2", Body: "other"}}, status: 422, reason: ReasonKeyMismatch, outcome: NotRun},
+		"too few acknowledgements": {result: tw.ClaimResult{}, status: 503, reason: ReasonKeyUnavailable, outcome: NotRun},
 	}
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
 		It(name, func() {
@@ -307,7 +308,7 @@
 		})
 	}
 
-	It("goes on to the upstream unchanged", func() {
+	It("is forwarded to the upstream unchanged", func() {
 		seen := make(chan string, 1)
 		server := newUpstream(func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header.Get(HeaderKey) })
 		g := serve(Config{}, newView(8, server))
@@ -315,14 +316,14 @@
 		Expect(<-seen).To(Equal("Ke y-1"))
 	})
 
-	It("is free again after a refusal that proves that nothing ran", func() {
+	It("is released after a refusal with outcome not-run", func() {
 		claims := &fixedClaims{result: tw.ClaimResult{Granted: true}}
 		g := serve(Config{Claims: claims}, newView(8, closedAddress()))
 		Expect(g.do("POST", "/", "x", HeaderKey, "k").outcome).To(Equal(NotRun))
 		Expect(claims.states).To(Equal([]tw.ClaimState{tw.ClaimReleased}))
 	})
 
-	It("stays taken when the outcome is unknown", func() {
+	It("stays claimed when the outcome is unknown", func() {
 		claims := &fixedClaims{result: tw.ClaimResult{Granted: true}}
 		g := serve(Config{Claims: claims}, newView(8, newScriptedUpstream(closeConn).address))
 		Expect(g.do("POST", "/", "x", HeaderKey, "k").outcome).To(Equal(Unknown))
--- a/gateway/fair_queue.go
+++ b/gateway/fair_queue.go
@@ -5,30 +5,31 @@
 )
 
 type (
-	// waiter is a request that waits for a slot.
+	// waiter is a queued request.
 	waiter struct {
 		req   slotRequest
-		seq   uint64 // of arrival
+		seq   uint64 // arrival sequence number
 		ready chan waitResult
-		done  bool // granted, refused or given up
+		done  bool // granted, refused or abandoned
 		queue *teamQueue
 	}
 
-	// waitResult ends a wait.
+	// waitResult ends a wait: a slot or a refusal.
 	waitResult struct {
 		grant   *grant
 		refusal *Refusal
 	}
 
 	// fairQueue holds the waiters of one job and class. Teams take turns by
-	// weight (stride scheduling); within a team, first come, first served.
+	// weight (stride scheduling); each team's requests are served in FIFO
+	// order.
 	fairQueue struct {
 		teams       map[tw.TeamID]*teamQueue
 		size        int
-		virtualTime float64 // pass of the last turn
+		virtualTime float64 // pass of the team served last
 	}
 
-	// teamQueue is one team's part of a queue.
+	// teamQueue holds one team's waiters in a fairQueue.
 	teamQueue struct {
 		waiters []*waiter
 		size    int
@@ -40,29 +41,29 @@
 func newFairQueue() *fairQueue { return &fairQueue{teams: map[tw.TeamID]*teamQueue{}} }
 
 func (q *fairQueue) push(w *waiter, weight int) {
-	line := q.teams[w.req.team]
-	if line == nil {
-		line = &teamQueue{pass: q.virtualTime}
-		q.teams[w.req.team] = line
+	tq := q.teams[w.req.team]
+	if tq == nil {
+		tq = &teamQueue{pass: q.virtualTime}
+		q.teams[w.req.team] = tq
 	}
-	line.weight = max(weight, 1)
-	line.waiters = append(line.waiters, w)
-	line.size++
-	w.queue = line
+	tq.weight = max(weight, 1)
+	tq.waiters = append(tq.waiters, w)
+	tq.size++
+	w.queue = tq
 	q.size++
 }
 
-// head is the waiter whose turn it is, or nil.
+// head returns the waiter to serve next, or nil.
 func (q *fairQueue) head() *waiter {
 	var best *teamQueue
-	for team, line := range q.teams {
-		line.skipDone()
-		if line.size == 0 {
+	for team, tq := range q.teams {
+		tq.skipDone()
+		if tq.size == 0 {
 			delete(q.teams, team)
 			continue
 		}
-		if best == nil || line.pass < best.pass || line.pass == best.pass && line.waiters[0].seq < best.waiters[0].seq {
-			best = line
+		if best == nil || tq.pass < best.pass || tq.pass == best.pass && tq.waiters[0].seq < best.waiters[0].seq {
+			best = tq
 		}
 	}
 	if best == nil {
@@ -71,13 +72,13 @@
 	return best.waiters[0]
 }
 
-// charge lets a team pay for its turn.
+// charge advances the pass of a waiter's team by one turn.
 func (q *fairQueue) charge(w *waiter) {
 	q.virtualTime = w.queue.pass
 	w.queue.pass += 1 / float64(w.queue.weight)
 }
 
-// remove takes a waiter out, wherever it stands.
+// remove removes a waiter at any position.
 func (q *fairQueue) remove(w *waiter) {
 	if w.done {
 		return
@@ -87,17 +88,18 @@
 	q.size--
 }
 
-// evictionCandidate is the last waiter of the team that waits most for its
-// weight, if that team waits more than the asker's would.
+// evictionCandidate returns the newest waiter of the team with the most waiters
+// for its weight, or nil if no team has more than the given one would have with
+// another waiter.
 func (q *fairQueue) evictionCandidate(team tw.TeamID, weight int) *waiter {
 	own := 1.0 / float64(max(weight, 1))
-	if line := q.teams[team]; line != nil {
-		own = float64(line.size+1) / float64(line.weight)
+	if tq := q.teams[team]; tq != nil {
+		own = float64(tq.size+1) / float64(tq.weight)
 	}
 	var largest *teamQueue
-	for _, line := range q.teams {
-		if line.weightedSize() > own && (largest == nil || line.weightedSize() > largest.weightedSize()) {
-			largest = line
+	for _, tq := range q.teams {
+		if tq.weightedSize() > own && (largest == nil || tq.weightedSize() > largest.weightedSize()) {
+			largest = tq
 		}
 	}
 	if largest == nil {
@@ -111,11 +113,11 @@
 	return nil
 }
 
-func (l *teamQueue) weightedSize() float64 { return float64(l.size) / float64(l.weight) }
+func (tq *teamQueue) weightedSize() float64 { return float64(tq.size) / float64(tq.weight) }
 
-func (l *teamQueue) skipDone() {
-	for len(l.waiters) > 0 && l.waiters[0].done {
-		l.waiters[0] = nil
-		l.waiters = l.waiters[1:]
+func (tq *teamQueue) skipDone() {
+	for len(tq.waiters) > 0 && tq.waiters[0].done {
+		tq.waiters[0] = nil
+		tq.waiters = tq.waiters[1:]
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -19,17 +19,18 @@
 		Log     *zap.Logger
 		Metrics *metrics.Set
 		Claims  tw.Claims // nil: idempotency keys are only passed on
-		Seed    uint64    // of the random choice
+		Seed    uint64    // of the random numbers
 
-		MaxHeader        tw.Bytes // of a request, its first line included
+		MaxHeader        tw.Bytes // of a request, request line included
 		MaxBody          tw.Bytes // of a request
-		MaxBufferedBody  tw.Bytes // that can be sent again
+		MaxBufferedBody  tw.Bytes // larger bodies are streamed and not sent again
 		DialTimeout      time.Duration
-		IdlePerInstance  int // idle connections kept
-		ConnsPerInstance int // connections at most
+		IdlePerInstance  int // idle connections kept per instance
+		ConnsPerInstance int // maximum connections per instance
 	}
 
-	// Gateway serves callers. It implements http.Handler and tw.Dispatcher.
+	// Gateway serves callers' requests. It implements http.Handler and
+	// tw.Dispatcher.
 	Gateway struct {
 		cfg            Config
 		log            *zap.Logger
@@ -51,7 +52,7 @@
 	defaultMaxBufferedBody = 64 << 10
 	defaultDialTimeout     = 500 * time.Millisecond
 	defaultConns           = 8
-	// maxRelays bounds the requests that other daemons serve for this one.
+	// maxRelays limits the requests relayed to other daemons at a time.
 	maxRelays = 512
 )
 
@@ -60,7 +61,7 @@
 	_ tw.Dispatcher = (*Gateway)(nil)
 )
 
-// New makes a gateway with an empty view: it refuses everything until Install.
+// New returns a gateway without a view. It refuses all requests until Install.
 func (c Config) New() *Gateway {
 	c.defaults()
 	g := &Gateway{
@@ -119,8 +120,8 @@
 // Demand implements tw.Dispatcher.
 func (g *Gateway) Demand() int { return g.scheduler.demand() }
 
-// Stop refuses new requests and waits until those in flight have ended, or
-// ctx has.
+// Stop refuses new requests and waits until those in flight have ended or ctx
+// is done.
 func (g *Gateway) Stop(ctx context.Context) error {
 	g.stopping.Store(true)
 	select {
@@ -138,9 +139,10 @@
 	defer g.requests.end()
 	start := g.cfg.Clock.Now()
 	if len(r.TransferEncoding) > 0 {
-		// RFC 9112, section 6.1, asks to close after a request that has both
-		// a length and chunks. net/http hides the length, so I close after
-		// each chunked one: nothing smuggled behind it is read.
+		// RFC 9112, section 6.1, requires the connection to be closed after a
+		// request with both Content-Length and Transfer-Encoding. net/http
+		// hides the Content-Length, so every chunked request closes its
+		// connection: a request smuggled behind it is never read.
 		w.Header().Set("Connection", "close")
 	}
 	ex, refusal := g.newExchange(r)
@@ -168,7 +170,8 @@
 	refusal.write(w, ex.id)
 }
 
-// serve brings a request to an end: an answer passed on (nil), or a refusal.
+// serve handles a request. It returns nil if a response was forwarded to the
+// caller, otherwise the refusal to send.
 func (g *Gateway) serve(w http.ResponseWriter, ex *exchange) *Refusal {
 	ctx, cancel := context.WithTimeout(ex.in.Context(), ex.timeout)
 	defer cancel()
@@ -182,7 +185,8 @@
 	return g.serveLocally(ctx, w, ex)
 }
 
-// serveLocally gives the request to instances of this hall.
+// serveLocally sends the request to an instance of this hall, and retries it on
+// others.
 func (g *Gateway) serveLocally(ctx context.Context, w http.ResponseWriter, ex *exchange) *Refusal {
 	deadline, _ := ctx.Deadline()
 	var last *Refusal
@@ -198,67 +202,69 @@
 			return earlierRefusal(last, refusal)
 		}
 		ex.tried = withInstance(ex.tried, slot.worker.id)
-		v := g.tryInstance(ctx, w, ex, slot)
-		if v.refusal == nil && v.retry == "" {
+		d := g.tryInstance(ctx, w, ex, slot)
+		if d.refusal == nil && d.retry == "" {
 			return nil
 		}
-		last = v.refusal
-		if v.retry == "" || !backoff(ctx, g.scheduler) {
+		last = d.refusal
+		if d.retry == "" || !backoff(ctx, g.scheduler) {
 			return last
 		}
-		g.stats.retried(v.retry)
+		g.stats.retried(d.retry)
 	}
 }
 
-// tryInstance makes one attempt at one instance. A verdict without refusal and
-// retry means that the caller has its answer.
+// tryInstance makes one attempt at one instance. A result without refusal and
+// retry means that the response was forwarded to the caller.
 func (g *Gateway) tryInstance(ctx context.Context, w http.ResponseWriter, ex *exchange, slot *grant) decision {
 	a := g.send(ctx, ex, target{address: slot.address, grant: slot})
-	v := ex.classify(ctx, a)
+	d := ex.classify(ctx, a)
 	mode := releaseOK
-	if v.instanceFailed {
+	if d.instanceFailed {
 		mode = releaseFailed
 	}
 	defer func() { g.scheduler.release(slot, mode) }()
-	if v.retry != "" && !g.mayRetry(ex) {
-		v.retry = ""
+	if d.retry != "" && !g.mayRetry(ex) {
+		d.retry = ""
 	}
-	if v.refusal == nil && v.retry == "" {
-		// An instance's answer is one, whatever it says in our own headers.
+	if d.refusal == nil && d.retry == "" {
+		// The response counts as answered even if the instance set the
+		// gateway's own outcome headers.
 		a.resp.Header.Set(HeaderOutcome, string(Answered))
 		a.resp.Header.Del(HeaderReason)
-		v = g.finishResponse(w, ex, a.resp, func() { g.scheduler.release(slot, mode) })
-		if v.instanceFailed {
+		d = g.finishResponse(w, ex, a.resp, func() { g.scheduler.release(slot, mode) })
+		if d.instanceFailed {
 			mode = releaseFailed
 		}
-		v.abortIfTruncated()
-		return v
+		d.abortIfTruncated()
+		return d
 	}
 	if a.resp != nil {
 		a.resp.Body.Close()
 	}
-	if v.refusal == nil {
-		v.refusal = &Refusal{Reason: ReasonUpstreamLost, Outcome: Unknown, RetryAfter: retryAfterUpstream}
+	if d.refusal == nil {
+		d.refusal = &Refusal{Reason: ReasonUpstreamLost, Outcome: Unknown, RetryAfter: retryAfterUpstream}
 	}
-	return v
+	return d
 }
 
-// mayRetry takes a retry from the budget, if an instance is left to try.
+// mayRetry takes a token from the retry budget if an untried instance is left.
 func (g *Gateway) mayRetry(ex *exchange) bool {
 	return len(ex.tried) < maxAttempts && g.scheduler.hasUntried(ex.job, ex.tried) && g.retries.withdraw()
 }
 
-// finishResponse passes an answer on; free is called when the upstream has said
-// all.
+// finishResponse forwards a response to the caller. If the response is small
+// enough to be buffered, free is called before it is written, so that a slow
+// caller does not hold the slot.
 func (g *Gateway) finishResponse(w http.ResponseWriter, ex *exchange, resp *http.Response, free func()) decision {
 	setWriteDeadline(resp.Request.Context(), w)
 	switch forwardResponse(w, resp, free) {
 	case forwardNothing:
-		v := ex.classifyError(resp.Request.Context(), attempt{err: errResponseTruncated, mayHaveSent: true})
-		if v.retry != "" && !g.mayRetry(ex) {
-			v.retry = ""
+		d := ex.classifyError(resp.Request.Context(), attempt{err: errResponseTruncated, mayHaveSent: true})
+		if d.retry != "" && !g.mayRetry(ex) {
+			d.retry = ""
 		}
-		return v
+		return d
 	case forwardTruncated:
 		g.stats.responseTruncated()
 		return decision{instanceFailed: true, truncated: true}
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -6,34 +6,35 @@
 	"strings"
 )
 
-// Headers between callers, daemons and upstreams. This file is all that knows
-// their names.
+// Headers between callers, daemons and upstreams. Their names are defined only
+// here.
 const (
 	HeaderTeam    = "Tamarind-Team"    // caller: its team
 	HeaderClass   = "Tamarind-Class"   // caller: quick, normal or long
-	HeaderTimeout = "Tamarind-Timeout" // caller: "800ms"; shorter than the route's
-	HeaderKey     = "Idempotency-Key"  // caller: one run for one key
+	HeaderTimeout = "Tamarind-Timeout" // caller: for example "800ms"; can only shorten the route's
+	HeaderKey     = "Idempotency-Key"  // caller: at most one run per key
 	HeaderRequest = "X-Request-Id"     // caller or daemon
-	HeaderHop     = "Tamarind-Hop"     // daemon to daemon: do not relay again
+	HeaderHop     = "Tamarind-Hop"     // daemon to daemon: not to be relayed again
 	HeaderJob     = "Tamarind-Job"     // daemon to upstream: the job to run
-	HeaderOutcome = "Tamarind-Outcome" // answers: see Outcome
+	HeaderOutcome = "Tamarind-Outcome" // responses: see Outcome
 	HeaderReason  = "Tamarind-Reason"  // refusals: see Reason
 )
 
 // maxKey bounds an idempotency key in bytes.
 const maxKey = 255
 
-// hopByHop is what RFC 9110, section 7.6.1 and its registry keep to one hop.
+// hopByHop lists the headers that must not be forwarded (RFC 9110, section
+// 7.6.1, and the IANA registry of field names).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// forwardableHeader copies the headers that go on to the next hop.
+// forwardableHeader returns a copy of the headers without the hop-by-hop ones.
 func forwardableHeader(in http.Header) http.Header {
 	out := in.Clone()
-	for _, line := range in["Connection"] {
-		for _, name := range strings.Split(line, ",") {
+	for _, value := range in["Connection"] {
+		for _, name := range strings.Split(value, ",") {
 			out.Del(textproto.TrimString(name))
 		}
 	}
@@ -43,9 +44,10 @@
 	return out
 }
 
-// lowercaseKeyHeader spells the idempotency key's header in lower case. net/http repeats
-// a request on its own if it finds "Idempotency-Key" in that very spelling
-// (Request.isReplayable); on the wire, case means nothing.
+// lowercaseKeyHeader changes the name of the idempotency key's header to lower
+// case. net/http repeats a request on its own if its header map has the
+// canonical "Idempotency-Key" (Request.isReplayable). On the wire, names ignore
+// case.
 func lowercaseKeyHeader(h http.Header) {
 	for _, name := range []string{HeaderKey, "X-" + HeaderKey} {
 		if values, ok := h[name]; ok {
--- a/gateway/judge.go
+++ b/gateway/judge.go
@@ -9,41 +9,42 @@
 )
 
 type (
-	// RetryReason is the stable name of why a request was sent again.
+	// RetryReason is a stable name for why a request was retried.
 	RetryReason string
 
-	// decision is what an attempt amounts to.
+	// decision says how to go on after an attempt.
 	decision struct {
-		// refusal is nil if the response can be handed to the caller.
+		// refusal is nil if the response can be forwarded to the caller.
 		refusal *Refusal
-		// retry says why another try may be made; "" if none may.
+		// retry is why the request may be retried; "" if it may not.
 		retry RetryReason
-		// instanceFailed says that the instance failed.
+		// instanceFailed marks the attempt as a failure of the instance.
 		instanceFailed bool
-		// truncated says that the caller has a part of the answer.
+		// truncated means that the caller got only part of the response.
 		truncated bool
 	}
 )
 
 // Retry reasons.
 const (
-	RetryUnreachable RetryReason = "unreachable" // no byte left
-	RetryRefused     RetryReason = "refused"     // the upstream says: not run
-	RetryLost        RetryReason = "lost"        // connection lost, repeatable
-	RetryStatus      RetryReason = "status"      // 502, 503 or 504, repeatable
+	RetryUnreachable RetryReason = "unreachable" // no byte was sent
+	RetryRefused     RetryReason = "refused"     // the upstream reports that it did not run it
+	RetryLost        RetryReason = "lost"        // connection lost, request repeatable
+	RetryStatus      RetryReason = "status"      // 502, 503 or 504, request repeatable
 )
 
 // RetryReasons lists every retry reason.
 var RetryReasons = []RetryReason{RetryUnreachable, RetryRefused, RetryLost, RetryStatus}
 
-// abortIfTruncated ends the caller's connection: nothing short may look whole.
-func (v decision) abortIfTruncated() {
-	if v.truncated {
+// abortIfTruncated closes the caller's connection, so that a truncated response
+// does not look complete.
+func (d decision) abortIfTruncated() {
+	if d.truncated {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// classify decides what an attempt means for the request.
+// classify decides how to go on after an attempt.
 func (ex *exchange) classify(ctx context.Context, a attempt) decision {
 	if a.err != nil {
 		return ex.classifyError(ctx, a)
@@ -57,11 +58,11 @@
 		refusal := &Refusal{Reason: ReasonUnframed, Outcome: Unknown, Detail: "the answer's end cannot be told from a cut"}
 		return decision{refusal: refusal, instanceFailed: true}
 	case isGatewayError(resp.StatusCode):
-		v := decision{instanceFailed: true}
+		d := decision{instanceFailed: true}
 		if ex.repeatable {
-			v.retry = ex.ifReplayable(RetryStatus)
+			d.retry = ex.ifReplayable(RetryStatus)
 		}
-		return v
+		return d
 	}
 	return decision{instanceFailed: resp.StatusCode >= http.StatusInternalServerError}
 }
@@ -85,11 +86,11 @@
 		return decision{refusal: refusal, retry: ex.ifReplayable(RetryUnreachable), instanceFailed: true}
 	}
 	refusal := &Refusal{Reason: ReasonUpstreamLost, Outcome: Unknown, RetryAfter: retryAfterUpstream}
-	v := decision{refusal: refusal, instanceFailed: true}
+	d := decision{refusal: refusal, instanceFailed: true}
 	if ex.repeatable {
-		v.retry = ex.ifReplayable(RetryLost)
+		d.retry = ex.ifReplayable(RetryLost)
 	}
-	return v
+	return d
 }
 
 func (ex *exchange) ifReplayable(reason RetryReason) RetryReason {
@@ -99,16 +100,16 @@
 	return reason
 }
 
-// reportsNotRun takes an upstream's or daemon's word that it has not run the
-// request.
+// reportsNotRun reports whether an upstream or a daemon states that it has not
+// run the request.
 func reportsNotRun(resp *http.Response) bool {
 	refused := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusMisdirectedRequest
 	return refused && resp.Header.Get(HeaderOutcome) == string(NotRun)
 }
 
-// closeDelimited tells whether the answer ends with its connection: then a cut
-// answer looks whole. Only HTTP/1.0 upstreams and "Connection: close" without
-// a length do this.
+// closeDelimited reports whether the end of the response is marked only by the
+// end of its connection: a truncated one would look complete. Only HTTP/1.0
+// upstreams and "Connection: close" without a length do this.
 func closeDelimited(resp *http.Response) bool {
 	if resp.ContentLength >= 0 || resp.Request.Method == http.MethodHead {
 		return false
--- a/gateway/payload.go
+++ b/gateway/payload.go
@@ -13,24 +13,24 @@
 )
 
 type (
-	// payload is a request's body: in memory if small, else read once.
+	// payload is a request's body: buffered if small, otherwise streamed once.
 	payload struct {
-		buffered []byte    // all of it, or its beginning
-		rest     io.Reader // what follows held; nil if held is all
-		length   int64     // -1 if not told
-		consumed bool      // rest was given away
+		buffered []byte    // the complete body, or its beginning
+		rest     io.Reader // what follows the buffered part; nil if that is complete
+		length   int64     // -1 if unknown
+		consumed bool      // rest was passed to an attempt
 	}
 
-	// singleUseBody hides what net/http could use to repeat a request: it is not
-	// nil, and there is no GetBody beside it.
+	// singleUseBody keeps net/http from repeating a request: the body is not
+	// nil, and there is no GetBody.
 	singleUseBody struct{ io.Reader }
 )
 
-// Close is there for io.ReadCloser; the server owns the caller's connection.
+// Close does nothing: the server closes the caller's body.
 func (singleUseBody) Close() error { return nil }
 
-// readPayload takes in a body before any slot is held for it, so that a slow
-// caller holds up nobody.
+// readPayload reads a body before a slot is acquired, so that a slow caller
+// does not hold one.
 func (g *Gateway) readPayload(w http.ResponseWriter, r *http.Request) (payload, *Refusal) {
 	limit := int64(g.cfg.MaxBody)
 	if r.ContentLength > limit {
@@ -58,10 +58,10 @@
 	return notRunRefusal(ReasonBadBody, "the body could not be read")
 }
 
-// replayable tells whether the body can be sent once more.
+// replayable reports whether the body can be sent (again).
 func (p *payload) replayable() bool { return p.rest == nil || !p.consumed }
 
-// open gives the body for one attempt.
+// open returns the body for one attempt.
 func (p *payload) open() io.ReadCloser {
 	if p.rest == nil {
 		return singleUseBody{bytes.NewReader(p.buffered)}
@@ -70,17 +70,19 @@
 	return singleUseBody{io.MultiReader(bytes.NewReader(p.buffered), p.rest)}
 }
 
-// digest tells two requests under one idempotency key apart.
+// digest identifies the request, to detect that an idempotency key is used for
+// another one.
 func (ex *exchange) digest() string {
-	sum := sha256.New()
+	hash := sha256.New()
 	for _, part := range []string{ex.in.Method, hostOf(ex.in), ex.in.URL.RequestURI()} {
-		_, _ = io.WriteString(sum, part+"\n") // a hash never fails
+		_, _ = io.WriteString(hash, part+"\n") // a hash never fails
 	}
-	_, _ = sum.Write(ex.body.buffered)
-	return hex.EncodeToString(sum.Sum(nil))
+	_, _ = hash.Write(ex.body.buffered)
+	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// scope is whose key it is. Two teams may use the same one.
+// scope qualifies the idempotency key by team and job, as two teams may use the
+// same key.
 func (ex *exchange) scope(job tw.JobID) string {
 	return string(ex.team) + "\n" + string(job) + "\n" + ex.key
 }
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -12,15 +12,15 @@
 	// Outcome says whether a request was run.
 	Outcome string
 
-	// Reason is the stable name of why a request was refused.
+	// Reason is a stable name for why a request was refused.
 	Reason string
 
-	// Refusal is the final answer to a request that was given up on.
+	// Refusal is the response to a request that was not served.
 	Refusal struct {
 		Reason  Reason
 		Outcome Outcome
 		Detail  string
-		// RetryAfter is when to come back; 0 if coming back is no use.
+		// RetryAfter is when to retry; 0 if a retry would not help.
 		RetryAfter time.Duration
 	}
 
@@ -36,7 +36,7 @@
 	}
 )
 
-// Outcomes. NotRun is proved, never guessed.
+// Outcomes. NotRun is used only if it is certain.
 const (
 	Answered Outcome = "answered"
 	NotRun   Outcome = "not-run"
@@ -75,8 +75,8 @@
 	ReasonCallerGone      Reason = "caller-gone"
 )
 
-// statusByReason has the HTTP status of every reason. 499 is never seen by anyone,
-// as its caller has gone; it is there for the logs.
+// statusByReason maps every reason to its HTTP status. 499 is never sent, as
+// its caller has gone; it is for logs only.
 var statusByReason = map[Reason]int{
 	ReasonUnknownRoute:    http.StatusNotFound,
 	ReasonBadMethod:       http.StatusMethodNotAllowed,
@@ -108,15 +108,15 @@
 	ReasonCallerGone:      499,
 }
 
-// When to come back, for reasons whose end does not depend on a queue.
+// Retry delays of refusals that do not depend on the length of a queue.
 const (
-	retryAfterPromotion = 2 * time.Second // a spare joins a pool within it
-	retryAfterRestart   = time.Second     // the balancer has another daemon
-	retryAfterUpstream  = time.Second     // an ejected instance is passed by
-	minRetryAfter       = time.Second     // the header counts whole seconds
+	retryAfterPromotion = 2 * time.Second // a spare instance joins a pool within this time
+	retryAfterRestart   = time.Second     // the load balancer picks another daemon
+	retryAfterUpstream  = time.Second     // an ejected instance is not used
+	minRetryAfter       = time.Second     // Retry-After has whole seconds
 )
 
-// Reasons lists every reason, in no order.
+// Reasons returns all reasons, in random order.
 func Reasons() []Reason {
 	out := make([]Reason, 0, len(statusByReason))
 	for r := range statusByReason {
@@ -125,13 +125,13 @@
 	return out
 }
 
-// Status is the HTTP status of a refusal.
+// Status returns the HTTP status of the refusal.
 func (r *Refusal) Status() int { return statusByReason[r.Reason] }
 
-// Error makes a refusal an error, for logs.
+// Error implements error, for logs.
 func (r *Refusal) Error() string { return string(r.Reason) + " (" + string(r.Outcome) + ")" }
 
-// write answers the caller. It ends the exchange at once.
+// write sends the refusal to the caller as application/problem+json.
 func (r *Refusal) write(w http.ResponseWriter, request string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
@@ -151,7 +151,7 @@
 		Outcome: r.Outcome,
 		Request: request,
 	}
-	// The caller may be gone; there is nobody else to tell.
+	// An error means that the caller has gone.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -30,17 +30,17 @@
 }
 
 var badInputs = map[string]badInput{
-	"a timeout that is no duration": {path: "/", headers: []string{HeaderTimeout, "soon"}, status: 400, reason: ReasonBadTimeout},
-	"a timeout below zero":          {path: "/", headers: []string{HeaderTimeout, "-1s"}, status: 400, reason: ReasonBadTimeout},
-	"an unknown class":              {path: "/", headers: []string{HeaderClass, "urgent"}, status: 400, reason: ReasonBadClass},
-	"an unknown team":               {path: "/", headers: []string{HeaderTeam, "nobody"}, status: 400, reason: ReasonBadTeam},
-	"an empty key":                  {path: "/", headers: []string{HeaderKey, ""}, status: 400, reason: ReasonBadKey},
-	"a key that is too long":        {path: "/", headers: []string{HeaderKey, strings.Repeat("k", 256)}, status: 400, reason: ReasonBadKey},
-	"a header over the limit":       {path: "/", headers: []string{"X-Large", strings.Repeat("x", 5000)}, status: 431, reason: ReasonHeaderTooLarge},
-	"a method that is not served":   {method: "TRACE", path: "/", status: 405, reason: ReasonBadMethod},
-	"an upgrade":                    {path: "/", headers: []string{"Upgrade", "websocket", "Connection", "upgrade"}, status: 405, reason: ReasonBadMethod},
-	"a body over the limit":         {method: "POST", path: "/", body: strings.Repeat("x", 2000), status: 413, reason: ReasonBodyTooLarge},
-	"a job that nothing carries":    {path: "/nowhere", status: 503, reason: ReasonNoInstance},
+	"an invalid timeout":          {path: "/", headers: []string{HeaderTimeout, "soon"}, status: 400, reason: ReasonBadTimeout},
+	"a negative timeout":          {path: "/", headers: []string{HeaderTimeout, "-1s"}, status: 400, reason: ReasonBadTimeout},
+	"an unknown class":            {path: "/", headers: []string{HeaderClass, "urgent"}, status: 400, reason: ReasonBadClass},
+	"an unknown team":             {path: "/", headers: []string{HeaderTeam, "nobody"}, status: 400, reason: ReasonBadTeam},
+	"an empty key":                {path: "/", headers: []string{HeaderKey, ""}, status: 400, reason: ReasonBadKey},
+	"a key that is too long":      {path: "/", headers: []string{HeaderKey, strings.Repeat("k", 256)}, status: 400, reason: ReasonBadKey},
+	"a header over the limit":     {path: "/", headers: []string{"X-Large", strings.Repeat("x", 5000)}, status: 431, reason: ReasonHeaderTooLarge},
+	"a method that is not served": {method: "TRACE", path: "/", status: 405, reason: ReasonBadMethod},
+	"an upgrade":                  {path: "/", headers: []string{"Upgrade", "websocket", "Connection", "upgrade"}, status: 405, reason: ReasonBadMethod},
+	"a body over the limit":       {method: "POST", path: "/", body: strings.Repeat("x", 2000), status: 413, reason: ReasonBodyTooLarge},
+	"a job without an instance":   {path: "/nowhere", status: 503, reason: ReasonNoInstance},
 }
 
 var _ = Describe("bad input", func() {
@@ -70,11 +70,11 @@
 	})
 
 	raw := map[string]string{
-		"two lengths":            "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
+		"two content lengths":    "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
 		"length and chunks":      "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n",
 		"an unknown encoding":    "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
 		"a space in the header":  "POST / HTTP/1.1\r\nHost: x\r\nContent-Length : 3\r\n\r\nabc",
-		"a line in a value":      "GET / HTTP/1.1\r\nHost: x\r\nX-A: b\rc\r\n\r\n",
+		"a CR in a header value": "GET / HTTP/1.1\r\nHost: x\r\nX-A: b\rc\r\n\r\n",
 		"no host":                "GET / HTTP/1.1\r\n\r\n",
 		"an old protocol":        "GET / HTTP/1.0\r\nHost: x\r\n\r\n",
 		"a body that ends early": "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc",
@@ -92,7 +92,8 @@
 			_, _ = answer.ReadFrom(conn)
 			Expect(paths).NotTo(ContainElement("/smuggled"))
 			if name == "length and chunks" {
-				// RFC 9112 lets chunks win, if the connection then ends.
+				// RFC 9112 lets Transfer-Encoding take precedence if the
+				// connection is closed afterwards.
 				Expect(strings.Count(answer.String(), "HTTP/1.1")).To(Equal(1), answer.String())
 				return
 			}
@@ -102,7 +103,7 @@
 })
 
 var _ = Describe("every reason", func() {
-	It("has a status, a counter, and a line on the operators' page", func() {
+	It("has a status, a counter, and a line in the operators' manual", func() {
 		set := metrics.NewSet()
 		Config{Metrics: set}.New()
 		var page bytes.Buffer
@@ -131,7 +132,7 @@
 		Expect(page.String()).To(ContainSubstring(`tamarind_refusals_total{reason="bad-class"} 1`))
 	})
 
-	It("is answered by a daemon that stops", func() {
+	It("is given by a daemon that is stopping", func() {
 		g := serve(Config{}, newView(8))
 		Expect(g.Stop(GinkgoT().Context())).To(Succeed())
 		got := g.do("POST", "/", "x")
@@ -139,14 +140,14 @@
 		Expect(got.outcome).To(Equal(NotRun))
 	})
 
-	It("is answered by a daemon without a configuration", func() {
+	It("is given by a daemon without a configuration", func() {
 		g := serve(Config{}, tw.View{})
 		Expect(g.do("POST", "/", "x").reason).To(Equal(ReasonNoConfiguration))
 	})
 })
 
 var _ = Describe("a request that another hall must serve", func() {
-	It("goes one hop, also to a daemon that has not told its jobs", func() {
+	It("is relayed over one hop, also to a daemon that has not reported its jobs", func() {
 		u := newScriptedUpstream(func(conn net.Conn, _ int) bool { writeRaw(conn, okResponse("far")); return true })
 		far := serve(Config{}, newView(8, u.address))
 		near := serve(Config{}, relayView(strings.TrimPrefix(far.url, "http://")))
@@ -154,7 +155,7 @@
 		Expect(u.requestCount()).To(Equal(1))
 	})
 
-	It("never goes on, and is told not run", func() {
+	It("is never relayed twice, and is refused as not run", func() {
 		far := serve(Config{}, newView(8))
 		far.Install(relayView(strings.TrimPrefix(far.url, "http://"))) // would loop
 		near := serve(Config{}, relayView(strings.TrimPrefix(far.url, "http://")))
@@ -164,7 +165,7 @@
 	})
 })
 
-// newUpstream is an ordinary HTTP server; it returns its address.
+// newUpstream starts an HTTP server and returns its address.
 func newUpstream(handle http.HandlerFunc) string {
 	server := httptest.NewServer(handle)
 	DeferCleanup(server.Close)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -8,57 +8,58 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// relay passes a request to another daemon, one hop at most: to one of the
-// hall that has slots of the job, else to a hall that runs it.
+// relay forwards a request to another daemon, over at most one hop. Daemons of
+// this hall that have slots for the job are tried first, then other halls.
 func (g *Gateway) relay(ctx context.Context, w http.ResponseWriter, ex *exchange) *Refusal {
-	none := notRunRetryAfter(ReasonNoInstance, retryAfterPromotion, "no instance carries the job now")
+	noInstance := notRunRetryAfter(ReasonNoInstance, retryAfterPromotion, "no instance carries the job now")
 	if ex.relayed {
-		return none
+		return noInstance
 	}
 	if g.relaysInFlight.Add(1) > maxRelays {
 		g.relaysInFlight.Add(-1)
 		return notRunRetryAfter(ReasonQueueFull, minRetryAfter, "too many requests wait on other daemons")
 	}
 	defer g.relaysInFlight.Add(-1)
-	last := none
+	last := noInstance
 	for _, m := range g.relayPeers(ex.job) {
-		v := g.tryPeer(ctx, w, ex, m)
-		if v.refusal == nil {
+		d := g.tryPeer(ctx, w, ex, m)
+		if d.refusal == nil {
 			return nil
 		}
-		last = v.refusal
-		if v.retry == "" || !g.retries.withdraw() {
+		last = d.refusal
+		if d.retry == "" || !g.retries.withdraw() {
 			return last
 		}
-		g.stats.retried(v.retry)
+		g.stats.retried(d.retry)
 	}
 	return last
 }
 
-// relayPeers lists the daemons to try, in turn so that none gets all.
+// relayPeers lists the daemons to try, starting with a different one each time.
 func (g *Gateway) relayPeers(job tw.JobID) []tw.Member {
 	view := g.view.Load()
-	turn := int(g.relayRotation.Add(1))
-	hall := rotate(peersWithJob(view.Members, view.Self, job), turn)
-	remote := rotate(peersWithJob(view.Remote, view.Self, job), turn)
-	out := slices.Concat(hall, remote, rotate(unconfirmedPeers(view, job), turn))
+	offset := int(g.relayRotation.Add(1))
+	local := rotate(peersWithJob(view.Members, view.Self, job), offset)
+	remote := rotate(peersWithJob(view.Remote, view.Self, job), offset)
+	out := slices.Concat(local, remote, rotate(unconfirmedPeers(view, job), offset))
 	return out[:min(len(out), maxAttempts)]
 }
 
-// unconfirmedPeers are the daemons of halls that should run a job, but have not told
-// that they do. Asking costs a hop: one that does not says so, not run.
+// unconfirmedPeers lists the daemons of other halls that should run a job but
+// have not reported that they do. Trying one that does not costs a hop: it
+// refuses the request as not run.
 func unconfirmedPeers(view *tw.View, job tw.JobID) []tw.Member {
-	wanted := view.Config.Job(job)
+	config := view.Config.Job(job)
 	var out []tw.Member
 	for _, m := range view.Remote {
-		if wanted != nil && wanted.In(m.Hall) && !slices.Contains(m.Jobs, job) {
+		if config != nil && config.In(m.Hall) && !slices.Contains(m.Jobs, job) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// peersWithJob are the daemons that can give a job to an instance themselves.
+// peersWithJob lists the daemons, other than self, that report slots for a job.
 func peersWithJob(in []tw.Member, self tw.DaemonID, job tw.JobID) []tw.Member {
 	var out []tw.Member
 	for _, m := range in {
@@ -69,12 +70,12 @@
 	return out
 }
 
-func rotate(in []tw.Member, turn int) []tw.Member {
+func rotate(in []tw.Member, offset int) []tw.Member {
 	if len(in) == 0 {
 		return nil
 	}
-	at := turn % len(in)
-	return slices.Concat(in[at:], in[:at])
+	start := offset % len(in)
+	return slices.Concat(in[start:], in[:start])
 }
 
 func (g *Gateway) tryPeer(ctx context.Context, w http.ResponseWriter, ex *exchange, m tw.Member) decision {
@@ -82,12 +83,12 @@
 	if a.err != nil {
 		return ex.classifyError(ctx, a)
 	}
-	if v := ex.classify(ctx, a); reportsNotRun(a.resp) || closeDelimited(a.resp) {
+	if d := ex.classify(ctx, a); reportsNotRun(a.resp) || closeDelimited(a.resp) {
 		a.resp.Body.Close()
-		return v
+		return d
 	}
-	// The peer has done its own retries: what it says is passed on.
-	v := g.finishResponse(w, ex, a.resp, func() {})
-	v.abortIfTruncated()
-	return v
+	// The peer has made its own retries, so its response is final.
+	d := g.finishResponse(w, ex, a.resp, func() {})
+	d.abortIfTruncated()
+	return d
 }
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -7,40 +7,42 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// reserve is the part of a job's slots that less urgent classes leave free,
-// by the class that must leave it. It follows the measured arrivals, so that
-// quick requests find a place among long ones and no slot idles for nothing.
+// reserve is the fraction of a job's slots that a class must leave free for
+// more urgent ones. It follows the measured arrivals, so that quick requests
+// find a free slot among long ones, without more idle slots than needed.
 type reserve map[tw.Class]float64
 
-// Bounds of a reserve. Long work keeps a floor of the slots.
+// Limits of a reserve. The maxima keep some slots for normal and long requests.
 const (
 	minNormalReserve = 1.0 / 8
 	maxNormalReserve = 1.0 / 2
 	minLongReserve   = 1.0 / 4
 	maxLongReserve   = 3.0 / 4
-	reserveMargin    = 1.15 // arrivals come in bursts
-	// arrivalWindow is how far back arrivals are counted, once to twice.
+	reserveMargin    = 1.15 // headroom for bursts of arrivals
+	// arrivalWindow is the time span over which arrivals are counted; see
+	// eventWindow.
 	arrivalWindow = time.Second
 )
 
-// limit is how many of an instance's slots a class and those less urgent may
-// have together; at least one.
+// limit returns how many of an instance's slots a class and those less urgent
+// may use together; at least one.
 func (r reserve) limit(class tw.Class, slots int) int {
-	kept := int(math.Floor(r[class]*float64(slots) + 0.5))
-	return max(1, slots-kept)
+	reserved := int(math.Floor(r[class]*float64(slots) + 0.5))
+	return max(1, slots-reserved)
 }
 
-// computeReserve works out what the classes of a job must leave free.
-func (l *jobState) computeReserve(now time.Time) reserve {
+// computeReserve computes the reserve that each class of the job must leave
+// free.
+func (js *jobState) computeReserve(now time.Time) reserve {
 	slots := 0
-	for _, w := range l.workers {
+	for _, w := range js.workers {
 		slots += w.ownSlots
 	}
 	if slots == 0 {
 		return reserve{}
 	}
 	part := func(urgent, class tw.Class) float64 {
-		return reserveMargin * l.offeredLoad(urgent, now) / float64(slots) * l.reserveFactor(urgent, class)
+		return reserveMargin * js.offeredLoad(urgent, now) / float64(slots) * js.reserveFactor(urgent, class)
 	}
 	return reserve{
 		tw.ClassNormal: min(max(part(tw.ClassQuick, tw.ClassNormal), minNormalReserve), maxNormalReserve),
@@ -48,15 +50,17 @@
 	}
 }
 
-// reserveFactor is how much an urgent class needs a reserve against another: nothing if
-// the other's slots are freed as fast as its own, all of it if far slower. The
-// square keeps little against classes that are only somewhat slower.
-func (l *jobState) reserveFactor(urgent, class tw.Class) float64 {
-	slower := max(0, 1-l.meanServiceSeconds(urgent)/l.meanServiceSeconds(class))
+// reserveFactor scales the reserve of an urgent class against a less urgent
+// one: from 0 if the other's slots are freed as fast as its own, to 1 if far
+// slower. It is squared to reserve little against a class that is only somewhat
+// slower.
+func (js *jobState) reserveFactor(urgent, class tw.Class) float64 {
+	slower := max(0, 1-js.meanServiceSeconds(urgent)/js.meanServiceSeconds(class))
 	return slower * slower
 }
 
-// offeredLoad is how many slots a class would fill if all that comes were admitted.
-func (l *jobState) offeredLoad(class tw.Class, now time.Time) float64 {
-	return l.arrivals[class].rate(now) * l.meanServiceSeconds(class)
+// offeredLoad is the mean number of slots that a class would use if all its
+// requests were admitted (arrival rate times service time).
+func (js *jobState) offeredLoad(class tw.Class, now time.Time) float64 {
+	return js.arrivals[class].rate(now) * js.meanServiceSeconds(class)
 }
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// maxAttempts bounds the instances that one request is sent to.
+	// maxAttempts is the maximum number of instances tried for one request.
 	maxAttempts = 4
-	maxBackoff  = 20 * time.Millisecond // before a retry, jittered
+	maxBackoff  = 20 * time.Millisecond // full jitter
 )
 
-// errResponseTruncated is an upstream lost in mid-answer.
-var errResponseTruncated = errors.New("gateway: upstream lost in mid-answer")
+// errResponseTruncated means that an upstream was lost while it sent a
+// response.
+var errResponseTruncated = errors.New("gateway: upstream lost during the response")
 
-// backoff waits a random moment before a retry, so that what failed together is
-// not retried together. It returns false if the time has run out.
+// backoff waits for a random time before a retry, so that requests that failed
+// together are not retried together. It returns false if ctx is done.
 func backoff(ctx context.Context, s *scheduler) bool {
 	s.mu.Lock()
 	d := time.Duration(s.rand.Int64N(int64(maxBackoff)))
@@ -34,29 +35,31 @@
 	}
 }
 
-// earlierRefusal is what to tell the caller if a retry was refused a slot: what came
-// of the tries before, if there were any.
-func earlierRefusal(before, now *Refusal) *Refusal {
-	if before != nil {
-		return before
+// earlierRefusal returns the refusal for the caller when no slot could be
+// acquired: that of the attempt before, if there was one.
+func earlierRefusal(previous, current *Refusal) *Refusal {
+	if previous != nil {
+		return previous
 	}
-	return now
+	return current
 }
 
-// withInstance copies a set and adds an element; waiters may still read the old one.
+// withInstance returns a copy of the set with id added; waiters may still read
+// the old set.
 func withInstance(set map[tw.InstanceID]bool, id tw.InstanceID) map[tw.InstanceID]bool {
-	next := maps.Clone(set)
-	next[id] = true
-	return next
+	out := maps.Clone(set)
+	out[id] = true
+	return out
 }
 
-// setWriteDeadline bounds how long a slow caller can keep an answer.
+// setWriteDeadline limits how long a slow caller can take to read a response.
 func setWriteDeadline(ctx context.Context, w http.ResponseWriter) {
 	if deadline, ok := ctx.Deadline(); ok {
-		// Test recorders have no deadline; that is no matter.
+		// Not supported by the recorders of tests, where it is not needed.
 		_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(writeGrace))
 	}
 }
 
-// writeGrace is what a caller has after the deadline to take the answer.
+// writeGrace is how long after the request's deadline a caller may still read
+// the response.
 const writeGrace = 10 * time.Second
--- a/gateway/retry_budget.go
+++ b/gateway/retry_budget.go
@@ -3,12 +3,12 @@
 import "sync"
 
 const (
-	retryRatio     = 0.1 // retries per first try
-	maxRetryTokens = 10  // retries that a quiet daemon may make at once
+	retryRatio     = 0.1 // retries per request
+	maxRetryTokens = 10  // maximum burst of retries
 )
 
-// retryBudget keeps retries to a share of the traffic, so that they cannot
-// multiply an overload.
+// retryBudget is a token bucket that limits retries to a share of the requests,
+// so that retries cannot amplify an overload.
 type retryBudget struct {
 	mu     sync.Mutex
 	tokens float64
@@ -16,14 +16,15 @@
 
 func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxRetryTokens} }
 
-// deposit is called once for each request.
+// deposit adds the fraction of a retry that a request allows. It is called once
+// per request.
 func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+retryRatio, maxRetryTokens)
 }
 
-// withdraw takes one retry, if there is one.
+// withdraw takes the token for a retry, and reports whether there was one.
 func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -11,9 +11,9 @@
 )
 
 type (
-	// scheduler gives requests to instances. One lock covers the view, the
-	// choice and the counts, so that after Install nothing is newly given
-	// under an older view.
+	// scheduler assigns requests to slots of instances. One lock covers the
+	// view, the choice of an instance and the counters, so that after Install
+	// no slot is granted under an older view.
 	scheduler struct {
 		clock tw.Clock
 
@@ -22,14 +22,14 @@
 		view         tw.View
 		workers      map[tw.InstanceID]*worker
 		jobs         map[tw.JobID]*jobState
-		classPass    map[tw.Class]float64 // what each class has paid for its turns
-		virtualTime  float64              // pass of the last turn
-		teamRequests map[tw.TeamID]int    // requests running and waiting
+		classPass    map[tw.Class]float64 // stride scheduling: lowest is served next
+		virtualTime  float64              // pass of the class served last
+		teamRequests map[tw.TeamID]int    // requests in flight and queued
 		lastSeq      uint64
 		running      int
 	}
 
-	// slotRequest is a request for a slot.
+	// slotRequest describes the slot that a request needs.
 	slotRequest struct {
 		job      tw.JobID
 		class    tw.Class
@@ -38,29 +38,29 @@
 		tried    map[tw.InstanceID]bool
 	}
 
-	// grant is a slot on an instance.
+	// grant is a slot held on an instance.
 	grant struct {
 		worker  *worker
-		address string // of the instance when the slot was given
+		address string // of the instance when the slot was granted
 		req     slotRequest
 		start   time.Time
 		once    sync.Once
 	}
 
-	// jobState is the queues of one job.
+	// jobState holds the instances, queues and load statistics of one job.
 	jobState struct {
 		id             tw.JobID
 		workers        []*worker
 		queues         map[tw.Class]*fairQueue
-		serviceSeconds map[tw.Class]float64 // mean seconds in a slot
-		// arrivals are all that asked, admitted or not.
+		serviceSeconds map[tw.Class]float64 // moving average of the time in a slot
+		// arrivals counts all requests, admitted or not.
 		arrivals map[tw.Class]*eventWindow
 	}
 )
 
-// classWeight is how the time of the slots is divided between classes that
-// wait; by turns alone, long work would get most of it. Long work keeps a
-// floor, so that it ends.
+// classWeight divides slot time, not turns, between the classes that have
+// waiters: with equal turns, long requests would get most of the slot time.
+// Long requests keep a minimum share, so that they complete.
 var classWeight = map[tw.Class]float64{tw.ClassQuick: 8, tw.ClassNormal: 4, tw.ClassLong: 1}
 
 func newScheduler(cfg Config) *scheduler {
@@ -79,7 +79,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view = view
-	// When all is new it is the daemon that is, not the instances.
+	// Without any known instance, it is the daemon that has just started, and
+	// its instances need no slow start.
 	since := s.clock.Now()
 	if len(s.workers) == 0 {
 		since = since.Add(-slowStart)
@@ -88,8 +89,8 @@
 		w.ownSlots = 0
 		clear(w.jobs)
 	}
-	for _, line := range s.jobs {
-		line.workers = line.workers[:0]
+	for _, js := range s.jobs {
+		js.workers = js.workers[:0]
 	}
 	if view.Registered && view.Plan != nil {
 		for i := range view.Plan.Instances {
@@ -121,37 +122,37 @@
 	}
 	w.address = a.Address
 	w.ownSlots = slotShare(s.view.Members, s.view.Self, a.Instance, a.Slots)
-	for _, at := range a.Jobs {
-		if a.Serves(at.Job) {
-			w.jobs[at.Job] = true
-			line := s.jobStateFor(at.Job)
-			line.workers = append(line.workers, w)
+	for _, placement := range a.Jobs {
+		if a.Serves(placement.Job) {
+			w.jobs[placement.Job] = true
+			js := s.jobStateFor(placement.Job)
+			js.workers = append(js.workers, w)
 		}
 	}
 }
 
 func (s *scheduler) jobStateFor(job tw.JobID) *jobState {
-	line := s.jobs[job]
-	if line == nil {
-		line = &jobState{
+	js := s.jobs[job]
+	if js == nil {
+		js = &jobState{
 			id:             job,
 			queues:         map[tw.Class]*fairQueue{},
 			serviceSeconds: map[tw.Class]float64{},
 			arrivals:       map[tw.Class]*eventWindow{},
 		}
 		for _, c := range tw.Classes {
-			line.queues[c] = newFairQueue()
-			line.arrivals[c] = &eventWindow{span: arrivalWindow, start: s.clock.Now()}
+			js.queues[c] = newFairQueue()
+			js.arrivals[c] = &eventWindow{span: arrivalWindow, start: s.clock.Now()}
 		}
-		s.jobs[job] = line
+		s.jobs[job] = js
 	}
-	return line
+	return js
 }
 
-// acquire gets a slot, waits for one, or refuses at once.
-func (s *scheduler) acquire(ctx context.Context, a slotRequest) (*grant, *Refusal) {
+// acquire returns a slot, waits for one, or refuses at once.
+func (s *scheduler) acquire(ctx context.Context, req slotRequest) (*grant, *Refusal) {
 	s.mu.Lock()
-	g, w, refusal := s.admit(a)
+	g, w, refusal := s.admit(req)
 	s.mu.Unlock()
 	if g != nil || refusal != nil {
 		return g, refusal
@@ -164,8 +165,8 @@
 	}
 }
 
-// abandon takes a waiter back whose caller or time has gone. It may have been
-// granted a slot in the same moment.
+// abandon removes a waiter whose caller has gone or whose deadline has passed.
+// A slot granted to it at the same moment is released.
 func (s *scheduler) abandon(ctx context.Context, w *waiter) *Refusal {
 	s.mu.Lock()
 	s.removeWaiter(w)
@@ -183,29 +184,29 @@
 	return notRunRefusal(ReasonCallerGone, "")
 }
 
-// hasSlots tells whether this daemon can give the job to an instance itself: it
-// has a slot of one. With more daemons than slots, some have none.
+// hasSlots reports whether this daemon has a slot on an instance that runs the
+// job. With more daemons than slots, some daemons have none.
 func (s *scheduler) hasSlots(job tw.JobID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	line := s.jobs[job]
-	return line != nil && line.hasSlots()
+	js := s.jobs[job]
+	return js != nil && js.hasSlots()
 }
 
-// hasUntried tells whether an instance is left for a retry.
+// hasUntried reports whether the job has an instance that is not in tried.
 func (s *scheduler) hasUntried(job tw.JobID, tried map[tw.InstanceID]bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.jobStateFor(job).hasUntried(tried)
 }
 
-// servableJobs lists the jobs within reach.
+// servableJobs lists the jobs that this daemon has slots for.
 func (s *scheduler) servableJobs() []tw.JobID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []tw.JobID
-	for job, line := range s.jobs {
-		if line.hasSlots() {
+	for job, js := range s.jobs {
+		if js.hasSlots() {
 			out = append(out, job)
 		}
 	}
@@ -213,21 +214,21 @@
 	return out
 }
 
-func (l *jobState) hasSlots() bool {
-	return slices.ContainsFunc(l.workers, func(w *worker) bool { return w.ownSlots > 0 })
+func (js *jobState) hasSlots() bool {
+	return slices.ContainsFunc(js.workers, func(w *worker) bool { return w.ownSlots > 0 })
 }
 
-// loads lists what is in flight or ended of late.
+// loads lists requests in flight and recently ended, by instance and job.
 func (s *scheduler) loads() []tw.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	var out []tw.Load
 	for _, w := range s.workers {
-		for job, t := range w.perJob {
-			sum := t.recent.sum(now)
-			if t.inFlight > 0 || sum != (counts{}) {
-				out = append(out, tw.Load{Instance: w.id, Job: job, InFlight: t.inFlight, OK: sum.ok, Failed: sum.failed})
+		for job, stats := range w.perJob {
+			sum := stats.recent.sum(now)
+			if stats.inFlight > 0 || sum != (counts{}) {
+				out = append(out, tw.Load{Instance: w.id, Job: job, InFlight: stats.inFlight, OK: sum.ok, Failed: sum.failed})
 			}
 		}
 	}
@@ -238,16 +239,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.running
-	for _, line := range s.jobs {
-		n += line.waiting()
+	for _, js := range s.jobs {
+		n += js.waiting()
 	}
 	return n
 }
 
-// waiting counts those who wait for the job.
-func (l *jobState) waiting() int {
+// waiting returns the number of requests queued for the job.
+func (js *jobState) waiting() int {
 	n := 0
-	for _, q := range l.queues {
+	for _, q := range js.queues {
 		n += q.size
 	}
 	return n
--- a/gateway/scheduler_test.go
+++ b/gateway/scheduler_test.go
@@ -14,7 +14,8 @@
 	"github.com/tamarindworks/tamarindworks/internal/fakeclock"
 )
 
-// schedulerHarness drives a scheduler by hand, with a clock that stands still.
+// schedulerHarness is a scheduler with a fake clock, whose steps a test
+// controls.
 type schedulerHarness struct {
 	*scheduler
 	clock *fakeclock.Clock
@@ -24,32 +25,32 @@
 	clock := fakeclock.New()
 	c := Config{Clock: clock, Seed: 1}
 	c.defaults()
-	d := &schedulerHarness{scheduler: newScheduler(c), clock: clock}
-	d.install(view)
-	return d
+	h := &schedulerHarness{scheduler: newScheduler(c), clock: clock}
+	h.install(view)
+	return h
 }
 
-func (d *schedulerHarness) newRequest(class tw.Class, team tw.TeamID) slotRequest {
-	return slotRequest{job: "job", class: class, team: team, deadline: d.clock.Now().Add(time.Hour)}
+func (h *schedulerHarness) newRequest(class tw.Class, team tw.TeamID) slotRequest {
+	return slotRequest{job: "job", class: class, team: team, deadline: h.clock.Now().Add(time.Hour)}
 }
 
-// tryAdmit admits an ask without waiting for its turn.
-func (d *schedulerHarness) tryAdmit(a slotRequest) (*grant, *waiter, *Refusal) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.admit(a)
+// tryAdmit admits a request without waiting for a slot.
+func (h *schedulerHarness) tryAdmit(req slotRequest) (*grant, *waiter, *Refusal) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.admit(req)
 }
 
-// fillSlots takes all slots.
-func (d *schedulerHarness) fillSlots() []*grant {
+// fillSlots acquires all free slots.
+func (h *schedulerHarness) fillSlots() []*grant {
 	var out []*grant
 	for {
-		g, w, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
+		g, w, _ := h.tryAdmit(h.newRequest(tw.ClassQuick, ""))
 		if g == nil {
 			if w != nil {
-				d.mu.Lock()
-				d.removeWaiter(w)
-				d.mu.Unlock()
+				h.mu.Lock()
+				h.removeWaiter(w)
+				h.mu.Unlock()
 			}
 			return out
 		}
@@ -57,17 +58,18 @@
 	}
 }
 
-// releaseAndCount lets n slots be freed one after the other, and counts who got them.
-func (d *schedulerHarness) releaseAndCount(n int, held *[]*grant, waiters map[*waiter]string) map[string]int {
+// releaseAndCount releases n slots one after the other, and counts by name the
+// waiters that were granted one.
+func (h *schedulerHarness) releaseAndCount(n int, grants *[]*grant, waiters map[*waiter]string) map[string]int {
 	got := map[string]int{}
 	for range n {
-		d.clock.Advance(time.Millisecond)
-		d.release((*held)[0], releaseOK)
-		*held = (*held)[1:]
+		h.clock.Advance(time.Millisecond)
+		h.release((*grants)[0], releaseOK)
+		*grants = (*grants)[1:]
 		for w, name := range waiters {
 			select {
 			case out := <-w.ready:
-				*held = append(*held, out.grant)
+				*grants = append(*grants, out.grant)
 				got[name]++
 				delete(waiters, w)
 			default:
@@ -78,7 +80,7 @@
 }
 
 var _ = Describe("turns", func() {
-	It("go to classes by weight, whatever they had before", func() {
+	It("go to classes by weight, regardless of earlier use", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		held := d.fillSlots()
 		waiters := map[*waiter]string{}
@@ -86,7 +88,7 @@
 			_, w, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, ""))
 			waiters[w] = "before"
 		}
-		// Normal requests have all turns for a while.
+		// For a while, only normal requests are served.
 		Expect(d.releaseAndCount(200, &held, waiters)["before"]).To(BeNumerically(">", 180))
 		waiters = map[*waiter]string{}
 		for range 300 {
@@ -112,11 +114,11 @@
 			}
 		}
 		got := d.releaseAndCount(100, &held, waiters)
-		Expect(got["b"]).To(BeNumerically("~", 75, 2)) // b weighs 3
+		Expect(got["b"]).To(BeNumerically("~", 75, 2)) // b has weight 3
 		Expect(got["a"]).To(BeNumerically("~", 25, 2))
 	})
 
-	It("do not wait behind a team that floods the queue", func() {
+	It("are not delayed by a team that floods the queue", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		held := d.fillSlots()
 		waiters := map[*waiter]string{}
@@ -146,7 +148,7 @@
 })
 
 var _ = Describe("admission", func() {
-	It("keeps quick requests quick: what would wait longer than its own work is refused", func() {
+	It("refuses quick requests that would wait longer than their service time", func() {
 		d := newSchedulerHarness(newView(8, "a", "b"))
 		d.fillSlots()
 		admitted := 0
@@ -156,10 +158,10 @@
 			}
 		}
 		Expect(admitted).To(BeNumerically(">", 0))
-		Expect(admitted).To(BeNumerically("<=", 2*16)) // one service time's worth
+		Expect(admitted).To(BeNumerically("<=", 2*16)) // one service time of the slots
 	})
 
-	It("keeps a place for quick requests among long ones", func() {
+	It("reserves slots for quick requests among long ones", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		for range 100 {
 			d.tryAdmit(d.newRequest(tw.ClassLong, ""))
@@ -169,7 +171,7 @@
 		Expect(g).NotTo(BeNil())
 	})
 
-	It("keeps more places for quick requests the more of them come", func() {
+	It("reserves more slots the more quick requests arrive", func() {
 		d := newSchedulerHarness(newView(8, "a", "b", "c", "d"))
 		for range 4000 { // 400 a second of 10 ms each: 4 of 32 slots
 			g, _, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
@@ -188,7 +190,7 @@
 		Expect(free).To(BeNumerically("<=", 20))
 	})
 
-	It("refuses at once what would miss its deadline", func() {
+	It("refuses at once a request that would miss its deadline", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		d.fillSlots()
 		a := d.newRequest(tw.ClassNormal, "")
@@ -199,7 +201,7 @@
 		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("bounds a team's requests", func() {
+	It("limits a team's requests", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		g, _, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, "small"))
 		Expect(g).NotTo(BeNil())
@@ -219,7 +221,7 @@
 		Expect(refusal).NotTo(BeNil())
 	})
 
-	It("leaves no trace of a caller that gave up", func() {
+	It("cleans up after a caller that gave up", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		held := d.fillSlots()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -234,20 +236,20 @@
 	})
 })
 
-// viewChange is a change of the view that must stop new work to w0.
+// viewChanges are changes of the view after which w0 gets no new requests.
 var viewChanges = map[string]func(v *tw.View){
-	"draining":            func(v *tw.View) { v.Plan.Instances[0].State = tw.InstanceDraining },
-	"listed as leaving":   func(v *tw.View) { v.Leaving = map[tw.InstanceID]bool{"w0": true} },
-	"in quarantine":       func(v *tw.View) { v.Plan.Instances[0].State = tw.InstanceQuarantined },
-	"stopping the job":    func(v *tw.View) { v.Plan.Instances[0].Jobs[0].State = tw.PlacementStopping },
-	"starting the job":    func(v *tw.View) { v.Plan.Instances[0].Jobs[0].State = tw.PlacementStarting },
-	"no longer planned":   func(v *tw.View) { v.Plan.Instances = v.Plan.Instances[1:] },
-	"not ours any longer": func(v *tw.View) { v.Registered = false },
+	"draining":                       func(v *tw.View) { v.Plan.Instances[0].State = tw.InstanceDraining },
+	"listed as leaving":              func(v *tw.View) { v.Leaving = map[tw.InstanceID]bool{"w0": true} },
+	"in quarantine":                  func(v *tw.View) { v.Plan.Instances[0].State = tw.InstanceQuarantined },
+	"stopping the job":               func(v *tw.View) { v.Plan.Instances[0].Jobs[0].State = tw.PlacementStopping },
+	"starting the job":               func(v *tw.View) { v.Plan.Instances[0].Jobs[0].State = tw.PlacementStarting },
+	"no longer planned":              func(v *tw.View) { v.Plan.Instances = v.Plan.Instances[1:] },
+	"used by an unregistered daemon": func(v *tw.View) { v.Registered = false },
 }
 
-var _ = Describe("a view in force", func() {
+var _ = Describe("an installed view", func() {
 	for _, name := range slices.Sorted(maps.Keys(viewChanges)) {
-		It("gives nothing new to an instance that is "+name, func() {
+		It("sends no new requests to an instance that is "+name, func() {
 			d := newSchedulerHarness(newView(8, "a", "b"))
 			view := newView(8, "a", "b")
 			viewChanges[name](&view)
@@ -261,7 +263,7 @@
 		})
 	}
 
-	It("still counts what is in flight on an instance that went", func() {
+	It("still counts requests in flight on a removed instance", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		g, _, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, ""))
 		d.install(newView(8))
@@ -270,7 +272,7 @@
 		Expect(d.loads()[0].InFlight).To(BeZero())
 	})
 
-	It("refuses those who wait for a job that nothing carries any more", func() {
+	It("refuses waiters for a job without an instance", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		d.fillSlots()
 		_, w, _ := d.tryAdmit(d.newRequest(tw.ClassNormal, ""))
@@ -292,7 +294,7 @@
 		}
 	})
 
-	It("passes by instances that fail, but never most of them", func() {
+	It("ejects instances that fail, but never most of them", func() {
 		d := newSchedulerHarness(newView(8, "a", "b", "c", "d", "e", "f"))
 		for range 100 {
 			g, _, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
@@ -315,7 +317,7 @@
 		Expect(ejected).To(Equal(2)) // a third of six
 	})
 
-	It("passes by one of two that fails, and never both", func() {
+	It("ejects one of two that fail, never both", func() {
 		d := newSchedulerHarness(newView(8, "a", "b"))
 		for range 40 {
 			g, _, _ := d.tryAdmit(d.newRequest(tw.ClassQuick, ""))
@@ -328,12 +330,12 @@
 		Expect(now.Before(d.workers["w0"].ejectedUntil)).NotTo(Equal(now.Before(d.workers["w1"].ejectedUntil)))
 	})
 
-	It("uses no slot of a new instance that is another daemon's", func() {
+	It("uses no slot of a new instance whose slots belong to another daemon", func() {
 		w := worker{since: fakeclock.New().Now()}
 		Expect(w.usableSlots(w.since.Add(time.Second))).To(BeZero())
 	})
 
-	It("starts slowly with a new instance", func() {
+	It("applies slow start to a new instance", func() {
 		d := newSchedulerHarness(newView(8, "a"))
 		d.install(newView(8, "a", "b"))
 		now := d.clock.Now()
@@ -346,7 +348,7 @@
 
 var _ = Describe("shares of an instance's slots", func() {
 	for _, n := range []int{1, 2, 3, 7, 20} {
-		It(fmt.Sprintf("add up to the slots among %d daemons, and are fair", n), func() {
+		It(fmt.Sprintf("add up to the slots among %d daemons, each of which gets some", n), func() {
 			var members []tw.Member
 			for i := range n {
 				members = append(members, tw.Member{ID: tw.DaemonID(fmt.Sprintf("d%02d", i)), Demand: i * i})
@@ -361,7 +363,7 @@
 					sum += s
 				}
 				Expect(sum).To(BeNumerically("<=", 8))
-				Expect(sum).To(BeNumerically(">=", 7)) // rounding of the sum may leave one
+				Expect(sum).To(BeNumerically(">=", 7)) // floating-point rounding may leave one out
 			}
 			for _, id := range totals {
 				Expect(id).To(BeNumerically(">", 0))
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -10,30 +10,30 @@
 )
 
 type (
-	// target is where an attempt goes: an instance or another daemon.
+	// target is the next hop of an attempt: an instance or another daemon.
 	target struct {
 		address string
 		grant   *grant // nil for another daemon
 	}
 
-	// attempt is one try at a request and what came of it.
+	// attempt is the result of sending a request once.
 	attempt struct {
-		resp *http.Response // nil if err is not
+		resp *http.Response // nil if err is set
 		err  error
-		// mayHaveSent says that a byte of the request may have left.
+		// mayHaveSent means that a byte of the request may have been sent.
 		mayHaveSent bool
 	}
 
-	// tracker follows an attempt's connection.
+	// tracker records which connection an attempt used.
 	tracker struct {
 		conn         *trackedConn
-		writesBefore uint64
+		writesBefore uint64 // writes on conn before the attempt
 	}
 )
 
-// newTransport makes the one transport to upstreams and daemons. It neither
-// follows a proxy nor changes encodings; see hideKey and onceBody for how it
-// is kept from repeating requests.
+// newTransport returns the transport for requests to upstreams and daemons. It
+// uses no proxy and does not change encodings. lowercaseKeyHeader and
+// singleUseBody keep it from repeating requests.
 func newTransport(cfg Config) *http.Transport {
 	return &http.Transport{
 		DialContext:         trackedDial(cfg.DialTimeout),
@@ -55,15 +55,16 @@
 	return attempt{resp: resp, mayHaveSent: true}
 }
 
-// gotConn notes the connection. The transport may call it again for another one,
-// but only if it wrote nothing to the first.
+// gotConn records the connection. The transport may call it again with another
+// one, but only if it wrote nothing to the first.
 func (t *tracker) gotConn(info httptrace.GotConnInfo) {
 	if conn, ok := info.Conn.(*trackedConn); ok {
 		t.conn, t.writesBefore = conn, conn.writeCount()
 	}
 }
 
-// mayHaveSent tells whether a byte may have left, and makes sure that none still can.
+// mayHaveSent reports whether a byte may have been sent, and seals the
+// connection so that none can be sent later.
 func (t *tracker) mayHaveSent() bool {
 	return t.conn != nil && t.conn.seal() != t.writesBefore
 }
@@ -82,7 +83,7 @@
 	}
 	lowercaseKeyHeader(header)
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = nil // or net/http adds its own
+		header["User-Agent"] = nil // else net/http sets its own
 	}
 	out := &http.Request{
 		Method:        in.Method,
@@ -100,7 +101,7 @@
 	return out.WithContext(ctx)
 }
 
-// setRelayHeaders tells the next daemon what is left of the time.
+// setRelayHeaders sets the headers for another daemon, with the remaining time.
 func (ex *exchange) setRelayHeaders(ctx context.Context, header http.Header) {
 	header.Set(HeaderHop, "1")
 	header.Set(HeaderClass, string(ex.class))
@@ -109,10 +110,11 @@
 	}
 }
 
-// usuallyWithoutBody tells for which methods net/http looks into an empty
-// body instead of announcing it as chunked. For these an empty onceBody keeps
-// the transport from repeating a request; for others (POST, PUT, PATCH) no
-// body at all does, as it repeats those only by their key; see hideKey.
+// usuallyWithoutBody reports whether net/http probes an empty body of the
+// method instead of sending it as chunked. For these methods, an empty
+// singleUseBody keeps the transport from repeating a request. Others (POST,
+// PUT, PATCH) get no body: the transport repeats them only if they have an
+// idempotency key; see lowercaseKeyHeader.
 func usuallyWithoutBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
--- a/gateway/shares.go
+++ b/gateway/shares.go
@@ -7,10 +7,11 @@
 	"github.com/tamarindworks/tamarindworks/internal/spread"
 )
 
-// slotShare divides the slots of an instance between the hall's live daemons by
-// their demand. Each daemon works it out alone from the same heartbeats; every
-// slot has one owner, and where the cuts fall turns with the instance's id, so
-// that fractions even out over the instances of a pool.
+// slotShare returns how many slots of an instance belong to the daemon self.
+// Slots are divided between the hall's live daemons by demand. Each daemon
+// computes the division independently from the same heartbeats, and every slot
+// has one owner. The instance's id offsets the division, so that rounding evens
+// out over the instances of a pool.
 func slotShare(members []tw.Member, self tw.DaemonID, instance tw.InstanceID, slots tw.Slots) int {
 	total := 0.0
 	for _, m := range members {
@@ -18,8 +19,8 @@
 	}
 	from := spread.Fraction(string(instance))
 	for _, m := range members {
-		part := evenShare/float64(len(members)) + (1-evenShare)*demandWeight(m)/total
-		to := from + part*float64(slots)
+		fraction := evenShare/float64(len(members)) + (1-evenShare)*demandWeight(m)/total
+		to := from + fraction*float64(slots)
 		if m.ID == self {
 			return int(math.Floor(to) - math.Floor(from))
 		}
@@ -28,12 +29,12 @@
 	return 0
 }
 
-// evenShare is the part of the slots that is divided evenly: the next request
-// may come to any daemon. The rest follows demand.
+// evenShare is the fraction of the slots that is divided evenly, as the next
+// request may arrive at any daemon. The rest is divided by demand.
 const evenShare = 0.5
 
-// demandWeight is rounded up to a power of two, so that shares don't change with
-// every heartbeat.
+// demandWeight is a member's demand rounded up to a power of two, so that
+// shares don't change with every heartbeat.
 func demandWeight(m tw.Member) float64 {
 	return math.Exp2(math.Ceil(math.Log2(float64(m.Demand + 1))))
 }
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -9,8 +9,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// stats counts what the gateway does. Every counter exists from the start, so
-// that a reason that has not come up shows as 0.
+// stats holds the gateway's metrics. All counters are created at the start, so
+// that a reason that has not occurred is exported as 0.
 type stats struct {
 	refusals  map[Reason]*metrics.Counter
 	retries   map[RetryReason]*metrics.Counter
--- a/gateway/suite_test.go
+++ b/gateway/suite_test.go
@@ -25,7 +25,7 @@
 	RunSpecs(t, "gateway", suite, reporter)
 }
 
-// testConfig is a configuration with a route of each kind.
+// testConfig returns a configuration with a route of each kind.
 func testConfig() *tw.FleetConfig {
 	no, yes := false, true
 	c := &tw.FleetConfig{
@@ -46,7 +46,7 @@
 	return c
 }
 
-// newView has one daemon and the given upstream addresses.
+// newView returns a view with one daemon and the given upstream addresses.
 func newView(slots tw.Slots, addresses ...string) tw.View {
 	plan := &tw.Plan{Hall: "h1", Generation: 1}
 	for i, address := range addresses {
@@ -70,8 +70,8 @@
 	}
 }
 
-// relayView is a daemon without slots of its own, and a member of another hall
-// that has not told its jobs.
+// relayView returns the view of a daemon without slots, with a member in
+// another hall that has not reported its jobs.
 func relayView(gateway string) tw.View {
 	view := newView(8)
 	view.Config.Halls = []tw.HallID{"h1", "h2"}
@@ -79,7 +79,7 @@
 	return view
 }
 
-// testGateway is a gateway with a listener.
+// testGateway is a gateway with a listening server.
 type testGateway struct {
 	*Gateway
 	url string
@@ -93,7 +93,8 @@
 	return &testGateway{Gateway: g, url: server.URL}
 }
 
-// testResponse is what a caller got; err is a cut or refused connection.
+// testResponse is the response to a caller; err is set if the connection was
+// refused or closed early.
 type testResponse struct {
 	status  int
 	body    string
@@ -103,13 +104,13 @@
 	err     error
 }
 
-// do sends one request and reads the answer to its end. It repeats nothing.
-func (s *testGateway) do(method, path, body string, headers ...string) testResponse {
+// do sends one request, without retries, and reads the complete response.
+func (g *testGateway) do(method, path, body string, headers ...string) testResponse {
 	var reader *singleUseBody
 	if body != "" {
 		reader = &singleUseBody{strings.NewReader(body)}
 	}
-	req, err := http.NewRequest(method, s.url+path, nil)
+	req, err := http.NewRequest(method, g.url+path, nil)
 	Expect(err).NotTo(HaveOccurred())
 	if reader != nil {
 		req.Body, req.ContentLength = reader, int64(len(body))
@@ -135,23 +136,25 @@
 	}
 }
 
-// scriptedUpstream is an upstream that plays one connection at a time by hand.
+// scriptedUpstream is an upstream whose responses a test writes to the
+// connection.
 type scriptedUpstream struct {
 	address  string
 	mu       sync.Mutex
 	requests int
 }
 
-// newScriptedUpstream starts an upstream; play gets each connection and the number of the
-// request that was just read from it, and returns whether to read another.
+// newScriptedUpstream starts an upstream. play is called for each request, with
+// its connection and number, and returns whether to read another one from the
+// connection.
 func newScriptedUpstream(play func(conn net.Conn, request int) bool) *scriptedUpstream {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(at.Close)
-	s := &scriptedUpstream{address: at.Addr().String()}
+	DeferCleanup(listener.Close)
+	s := &scriptedUpstream{address: listener.Addr().String()}
 	go func() {
 		for {
-			conn, err := at.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -170,7 +173,7 @@
 			return
 		}
 		var text strings.Builder
-		_, _ = bufio.NewReader(req.Body).WriteTo(&text) // a cut body is the test's matter
+		_, _ = bufio.NewReader(req.Body).WriteTo(&text) // the test may send a truncated body
 		s.mu.Lock()
 		s.requests++
 		n := s.requests
@@ -187,22 +190,22 @@
 	return s.requests
 }
 
-// writeRaw writes raw bytes.
-func writeRaw(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) } // the other side may be gone
+// writeRaw writes raw bytes to conn.
+func writeRaw(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) } // the other side may have closed it
 
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// closedAddress is one where nobody listens.
+// closedAddress returns an address on which nothing listens.
 func closedAddress() string {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	defer at.Close()
-	return at.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-// fixedClaims grants or refuses every claim the same way.
+// fixedClaims gives every claim the same result.
 type fixedClaims struct {
 	result tw.ClaimResult
 	mu     sync.Mutex
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -7,22 +7,22 @@
 )
 
 type (
-	// worker is what this daemon has on one instance. The scheduler's lock
-	// guards it.
+	// worker is this daemon's state of one instance, guarded by the scheduler's
+	// lock.
 	worker struct {
 		id       tw.InstanceID
 		address  string
-		jobs     map[tw.JobID]bool // that may be sent here
-		ownSlots int               // slots of the instance that are ours
+		jobs     map[tw.JobID]bool // that the instance serves
+		ownSlots int               // slots of the instance that belong to this daemon
 		since    time.Time         // first seen serving
 		perJob   map[tw.JobID]*jobStats
 		byClass  map[tw.Class]int
 		inFlight int
 
-		consecutiveFailures int // in a row
+		consecutiveFailures int // since the last success or ejection
 		ejectedUntil        time.Time
-		ejectionTime        time.Duration // of the last ejection
-		penalty             float64       // recent failures, decays with successes
+		ejectionTime        time.Duration // length of the last ejection; 0 after a success
+		penalty             float64       // grows with failures, decays with successes
 	}
 
 	// jobStats counts the requests of one job on an instance.
@@ -33,7 +33,7 @@
 
 	// eventWindow counts events over the last one to two spans.
 	eventWindow struct {
-		span              time.Duration // 0: windowSpan
+		span              time.Duration // default windowSpan
 		start             time.Time
 		current, previous counts
 	}
@@ -43,7 +43,7 @@
 
 const (
 	slowStart       = 5 * time.Second
-	ejectAfter      = 5 // failures in a row
+	ejectAfter      = 5 // consecutive failures
 	minEjection     = 2 * time.Second
 	maxEjection     = 30 * time.Second
 	maxEjectedShare = 0.34 // of a job's instances
@@ -52,8 +52,8 @@
 	penaltyDecay    = 0.8
 )
 
-// usableSlots is how many requests may be on the instance at once; one that is new
-// starts slowly.
+// usableSlots returns how many requests this daemon may have in flight on the
+// instance. The number grows over slowStart for a new instance.
 func (w *worker) usableSlots(now time.Time) int {
 	if age := now.Sub(w.since); w.ownSlots > 0 && age < slowStart {
 		return max(1, int(float64(w.ownSlots)*float64(age)/float64(slowStart)))
@@ -61,16 +61,16 @@
 	return w.ownSlots
 }
 
-// hasRoom tells whether a request of a class fits now. For each class, those
-// less urgent together leave it its reserve.
-func (w *worker) hasRoom(class tw.Class, keep reserve, now time.Time) bool {
+// hasRoom reports whether the instance has a free slot for a class. Every class
+// and those less urgent are together limited to the slots outside its reserve.
+func (w *worker) hasRoom(class tw.Class, reserved reserve, now time.Time) bool {
 	slots := w.usableSlots(now)
 	if slots == 0 || now.Before(w.ejectedUntil) {
 		return false
 	}
 	taken := w.inFlight
 	for _, c := range tw.Classes {
-		if taken >= keep.limit(c, slots) {
+		if taken >= reserved.limit(c, slots) {
 			return false
 		}
 		if c == class {
@@ -81,7 +81,7 @@
 	return false
 }
 
-// load orders instances for the choice; lower is better.
+// load compares instances for pickWorker; lower is better.
 func (w *worker) load() float64 {
 	return float64(w.inFlight+1) / float64(max(w.ownSlots, 1)) * (1 + w.penalty)
 }
@@ -95,9 +95,9 @@
 func (w *worker) finish(job tw.JobID, class tw.Class, failed bool, now time.Time) {
 	w.inFlight--
 	w.byClass[class]--
-	t := w.jobStats(job)
-	t.inFlight--
-	t.recent.count(failed, now)
+	stats := w.jobStats(job)
+	stats.inFlight--
+	stats.recent.count(failed, now)
 	if !failed {
 		w.consecutiveFailures = 0
 		w.ejectionTime = 0
@@ -109,15 +109,16 @@
 }
 
 func (w *worker) jobStats(job tw.JobID) *jobStats {
-	t := w.perJob[job]
-	if t == nil {
-		t = &jobStats{}
-		w.perJob[job] = t
+	stats := w.perJob[job]
+	if stats == nil {
+		stats = &jobStats{}
+		w.perJob[job] = stats
 	}
-	return t
+	return stats
 }
 
-// ejectNow keeps the instance out of the choice for a while, longer each time.
+// ejectNow excludes the instance from new requests for a while. The time doubles
+// with each ejection in a row, up to maxEjection.
 func (w *worker) ejectNow(now time.Time) {
 	w.ejectionTime = min(max(2*w.ejectionTime, minEjection), maxEjection)
 	w.ejectedUntil = now.Add(w.ejectionTime)
@@ -133,14 +134,14 @@
 	w.current.ok++
 }
 
-// rate is events a second.
+// rate is the number of events per second.
 func (w *eventWindow) rate(now time.Time) float64 {
 	sum := w.sum(now)
-	over := now.Sub(w.start)
+	elapsed := now.Sub(w.start)
 	if w.previous != (counts{}) {
-		over += w.width()
+		elapsed += w.width()
 	}
-	return float64(sum.ok+sum.failed) / max(over, w.width()/2).Seconds()
+	return float64(sum.ok+sum.failed) / max(elapsed, w.width()/2).Seconds()
 }
 
 func (w *eventWindow) sum(now time.Time) counts {
