--- a/cmd/tamarind-standin/load.go
+++ b/cmd/tamarind-standin/load.go
@@ -22,7 +22,7 @@
 	var config standin.LoadConfig
 	var stream standin.Stream
 	cmd := app.Command("load", loadHelp)
-	cmd.Flag("entry", "Gateway, IP:port; may be repeated.").Required().StringsVar(&config.Entries)
+	cmd.Flag("entry", "Gateway, IP:port; may be repeated.").Required().StringsVar(&config.Targets)
 	cmd.Flag("requests", "How many requests to send.").Default("1000").IntVar(&config.Requests)
 	cmd.Flag("rate", "Requests a second.").Default("200").Float64Var(&config.Rate)
 	cmd.Flag("timeout", "Client timeout of a request.").Default("15s").DurationVar(&config.Timeout)
@@ -40,7 +40,7 @@
 		stream.Name = stream.Path
 		stream.Class, stream.Team = tw.Class(*class), tw.TeamID(*team)
 		config.Streams = []standin.Stream{stream}
-		config.Runs = func() (standin.Runs, error) {
+		config.CollectRuns = func() (standin.Runs, error) {
 			time.Sleep(settleTime)
 			return standin.ReadRuns(*records)
 		}
@@ -65,7 +65,7 @@
 	} else {
 		fmt.Println(report.String())
 	}
-	if report.Faults() > 0 {
+	if report.Violations() > 0 {
 		os.Exit(1)
 	}
 	return nil
--- a/cmd/tamarind-standin/platform.go
+++ b/cmd/tamarind-standin/platform.go
@@ -30,5 +30,5 @@
 		return err
 	}
 	fmt.Println(listener.Addr())
-	return http.Serve(listener, standin.PlatformConfig{Silence: silence}.New().Handler())
+	return http.Serve(listener, standin.PlatformConfig{SilenceTimeout: silence}.New().Handler())
 }
--- a/cmd/tamarind-standin/upstream.go
+++ b/cmd/tamarind-standin/upstream.go
@@ -28,8 +28,8 @@
 		config := standin.UpstreamConfig{
 			Listen:   *listen,
 			Work:     *work,
-			Register: standin.RegisterOver(*url),
-			Instance: standin.Worker(tw.HallID(*hall), tw.RackID(*rack), tw.InstanceID(*id), *labels),
+			Register: standin.RegisterHTTP(*url),
+			Instance: standin.WorkerInstance(tw.HallID(*hall), tw.RackID(*rack), tw.InstanceID(*id), *labels),
 		}
 		return serveUpstream(config, *records)
 	})
--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -12,44 +12,44 @@
 
 // command is one use of a program that needs no fleet.
 type command struct {
-	program string
-	file    string // written as "file.toml"
-	args    []string
-	code    int
-	says    []string
+	program    string
+	content    string // written as "file.toml"
+	args       []string
+	wantCode   int
+	wantOutput []string
 }
 
 var commands = map[string]command{
 	"tamarindd with bad settings": {
 		program: "tamarindd", args: []string{"--settings", "file.toml"},
-		file: "id = \"x\"\nhalls = 1\n[listen]\ngateway = \"host\"\n",
-		code: 2, says: []string{"line 2: halls: is not a known key", "line 4: listen.gateway", "hall: is missing", "platform.url"},
+		content:  "id = \"x\"\nhalls = 1\n[listen]\ngateway = \"host\"\n",
+		wantCode: 2, wantOutput: []string{"line 2: halls: is not a known key", "line 4: listen.gateway", "hall: is missing", "platform.url"},
 	},
-	"tamarindd without settings": {program: "tamarindd", code: 1, says: []string{"--settings"}},
+	"tamarindd without settings": {program: "tamarindd", wantCode: 1, wantOutput: []string{"--settings"}},
 	"config check of a bad file": {
 		program: "tamarind", args: []string{"config", "check", "file.toml"},
-		file: "halls = [\"h\"]\n[[pools]]\nid = \"p\"\nsize = 3\njobs = \"a\"\n[[jobs]]\nid = \"j\"\nservice = \"s\"\n",
-		code: 2, says: []string{"line 4", "line 2: pools[0].instances: is missing", "line 8: jobs[0].service: there is no service \"s\""},
+		content:  "halls = [\"h\"]\n[[pools]]\nid = \"p\"\nsize = 3\njobs = \"a\"\n[[jobs]]\nid = \"j\"\nservice = \"s\"\n",
+		wantCode: 2, wantOutput: []string{"line 4", "line 2: pools[0].instances: is missing", "line 8: jobs[0].service: there is no service \"s\""},
 	},
-	"config check of a good file": {program: "tamarind", args: []string{"config", "check", "file.toml"}, file: "halls = [\"h\"]\n", code: 0, says: []string{"is good"}},
-	"config check of no file":     {program: "tamarind", args: []string{"config", "check", "none.toml"}, code: 2, says: []string{"none.toml"}},
-	"status without a platform":   {program: "tamarind", args: []string{"status"}, code: 2, says: []string{"--platform"}},
+	"config check of a good file": {program: "tamarind", args: []string{"config", "check", "file.toml"}, content: "halls = [\"h\"]\n", wantCode: 0, wantOutput: []string{"is good"}},
+	"config check of no file":     {program: "tamarind", args: []string{"config", "check", "none.toml"}, wantCode: 2, wantOutput: []string{"none.toml"}},
+	"status without a platform":   {program: "tamarind", args: []string{"status"}, wantCode: 2, wantOutput: []string{"--platform"}},
 	"status of a platform not there": {
 		program: "tamarind", args: []string{"--platform", "http://127.0.0.1:1", "--timeout", "300ms", "status"},
-		code: 1, says: []string{"unavailable"},
+		wantCode: 1, wantOutput: []string{"unavailable"},
 	},
-	"queue status without a store": {program: "tamarind", args: []string{"queue", "status"}, code: 2, says: []string{"--store"}},
+	"queue status without a store": {program: "tamarind", args: []string{"queue", "status"}, wantCode: 2, wantOutput: []string{"--store"}},
 	"queue status of a store not there": {
-		program: "tamarind", args: []string{"queue", "status", "--store", "127.0.0.1:1"}, code: 1, says: []string{"unavailable"},
+		program: "tamarind", args: []string{"queue", "status", "--store", "127.0.0.1:1"}, wantCode: 1, wantOutput: []string{"unavailable"},
 	},
 	"queue submission with an odd id": {
-		program: "tamarind", args: []string{"queue", "submission", "12", "--store", "127.0.0.1:1"}, code: 2, says: []string{"16 hex digits"},
+		program: "tamarind", args: []string{"queue", "submission", "12", "--store", "127.0.0.1:1"}, wantCode: 2, wantOutput: []string{"16 hex digits"},
 	},
 	"tamarindd queue with bad settings": {
-		program: "tamarindd", args: []string{"queue", "--settings", "file.toml"}, file: "id = \"x\"\nhal = 1\n",
-		code: 2, says: []string{"line 2: hal: is not a known key", "platform.store: is missing"},
+		program: "tamarindd", args: []string{"queue", "--settings", "file.toml"}, content: "id = \"x\"\nhal = 1\n",
+		wantCode: 2, wantOutput: []string{"line 2: hal: is not a known key", "platform.store: is missing"},
 	},
-	"an unknown command": {program: "tamarind", args: []string{"move"}, code: 2, says: []string{"move"}},
+	"an unknown command": {program: "tamarind", args: []string{"move"}, wantCode: 2, wantOutput: []string{"move"}},
 }
 
 var _ = Describe("the command line", func() {
@@ -58,7 +58,7 @@
 			c := commands[name]
 			dir := GinkgoT().TempDir()
 			path := filepath.Join(dir, "file.toml")
-			Expect(os.WriteFile(path, []byte(c.file), 0o600)).To(Succeed())
+			Expect(os.WriteFile(path, []byte(c.content), 0o600)).To(Succeed())
 			args := slices.Clone(c.args)
 			for i := range args {
 				if args[i] == "file.toml" {
@@ -66,8 +66,8 @@
 				}
 			}
 			out, code := run(c.program, args...)
-			Expect(code).To(Equal(c.code), out)
-			for _, says := range c.says {
+			Expect(code).To(Equal(c.wantCode), out)
+			for _, says := range c.wantOutput {
 				Expect(out).To(ContainSubstring(says))
 			}
 		})
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -40,9 +40,9 @@
 		r := underLoad(f.load(1000, 200), func() {
 			f.setPhase(leaving, tw.PhaseLeaving)
 			time.Sleep(3 * time.Second)
-			before = f.ranOn(leaving)
+			before = f.runCount(leaving)
 			time.Sleep(time.Second)
-			after = f.ranOn(leaving)
+			after = f.runCount(leaving)
 		})
 		expectNoFaults(r)
 		Expect(before).To(BeNumerically(">", 0))
@@ -86,7 +86,7 @@
 			Eventually(func() tw.InstanceState {
 				plan := f.plan("h1")
 				return plan.Find(leaving).State
-			}, patient, "50ms").Should(Equal(tw.InstanceDraining))
+			}, eventualTimeout, "50ms").Should(Equal(tw.InstanceDraining))
 			Consistently(func() tw.InstanceState {
 				plan := f.plan("h1")
 				return plan.Find(leaving).State
@@ -95,7 +95,7 @@
 			Eventually(func() tw.InstanceState {
 				plan := f.plan("h1")
 				return plan.Find(leaving).State
-			}, patient, "50ms").Should(Equal(tw.InstanceOut))
+			}, eventualTimeout, "50ms").Should(Equal(tw.InstanceOut))
 		})
 		expectNoFaults(r)
 	})
@@ -112,9 +112,9 @@
 
 	It("goes on serving in a hall that is cut off from the platform, and takes the change after", func() {
 		r := underLoad(f.load(800, 150), func() {
-			f.cuts["h2"].setCut(true)
+			f.relays["h2"].setCut(true)
 			time.Sleep(2 * time.Second)
-			f.cuts["h2"].setCut(false)
+			f.relays["h2"].setCut(false)
 		})
 		expectNoFaults(r)
 		Expect(r.Answered).To(Equal(r.Sent), r.Line())
@@ -125,7 +125,7 @@
 			Name: "record", Method: "POST", Host: "boards.test", Path: "/records", Work: 20 * time.Millisecond, Keyed: true,
 		})
 		l.Repeat = 2
-		l.Entries = f.gatewaysOf("h1")
+		l.Targets = f.gatewaysOf("h1")
 		r := underLoad(l, func() {
 			f.daemons["h1-e1"].kill()
 			f.startDaemon("h1", "h1-e1")
@@ -163,7 +163,7 @@
 						g.Expect(a.Maintained("december")).To(BeTrue(), "%s: %s %s", a.Instance, a.State, a.Reason)
 					}
 				}
-			}, patient, "100ms").Should(Succeed())
+			}, eventualTimeout, "100ms").Should(Succeed())
 		})
 		expectNoFaults(r)
 		Expect(r.Answered).To(Equal(r.Sent), r.Line())
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -29,17 +29,17 @@
 	upstreams map[tw.InstanceID]*process
 	daemons   map[tw.DaemonID]*process
 	operator  *control.Operator
-	// cuts stand between each hall's daemons and the platform.
-	cuts map[tw.HallID]*relay
+	// relays stand between each hall's daemons and the platform.
+	relays map[tw.HallID]*relay
 }
 
 var halls = []tw.HallID{"h1", "h2"}
 
 const (
-	racks   = 3
-	perRack = 2
-	entries = 2
-	patient = "60s" // for what must come, whenever
+	racksPerHall     = 3
+	instancesPerRack = 2
+	daemonsPerHall   = 2
+	eventualTimeout  = "60s" // for what must come, whenever
 )
 
 func newFleet() *fleet {
@@ -48,9 +48,9 @@
 		dir:       GinkgoT().TempDir(),
 		upstreams: map[tw.InstanceID]*process{},
 		daemons:   map[tw.DaemonID]*process{},
-		cuts:      map[tw.HallID]*relay{},
+		relays:    map[tw.HallID]*relay{},
 	}
-	DeferCleanup(f.end)
+	DeferCleanup(f.close)
 	f.platform = start("platform", true, "tamarind-standin", "platform", "--silence", "2s")
 	f.url = "http://" + f.platform.address
 	peers := control.PeerClientConfig{}.New()
@@ -64,13 +64,13 @@
 		Clock: tw.SystemClock{},
 	}.New()
 	for _, hall := range halls {
-		f.cuts[hall] = newRelay(f.platform.address)
-		for r := range racks {
-			for i := range perRack {
+		f.relays[hall] = newRelay(f.platform.address)
+		for r := range racksPerHall {
+			for i := range instancesPerRack {
 				f.startUpstream(hall, r, i)
 			}
 		}
-		for i := range entries {
+		for i := range daemonsPerHall {
 			f.startDaemon(hall, tw.DaemonID(fmt.Sprintf("%s-e%d", hall, i)))
 		}
 	}
@@ -79,14 +79,14 @@
 	return f
 }
 
-func (f *fleet) end() {
+func (f *fleet) close() {
 	for _, d := range f.daemons {
-		d.end()
+		d.forceKill()
 	}
 	for _, u := range f.upstreams {
-		u.end()
+		u.forceKill()
 	}
-	f.platform.end()
+	f.platform.forceKill()
 }
 
 func (f *fleet) startUpstream(hall tw.HallID, rack, i int) {
@@ -119,7 +119,7 @@
 admin = "127.0.0.1:0"
 [platform]
 url = %q
-`, id, hall, id, "http://"+f.cuts[hall].address)
+`, id, hall, id, "http://"+f.relays[hall].address)
 	Expect(os.WriteFile(path, []byte(settings), 0o600)).To(Succeed())
 	f.daemons[id] = start(string(id), false, "tamarindd", "--settings", path)
 }
@@ -128,7 +128,7 @@
 func (f *fleet) configure(file string, base tw.Revision) {
 	GinkgoHelper()
 	out, code := run("tamarind", "--platform", f.url, "config", "apply", filepath.Join("testdata", file),
-		"--base", fmt.Sprint(base), "--wait", patient)
+		"--base", fmt.Sprint(base), "--wait", eventualTimeout)
 	Expect(code).To(Equal(0), out)
 }
 
@@ -150,19 +150,19 @@
 			g.Expect(f.serving("h2", "maps")).To(HaveLen(1))
 			daemons, err := f.operator.Daemons(context.Background(), []tw.HallID{hall})
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(daemons).To(HaveLen(entries))
+			g.Expect(daemons).To(HaveLen(daemonsPerHall))
 			for _, d := range daemons {
 				g.Expect(d.Acked).To(BeNumerically(">=", plan.Generation))
 			}
 		}
 		for _, gateway := range f.gateways() {
-			g.Expect(answers(gateway, "maps.test")).To(BeTrue(), "%s relays", gateway)
+			g.Expect(respondsOK(gateway, "maps.test")).To(BeTrue(), "%s relays", gateway)
 		}
-	}, patient, "50ms").Should(Succeed())
+	}, eventualTimeout, "50ms").Should(Succeed())
 }
 
-// answers tells whether a gateway answers requests for a host.
-func answers(gateway, host string) bool {
+// respondsOK tells whether a gateway answers requests for a host.
+func respondsOK(gateway, host string) bool {
 	req, err := http.NewRequest(http.MethodGet, "http://"+gateway+"/", nil)
 	if err != nil {
 		return false
@@ -214,12 +214,12 @@
 		}
 	}
 	return &standin.LoadConfig{
-		Entries:  f.gateways(),
-		Requests: n,
-		Rate:     rate,
-		Streams:  streams,
-		Timeout:  20 * time.Second,
-		Runs:     f.runs,
+		Targets:     f.gateways(),
+		Requests:    n,
+		Rate:        rate,
+		Streams:     streams,
+		Timeout:     20 * time.Second,
+		CollectRuns: f.runs,
 	}
 }
 
@@ -236,8 +236,8 @@
 	return standin.ReadRuns(paths)
 }
 
-// ranOn counts the runs on one instance.
-func (f *fleet) ranOn(id tw.InstanceID) int {
+// runCount counts the runs on one instance.
+func (f *fleet) runCount(id tw.InstanceID) int {
 	content, err := os.ReadFile(f.records(id))
 	if err != nil {
 		return 0
@@ -269,7 +269,7 @@
 // expectNoFaults is what must hold whatever fails.
 func expectNoFaults(r standin.Report) {
 	GinkgoHelper()
-	Expect(r.Faults()).To(BeZero(), r.Line())
+	Expect(r.Violations()).To(BeZero(), r.Line())
 	Expect(r.Answered).To(BeNumerically(">", 0))
 }
 
--- a/e2e/keys_test.go
+++ b/e2e/keys_test.go
@@ -19,21 +19,21 @@
 
 var _ = Describe("keys with real processes", func() {
 	It("open and close at a daemon that the store turns away, which learns of them from a peer", func() {
-		r := platformRig(latencies{})
+		r := newPlatformRig(latencies{})
 		r.contracts = `contracts = ["sched", "tenants", "quota"]`
 		r.configureKeys(1, `"kx1","kx2"`)
 		for n := range 3 {
 			r.addWorker(n)
 		}
-		r.store = serveOn(r.kv.Handler())
-		machines := serveOn(r.cloud.Handler())
+		r.store = startServer(r.kv.Handler())
+		machines := startServer(r.cloud.Handler())
 		way := newProxy(r.store)
 		r.start("d1", r.store, machines)
 		r.start("d2", r.store, machines)
 		r.start("d3", way.address(), machines)
 		count := func(key, daemon string) func() int {
 			return func() int {
-				status, _ := r.callWith(key, daemon, "GET", "/x/", "")
+				status, _ := r.callWithKey(key, daemon, "GET", "/x/", "")
 				return status
 			}
 		}
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -19,16 +19,16 @@
 	cmd  *exec.Cmd
 	// address is the first line that it printed, if asked for.
 	address string
-	ended   sync.WaitGroup
-	// gone is closed when the process has ended.
-	gone chan struct{}
+	reaper  sync.WaitGroup
+	// exited is closed when the process has ended.
+	exited chan struct{}
 }
 
 // start runs a program; with address, it waits for the line that tells it.
 // The fleet ends it.
 func start(name string, address bool, program string, args ...string) *process {
 	GinkgoHelper()
-	p := &process{name: name, cmd: exec.Command(filepath.Join(bin, program), args...), gone: make(chan struct{})}
+	p := &process{name: name, cmd: exec.Command(filepath.Join(bin, program), args...), exited: make(chan struct{})}
 	p.cmd.Stderr = GinkgoWriter
 	stdout, err := p.cmd.StdoutPipe()
 	Expect(err).NotTo(HaveOccurred())
@@ -39,8 +39,8 @@
 		Expect(err).NotTo(HaveOccurred(), name)
 		p.address = line[:len(line)-1]
 	}
-	p.ended.Go(func() {
-		defer close(p.gone)
+	p.reaper.Go(func() {
+		defer close(p.exited)
 		_, _ = io.Copy(GinkgoWriter, lines)
 		_ = p.cmd.Wait() // the exit code is looked at where it matters
 	})
@@ -50,7 +50,7 @@
 // running tells whether the process has not ended yet.
 func (p *process) running() bool {
 	select {
-	case <-p.gone:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -63,18 +63,18 @@
 
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	p.ended.Wait()
+	p.reaper.Wait()
 }
 
 // stop is a planned stop; it returns the exit code.
 func (p *process) stop() int {
 	p.signal(syscall.SIGTERM)
-	p.ended.Wait()
+	p.reaper.Wait()
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// end makes sure that the process is gone.
-func (p *process) end() {
+// forceKill makes sure that the process is gone.
+func (p *process) forceKill() {
 	p.signal(syscall.SIGCONT)
 	p.kill()
 }
--- a/e2e/proxy_test.go
+++ b/e2e/proxy_test.go
@@ -14,19 +14,19 @@
 type linkFault int
 
 const (
-	linkSound  linkFault = iota
-	linkSlow             // each read waits for linkDelay
-	linkSilent           // nothing passes in either direction
-	linkOneWay           // requests pass, answers do not
-	linkReset            // connections are reset
+	linkHealthy linkFault = iota
+	linkSlow              // each read waits for linkDelay
+	linkSilent            // nothing passes in either direction
+	linkOneWay            // requests pass, answers do not
+	linkReset             // connections are reset
 )
 
 const (
 	// linkDelay is how long a slow link holds each read.
 	linkDelay = 120 * time.Millisecond
-	// linkPoll is the pace at which a silenced direction looks whether it is
+	// linkPollInterval is the pace at which a silenced direction looks whether it is
 	// healed.
-	linkPoll = 20 * time.Millisecond
+	linkPollInterval = 20 * time.Millisecond
 )
 
 type (
@@ -35,10 +35,10 @@
 		listener net.Listener
 		target   string
 
-		mu    sync.Mutex
-		fault linkFault
-		links map[*link]bool // those open
-		ended bool
+		mu     sync.Mutex
+		fault  linkFault
+		links  map[*link]bool // those open
+		closed bool
 	}
 
 	// link is one connection through a proxy.
@@ -96,7 +96,7 @@
 func (p *proxy) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
+	p.closed = true
 	for l := range p.links {
 		l.reset()
 	}
@@ -113,11 +113,11 @@
 	}
 }
 
-// now is what the proxy does at present.
-func (p *proxy) now() (fault linkFault, ended bool) {
+// currentFault is what the proxy does at present.
+func (p *proxy) currentFault() (fault linkFault, ended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fault, p.ended
+	return p.fault, p.closed
 }
 
 // accept serves connections until the listener closes.
@@ -127,7 +127,7 @@
 		if err != nil {
 			return
 		}
-		if fault, _ := p.now(); fault == linkReset {
+		if fault, _ := p.currentFault(); fault == linkReset {
 			_ = in.(*net.TCPConn).SetLinger(0)
 			_ = in.Close()
 			continue
@@ -141,25 +141,25 @@
 		p.mu.Lock()
 		p.links[l] = true
 		p.mu.Unlock()
-		go p.pass(l, in, out, false)
-		go p.pass(l, out, in, true)
+		go p.forward(l, in, out, false)
+		go p.forward(l, out, in, true)
 	}
 }
 
-// pass copies one direction until either end closes; answers tells whether it
+// forward copies one direction until either end closes; answers tells whether it
 // is the direction from the target.
-func (p *proxy) pass(l *link, from, to net.Conn, answers bool) {
-	defer p.end(l)
+func (p *proxy) forward(l *link, from, to net.Conn, answers bool) {
+	defer p.closeLink(l)
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if err == nil && !p.hold(answers) {
+		if err == nil && !p.applyFault(answers) {
 			err = io.EOF
 		}
 		if err != nil {
 			return
 		}
-		if p.silenced(l) {
+		if p.isSilent(l) {
 			continue
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -168,12 +168,12 @@
 	}
 }
 
-// end closes a link one of whose peers has closed it. The other one must not learn
+// closeLink closes a link one of whose peers has closed it. The other one must not learn
 // that of a silent link.
-func (p *proxy) end(l *link) {
+func (p *proxy) closeLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l.silent && !p.ended {
+	if l.silent && !p.closed {
 		return
 	}
 	_ = l.in.Close()
@@ -181,16 +181,16 @@
 	delete(p.links, l)
 }
 
-func (p *proxy) silenced(l *link) bool {
+func (p *proxy) isSilent(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return l.silent
 }
 
-// hold delays what passes as the fault says; false if the proxy has ended.
-func (p *proxy) hold(answers bool) bool {
+// applyFault delays what passes as the fault says; false if the proxy has ended.
+func (p *proxy) applyFault(answers bool) bool {
 	for {
-		fault, ended := p.now()
+		fault, ended := p.currentFault()
 		switch {
 		case ended:
 			return false
@@ -198,15 +198,15 @@
 			time.Sleep(linkDelay)
 			return true
 		case fault == linkSilent, fault == linkOneWay && answers:
-			time.Sleep(linkPoll)
+			time.Sleep(linkPollInterval)
 		default:
 			return true
 		}
 	}
 }
 
-// exchange sends a byte and waits for a while for one that comes back.
-func exchange(c net.Conn) error {
+// roundTrip sends a byte and waits for a while for one that comes back.
+func roundTrip(c net.Conn) error {
 	Expect(c.SetDeadline(time.Now().Add(100 * time.Millisecond))).To(Succeed())
 	if _, err := c.Write([]byte{1}); err != nil {
 		return err
@@ -239,16 +239,16 @@
 			return c
 		}
 		old := dial()
-		Expect(exchange(old)).To(Succeed())
+		Expect(roundTrip(old)).To(Succeed())
 		Expect(p.silence()).To(Equal(1))
 		fresh := dial()
-		Expect(exchange(fresh)).To(Succeed())
+		Expect(roundTrip(fresh)).To(Succeed())
 		p.set(linkReset)
-		p.set(linkSound)
-		Expect(exchange(fresh)).NotTo(Succeed())
-		Expect(exchange(old)).To(MatchError(ContainSubstring("i/o timeout")))
+		p.set(linkHealthy)
+		Expect(roundTrip(fresh)).NotTo(Succeed())
+		Expect(roundTrip(old)).To(MatchError(ContainSubstring("i/o timeout")))
 		Expect((<-served).Close()).To(Succeed())
-		Expect(exchange(old)).To(MatchError(ContainSubstring("i/o timeout")))
+		Expect(roundTrip(old)).To(MatchError(ContainSubstring("i/o timeout")))
 		Expect(p.silence()).To(BeZero())
 	})
 })
--- a/e2e/queue_test.go
+++ b/e2e/queue_test.go
@@ -37,34 +37,34 @@
 	// contracts are the parts of the platform's rules, as in the settings.
 	contracts string
 
-	mu      sync.Mutex
-	daemons map[string]*process
-	callers map[string]string // addresses, by daemon
+	mu              sync.Mutex
+	daemons         map[string]*process
+	callerAddresses map[string]string // addresses, by daemon
 }
 
 // latencies pass before the answers of the stand-ins.
 type latencies struct{ store, workers time.Duration }
 
-// platformRig is the stand-ins, without workers and daemons.
-func platformRig(l latencies) *queueRig {
+// newPlatformRig is the stand-ins, without workers and daemons.
+func newPlatformRig(l latencies) *queueRig {
 	return &queueRig{
 		kv: standin.KVConfig{Latency: l.store}.New(),
 		fleet: standin.FleetConfig{
-			Latency: l.workers, MaxHold: 6 * time.Second, StopTime: 100 * time.Millisecond, StartTime: 100 * time.Millisecond,
+			Latency: l.workers, MaxHold: 6 * time.Second, StopTime: 100 * time.Millisecond, StartupTime: 100 * time.Millisecond,
 		}.New(),
 		cloud: standin.CloudConfig{MoveTime: time.Second, MaintenanceTime: time.Second}.New(),
-		dir:   GinkgoT().TempDir(), daemons: map[string]*process{}, callers: map[string]string{},
+		dir:   GinkgoT().TempDir(), daemons: map[string]*process{}, callerAddresses: map[string]string{},
 	}
 }
 
 func newQueueRig(workers int) *queueRig {
-	r := platformRig(latencies{})
+	r := newPlatformRig(latencies{})
 	r.configure(1)
 	for n := range workers {
 		r.addWorker(n)
 	}
-	r.store = serveOn(r.kv.Handler())
-	machines := serveOn(r.cloud.Handler())
+	r.store = startServer(r.kv.Handler())
+	machines := startServer(r.cloud.Handler())
 	for _, id := range []string{"d1", "d2", "d3"} {
 		r.start(id, r.store, machines)
 	}
@@ -85,7 +85,7 @@
 // versionPath is the path of the route that only a version has.
 func versionPath(version int) string { return fmt.Sprintf("/v%d/", version) }
 
-func serveOn(handler http.Handler) string {
+func startServer(handler http.Handler) string {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -136,25 +136,25 @@
 }
 
 func (r *queueRig) start(id, store, machines string) {
-	r.callers[id] = freeAddress()
+	r.callerAddresses[id] = freeAddress()
 	text := fmt.Sprintf("id = %q\nhall = \"h\"\n[listen]\ncallers = %q\nreadiness = %q\npeers = %q\n[platform]\nstore = %q\nmachines = %q\n%s\n",
-		id, r.callers[id], freeAddress(), freeAddress(), store, machines, r.contracts)
-	Expect(os.WriteFile(r.settings(id), []byte(text), 0o600)).To(Succeed())
-	r.restart(id)
-	DeferCleanup(func() { r.daemon(id).end() })
+		id, r.callerAddresses[id], freeAddress(), freeAddress(), store, machines, r.contracts)
+	Expect(os.WriteFile(r.settingsPath(id), []byte(text), 0o600)).To(Succeed())
+	r.ensureRunning(id)
+	DeferCleanup(func() { r.daemon(id).forceKill() })
 }
 
-func (r *queueRig) settings(id string) string { return filepath.Join(r.dir, id+".toml") }
+func (r *queueRig) settingsPath(id string) string { return filepath.Join(r.dir, id+".toml") }
 
-// restart starts a daemon's process if none of it runs.
-func (r *queueRig) restart(id string) {
+// ensureRunning starts a daemon's process if none of it runs.
+func (r *queueRig) ensureRunning(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.daemons[id]; p != nil && p.running() {
 		p.signal(syscall.SIGCONT)
 		return
 	}
-	r.daemons[id] = start(id, false, "tamarindd", "queue", "--settings", r.settings(id))
+	r.daemons[id] = start(id, false, "tamarindd", "queue", "--settings", r.settingsPath(id))
 }
 
 // daemon is the present process of a daemon.
@@ -164,17 +164,17 @@
 	return r.daemons[id]
 }
 
-// callersOf is where a daemon takes the requests of callers.
-func (r *queueRig) callersOf(id string) string { return r.callers[id] }
+// callerAddress is where a daemon takes the requests of callers.
+func (r *queueRig) callerAddress(id string) string { return r.callerAddresses[id] }
 
 // call asks a daemon without a key; zero is the status of no answer.
 func (r *queueRig) call(daemon, method, path, body string) (int, string) {
-	return r.callWith("", daemon, method, path, body)
+	return r.callWithKey("", daemon, method, path, body)
 }
 
-// callWith asks a daemon with a key; empty is none.
-func (r *queueRig) callWith(key, daemon, method, path, body string) (int, string) {
-	req, err := http.NewRequest(method, "http://"+r.callers[daemon]+path, strings.NewReader(body))
+// callWithKey asks a daemon with a key; empty is none.
+func (r *queueRig) callWithKey(key, daemon, method, path, body string) (int, string) {
+	req, err := http.NewRequest(method, "http://"+r.callerAddresses[daemon]+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = queueHost
 	if key != "" {
@@ -192,16 +192,16 @@
 // submit hands work in, again and again until it is accepted.
 func (r *queueRig) submit(daemon, id string, steps []tw.Step) {
 	s := &tw.Submission{ID: tw.SubmissionID(id), Steps: steps, Policy: tw.RoutePolicy{Attempts: 3}}
-	r.fleet.Expect(s, nil)
-	body := stepsBody(steps)
+	r.fleet.RegisterSubmission(s, nil)
+	body := submissionBody(steps)
 	Eventually(func() int {
 		status, _ := r.call(daemon, "POST", "/x/"+id, body)
 		return status
 	}, 30*time.Second, 200*time.Millisecond).Should(Equal(http.StatusOK))
 }
 
-// stepsBody is a submission of steps as callers send it.
-func stepsBody(steps []tw.Step) string {
+// submissionBody is a submission of steps as callers send it.
+func submissionBody(steps []tw.Step) string {
 	var rows []map[string]any
 	for _, step := range steps {
 		rows = append(rows, map[string]any{
@@ -247,7 +247,7 @@
 		}
 		Eventually(func() string { return r.state(left, "00000000000000a1") }, 60*time.Second, 100*time.Millisecond).
 			Should(ContainSubstring("completed"))
-		Expect(r.fleet.Broken()).To(BeEmpty())
+		Expect(r.fleet.Violations()).To(BeEmpty())
 		Expect(r.owner()).NotTo(Equal(owner))
 		out, code := run("tamarind", "queue", "status", "--store", r.store)
 		Expect(code).To(BeZero(), out)
@@ -275,6 +275,6 @@
 				Should(ContainSubstring("completed"))
 		}
 		Eventually(stopped, 20*time.Second).Should(BeClosed())
-		Expect(r.fleet.Broken()).To(BeEmpty())
+		Expect(r.fleet.Violations()).To(BeEmpty())
 	})
 })
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return
 			}
-			go r.pass(conn)
+			go r.forward(conn)
 		}
 	}()
 	return r
@@ -46,12 +46,12 @@
 	}
 }
 
-func (r *relay) pass(in net.Conn) {
+func (r *relay) forward(in net.Conn) {
 	defer in.Close()
-	if !r.keep(in) {
+	if !r.add(in) {
 		return
 	}
-	defer r.drop(in)
+	defer r.remove(in)
 	out, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
@@ -63,7 +63,7 @@
 	both.Wait()
 }
 
-func (r *relay) keep(conn net.Conn) bool {
+func (r *relay) add(conn net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.cut {
@@ -72,7 +72,7 @@
 	return !r.cut
 }
 
-func (r *relay) drop(conn net.Conn) {
+func (r *relay) remove(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, conn)
--- a/e2e/silent_test.go
+++ b/e2e/silent_test.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	// silentWindow is how long callers are watched after connections have fallen
+	// silenceWindow is how long callers are watched after connections have fallen
 	// silent, silentAgain when those that were made since do so too, silentWorkers
 	// when only those to workers do, as the store is reached again by then.
-	silentWindow  = 5 * time.Second
-	silentAgain   = time.Second
-	silentWorkers = 2500 * time.Millisecond
-	// silentCallers hand in work of one subtask each on their own connections.
-	silentCallers = 4
-	// silentLong submissions of silentWidth subtasks run through all windows.
-	silentLong  = 2
-	silentWidth = 3
+	silenceWindow      = 5 * time.Second
+	secondSilenceAfter = time.Second
+	workerSilenceAfter = 2500 * time.Millisecond
+	// silenceCallers hand in work of one subtask each on their own connections.
+	silenceCallers = 4
+	// longSubmissions submissions of silentWidth subtasks run through all windows.
+	longSubmissions        = 2
+	longSubmissionSubtasks = 3
 	// cancelBound is how long after the answer to a cancel something of the submission
 	// may still be started: the platform's bound.
 	cancelBound = 3 * time.Second
-	// startsPoll is how exactly starts are timed.
-	startsPoll = 2 * time.Millisecond
+	// startPollInterval is how exactly starts are timed.
+	startPollInterval = 2 * time.Millisecond
 )
 
 type (
-	// silence is which connections fall silent.
-	silence struct {
+	// silenceScenario is which connections fall silent.
+	silenceScenario struct {
 		name    string
-		proxies func(s *silentPlay) []*proxy
+		proxies func(s *silenceTest) []*proxy
 	}
 
-	// silentMoment is when connections fell silent, and how many did then and
+	// silenceResult is when connections fell silent, and how many did then and
 	// later.
-	silentMoment struct {
-		name                  string
-		began                 time.Time
-		first, again, workers int
-		owner, lastOwner      string
+	silenceResult struct {
+		name                                 string
+		began                                time.Time
+		firstCount, secondCount, workerCount int
+		ownerBefore, ownerAfter              string
 	}
 
-	// accept is a submission that was accepted.
-	accept struct {
+	// acceptance is a submission that was accepted.
+	acceptance struct {
 		sent time.Time
 		took time.Duration
 	}
 
-	// silentPlay is a deployment with work, some of whose connections fall
+	// silenceTest is a deployment with work, some of whose connections fall
 	// silent, and what its callers and workers see.
-	silentPlay struct {
+	silenceTest struct {
 		*soak
 
-		timing  sync.Mutex
-		accepts []accept
+		timesMu sync.Mutex
+		accepts []acceptance
 		// starts are when subtasks were started.
 		starts  []time.Time
 		cancels []*answeredCancel
@@ -71,90 +71,90 @@
 	answeredCancel struct {
 		id tw.SubmissionID
 		at time.Time
-		// begun and active are whether it had been started and how many runs of it
+		// everStarted and active are whether it had been started and how many runs of it
 		// there were when last seen.
-		begun  bool
-		active int
-		// started is how long after the answer something of it was last started; zero
+		everStarted bool
+		active      int
+		// lastStart is how long after the answer something of it was last started; zero
 		// if nothing was.
-		started time.Duration
+		lastStart time.Duration
 	}
 )
 
-// silentLatencies leave some orders and writes under way at any moment: they are
+// silenceLatencies leave some orders and writes under way at any moment: they are
 // done and their answers do not come.
-var silentLatencies = latencies{store: time.Millisecond, workers: 10 * time.Millisecond}
+var silenceLatencies = latencies{store: time.Millisecond, workers: 10 * time.Millisecond}
 
-// silences come one after the other in one deployment.
-var silences = []silence{
-	{"every connection", func(s *silentPlay) []*proxy { return s.proxies() }},
+// silenceScenarios come one after the other in one deployment.
+var silenceScenarios = []silenceScenario{
+	{"every connection", func(s *silenceTest) []*proxy { return s.proxies() }},
 	// Others may take the pool over, as they still reach the store.
-	{"the owner's connections", func(s *silentPlay) []*proxy {
-		return append(slices.Clone(s.links), s.stores[s.owner()])
+	{"the owner's connections", func(s *silenceTest) []*proxy {
+		return append(slices.Clone(s.workerProxies), s.storeProxies[s.owner()])
 	}},
 }
 
-// play silences connections twice while callers go on.
-func (s *silentPlay) play() {
+// run silences connections twice while callers go on.
+func (s *silenceTest) run() {
 	var watch, callers sync.WaitGroup
 	ended := make(chan struct{})
 	watch.Go(func() { s.watchStarts(ended) })
 	defer watch.Wait()
 	defer close(ended)
-	for n := range silentLong {
-		steps := []tw.Step{{Count: silentWidth, Need: tw.Resources{CPU: 1000}, Estimate: time.Duration(len(silences)) * silentWindow}}
+	for n := range longSubmissions {
+		steps := []tw.Step{{Count: longSubmissionSubtasks, Need: tw.Resources{CPU: 1000}, Estimate: time.Duration(len(silenceScenarios)) * silenceWindow}}
 		s.submit("d1", fmt.Sprintf("f%015x", n), steps)
 	}
-	Eventually(s.fleet.Starts, 20*time.Second, 20*time.Millisecond).Should(Equal(silentLong * silentWidth))
-	for n := range silentCallers {
+	Eventually(s.fleet.Starts, 20*time.Second, 20*time.Millisecond).Should(Equal(longSubmissions * longSubmissionSubtasks))
+	for n := range silenceCallers {
 		random := rand.New(rand.NewPCG(s.random.Uint64(), uint64(n)))
-		callers.Go(func() { s.caller(n, random) })
+		callers.Go(func() { s.runCaller(n, random) })
 	}
 	time.Sleep(300 * time.Millisecond) // so that all connections are in use
-	var moments []silentMoment
-	for _, c := range silences {
-		moments = append(moments, s.silence(c))
+	var moments []silenceResult
+	for _, c := range silenceScenarios {
+		moments = append(moments, s.runScenario(c))
 	}
-	close(s.calm)
+	close(s.healed)
 	callers.Wait()
 	for _, m := range moments {
-		s.print(m)
+		s.printResult(m)
 	}
-	for n := range silentLong {
-		s.note(s.accepted, fmt.Sprintf("f%015x", n))
+	for n := range longSubmissions {
+		s.record(s.accepted, fmt.Sprintf("f%015x", n))
 	}
-	s.checkPromises()
+	s.checkGuarantees()
 	s.checkCancels()
 }
 
-// silence lets connections fall silent, those made since once more, and then those to
+// runScenario lets connections fall silent, those made since once more, and then those to
 // the workers, and waits for the window to end.
-func (s *silentPlay) silence(c silence) silentMoment {
-	m := silentMoment{name: c.name, began: time.Now(), owner: s.owner()}
-	m.first = silenceAll(c.proxies(s))
-	Expect(m.first).To(BeNumerically(">", 0))
-	time.Sleep(silentAgain)
-	m.again = silenceAll(c.proxies(s))
-	time.Sleep(silentWorkers - time.Since(m.began))
-	m.workers = silenceAll(s.links)
-	time.Sleep(silentWindow - time.Since(m.began))
-	m.lastOwner = s.owner()
+func (s *silenceTest) runScenario(c silenceScenario) silenceResult {
+	m := silenceResult{name: c.name, began: time.Now(), ownerBefore: s.owner()}
+	m.firstCount = silenceAll(c.proxies(s))
+	Expect(m.firstCount).To(BeNumerically(">", 0))
+	time.Sleep(secondSilenceAfter)
+	m.secondCount = silenceAll(c.proxies(s))
+	time.Sleep(workerSilenceAfter - time.Since(m.began))
+	m.workerCount = silenceAll(s.workerProxies)
+	time.Sleep(silenceWindow - time.Since(m.began))
+	m.ownerAfter = s.owner()
 	return m
 }
 
-// print tells what callers and workers saw in a window.
-func (s *silentPlay) print(m silentMoment) {
-	s.timing.Lock()
-	defer s.timing.Unlock()
+// printResult tells what callers and workers saw in a window.
+func (s *silenceTest) printResult(m silenceResult) {
+	s.timesMu.Lock()
+	defer s.timesMu.Unlock()
 	var accepts []time.Duration
 	for _, a := range s.accepts {
-		if a.sent.After(m.began) && a.sent.Before(m.began.Add(silentWindow)) {
+		if a.sent.After(m.began) && a.sent.Before(m.began.Add(silenceWindow)) {
 			accepts = append(accepts, a.took)
 		}
 	}
-	waits := startWaits(s.starts, m.began)
+	waits := nextStartDelays(s.starts, m.began)
 	GinkgoWriter.Printf("%s silent: %d, then %d, then %d to workers; owner %s, then %s; accept p50 %v p99 %v of %d; next start p50 %v p99 %v\n",
-		m.name, m.first, m.again, m.workers, m.owner, m.lastOwner, quantile(accepts, 0.5), quantile(accepts, 0.99), len(accepts),
+		m.name, m.firstCount, m.secondCount, m.workerCount, m.ownerBefore, m.ownerAfter, quantile(accepts, 0.5), quantile(accepts, 0.99), len(accepts),
 		quantile(waits, 0.5), quantile(waits, 0.99))
 }
 
@@ -166,66 +166,66 @@
 	return count
 }
 
-// caller hands in work and cancels some of it.
-func (s *silentPlay) caller(n int, random *rand.Rand) {
+// runCaller hands in work and cancels some of it.
+func (s *silenceTest) runCaller(n int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for k := 0; ; k++ {
 		select {
-		case <-s.calm:
+		case <-s.healed:
 			return
 		case <-time.After(time.Duration(40+random.IntN(120)) * time.Millisecond):
 		}
 		id := fmt.Sprintf("%015x%x", k, n)
 		steps := []tw.Step{{Count: 1, Need: tw.Resources{CPU: 1000}, Estimate: time.Duration(50+random.IntN(150)) * time.Millisecond}}
 		sent := time.Now()
-		if !s.handIn(client, id, steps, random) {
+		if !s.submitWithRetries(client, id, steps, random) {
 			continue
 		}
-		s.noteAccept(accept{sent: sent, took: time.Since(sent)})
+		s.recordAccept(acceptance{sent: sent, took: time.Since(sent)})
 		if random.IntN(5) == 0 && s.cancel(client, id, random) {
-			s.noteCancel(tw.SubmissionID(id))
+			s.recordCancel(tw.SubmissionID(id))
 		}
 	}
 }
 
-func (s *silentPlay) noteAccept(a accept) {
-	s.timing.Lock()
-	defer s.timing.Unlock()
+func (s *silenceTest) recordAccept(a acceptance) {
+	s.timesMu.Lock()
+	defer s.timesMu.Unlock()
 	s.accepts = append(s.accepts, a)
 }
 
-// noteCancel notes a submission whose cancel has just been answered.
-func (s *silentPlay) noteCancel(id tw.SubmissionID) {
-	s.timing.Lock()
-	defer s.timing.Unlock()
+// recordCancel notes a submission whose cancel has just been answered.
+func (s *silenceTest) recordCancel(id tw.SubmissionID) {
+	s.timesMu.Lock()
+	defer s.timesMu.Unlock()
 	s.cancels = append(s.cancels, &answeredCancel{
-		id: id, at: time.Now(), begun: s.fleet.Begun(id), active: s.fleet.Active(id),
+		id: id, at: time.Now(), everStarted: s.fleet.EverStarted(id), active: s.fleet.Active(id),
 	})
 }
 
-// lookAtCancelled notes what is started although its cancel was answered. The
+// updateCancelled notes what is started although its cancel was answered. The
 // caller holds the lock.
-func (s *silentPlay) lookAtCancelled(now time.Time) {
+func (s *silenceTest) updateCancelled(now time.Time) {
 	for _, c := range s.cancels {
-		begun, active := s.fleet.Begun(c.id), s.fleet.Active(c.id)
-		if begun && !c.begun || active > c.active {
-			c.started = now.Sub(c.at)
+		begun, active := s.fleet.EverStarted(c.id), s.fleet.Active(c.id)
+		if begun && !c.everStarted || active > c.active {
+			c.lastStart = now.Sub(c.at)
 		}
-		c.begun, c.active = begun, active
+		c.everStarted, c.active = begun, active
 	}
 }
 
 // checkCancels checks that nothing was started long after its cancel was answered.
-func (s *silentPlay) checkCancels() {
-	s.timing.Lock()
-	defer s.timing.Unlock()
+func (s *silenceTest) checkCancels() {
+	s.timesMu.Lock()
+	defer s.timesMu.Unlock()
 	count, longest := 0, time.Duration(0)
 	for _, c := range s.cancels {
-		Expect(c.started).To(BeNumerically("<", cancelBound), "start of cancelled "+string(c.id))
-		if c.started > 0 {
+		Expect(c.lastStart).To(BeNumerically("<", cancelBound), "start of cancelled "+string(c.id))
+		if c.lastStart > 0 {
 			count++
-			longest = max(longest, c.started)
+			longest = max(longest, c.lastStart)
 		}
 	}
 	GinkgoWriter.Printf("started after an answered cancel: %d of %d, the last %v after it\n",
@@ -233,33 +233,33 @@
 }
 
 // watchStarts notes when subtasks are started.
-func (s *silentPlay) watchStarts(ended <-chan struct{}) {
+func (s *silenceTest) watchStarts(ended <-chan struct{}) {
 	seen := 0
 	for {
 		select {
 		case <-ended:
 			return
-		case <-time.After(startsPoll):
+		case <-time.After(startPollInterval):
 		}
 		if now := s.fleet.Starts(); now > seen {
 			seen = now
-			s.noteStart(time.Now())
+			s.recordStart(time.Now())
 		}
 	}
 }
 
-func (s *silentPlay) noteStart(at time.Time) {
-	s.timing.Lock()
-	defer s.timing.Unlock()
+func (s *silenceTest) recordStart(at time.Time) {
+	s.timesMu.Lock()
+	defer s.timesMu.Unlock()
 	s.starts = append(s.starts, at)
-	s.lookAtCancelled(at)
+	s.updateCancelled(at)
 }
 
-// startWaits is how long it is to the next start from each moment of the window
+// nextStartDelays is how long it is to the next start from each moment of the window
 // that began then; where none follows, to the end of the window.
-func startWaits(starts []time.Time, began time.Time) []time.Duration {
+func nextStartDelays(starts []time.Time, began time.Time) []time.Duration {
 	const every = 10 * time.Millisecond
-	end := began.Add(silentWindow)
+	end := began.Add(silenceWindow)
 	var out []time.Duration
 	for at := began; at.Before(end); at = at.Add(every) {
 		next, _ := slices.BinarySearchFunc(starts, at, time.Time.Compare)
@@ -283,6 +283,6 @@
 
 var _ = Describe("connections that fall silent for good", func() {
 	It("make nothing run twice, and what was answered holds", func() {
-		(&silentPlay{soak: newSoak(1, platformRig(silentLatencies))}).play()
+		(&silenceTest{soak: newSoak(1, newPlatformRig(silenceLatencies))}).run()
 	})
 })
--- a/e2e/soak_faults_test.go
+++ b/e2e/soak_faults_test.go
@@ -24,8 +24,8 @@
 
 	// soakFault is a kind of fault. Its begin returns what heals it.
 	soakFault struct {
-		name  string
-		begin func(s *soak, t faultTarget) (heal func())
+		name   string
+		inject func(s *soak, t faultTarget) (heal func())
 	}
 )
 
@@ -36,22 +36,22 @@
 		return func() { s.daemon(t.daemon).signal(syscall.SIGCONT) }
 	}},
 	{"kill", func(s *soak, t faultTarget) func() {
-		s.daemon(t.daemon).end()
-		return func() { s.restart(t.daemon) }
+		s.daemon(t.daemon).forceKill()
+		return func() { s.ensureRunning(t.daemon) }
 	}},
 	{"stop", func(s *soak, t faultTarget) func() {
 		p := s.daemon(t.daemon)
 		p.signal(syscall.SIGCONT) // a paused process would not see the stop
 		p.stop()
-		return func() { s.restart(t.daemon) }
+		return func() { s.ensureRunning(t.daemon) }
 	}},
 	{"store link", func(s *soak, t faultTarget) func() {
-		s.stores[t.daemon].set(t.link)
-		return func() { s.stores[t.daemon].set(linkSound) }
+		s.storeProxies[t.daemon].set(t.link)
+		return func() { s.storeProxies[t.daemon].set(linkHealthy) }
 	}},
 	{"worker link", func(s *soak, t faultTarget) func() {
-		s.links[t.worker].set(t.link)
-		return func() { s.links[t.worker].set(linkSound) }
+		s.workerProxies[t.worker].set(t.link)
+		return func() { s.workerProxies[t.worker].set(linkHealthy) }
 	}},
 	{"store down", func(s *soak, _ faultTarget) func() {
 		s.kv.SetFaults(standin.KVFaults{Down: true})
@@ -63,10 +63,10 @@
 	}},
 	{"writes late", func(s *soak, t faultTarget) func() {
 		s.kv.SetFaults(standin.KVFaults{LateWrites: t.count})
-		return s.kv.DoLate
+		return s.kv.ApplyLateWrites
 	}},
 	{"history gone", func(s *soak, _ faultTarget) func() {
-		s.kv.ForgetHistory()
+		s.kv.CompactHistory()
 		return func() {}
 	}},
 	{"leases gone", func(s *soak, _ faultTarget) func() {
@@ -75,10 +75,10 @@
 	}},
 	{"starts late", func(s *soak, t faultTarget) func() {
 		s.fleet.Set(tw.WorkerID(fmt.Sprintf("w%d", t.worker)), func(w *standin.SimWorker) { w.LateStarts = t.count })
-		return s.fleet.DoLate
+		return s.fleet.DeliverLateStarts
 	}},
 	{"connections silent", func(s *soak, t faultTarget) func() {
-		silenced := []*proxy{s.stores[t.daemon], s.links[t.worker]}
+		silenced := []*proxy{s.storeProxies[t.daemon], s.workerProxies[t.worker]}
 		if t.count > 1 {
 			silenced = s.proxies()
 		}
@@ -91,11 +91,11 @@
 
 // proxies are those to the store and to the workers.
 func (s *soak) proxies() []*proxy {
-	return slices.Concat(slices.Collect(maps.Values(s.stores)), s.links)
+	return slices.Concat(slices.Collect(maps.Values(s.storeProxies)), s.workerProxies)
 }
 
-// act lets one fault come and, after a while, end. Faults overlap.
-func (s *soak) act() {
+// injectFault lets one fault come and, after a while, end. Faults overlap.
+func (s *soak) injectFault() {
 	// All numbers are drawn for every fault, so that a seed plays the same
 	// faults whichever of them are used.
 	target := faultTarget{
@@ -107,8 +107,8 @@
 	fault := soakFaults[s.random.IntN(len(soakFaults))]
 	GinkgoWriter.Printf("fault: %s %s w%d link fault %d count %d for %v\n",
 		fault.name, target.daemon, target.worker, target.link, target.count, lasts)
-	s.faults.Go(func() {
-		heal := fault.begin(s, target)
+	s.activeFaults.Go(func() {
+		heal := fault.inject(s, target)
 		time.Sleep(lasts)
 		heal()
 	})
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -29,37 +29,37 @@
 var soakSeeds = []uint64{1}
 
 const (
-	// soakTime is how long faults come, soakHeal how long the system may take
+	// soakFaultPeriod is how long faults come, soakHeal how long the system may take
 	// afterwards until all work has ended: everything that was granted to a
 	// silent worker lapses within 6 s, twice over for a former owner's.
-	soakTime = 6 * time.Second
-	soakHeal = 60 * time.Second
+	soakFaultPeriod     = 6 * time.Second
+	soakRecoveryTimeout = 60 * time.Second
 	// soakDaemons that keep the queue, d1 to d3, soakWorkers of four cores each,
 	// soakCallers that hand in work.
 	soakDaemons = 3
 	soakWorkers = 4
 	soakCallers = 3
-	// soakTries bounds how often a caller repeats a request.
-	soakTries = 40
-	// soakAnswer is how long a caller waits for an answer.
-	soakAnswer = 4 * time.Second
+	// soakMaxAttempts bounds how often a caller repeats a request.
+	soakMaxAttempts = 40
+	// soakRequestTimeout is how long a caller waits for an answer.
+	soakRequestTimeout = 4 * time.Second
 )
 
 // soak is a deployment under faults, and what its callers were told.
 type soak struct {
 	*queueRig
-	random *rand.Rand
-	stores map[string]*proxy // to the store, by daemon
-	links  []*proxy          // to the workers
-	calm   chan struct{}     // closed once all faults are healed
-	faults sync.WaitGroup    // of faults that are not healed yet
+	random        *rand.Rand
+	storeProxies  map[string]*proxy // to the store, by daemon
+	workerProxies []*proxy          // to the workers
+	healed        chan struct{}     // closed once all faults are healed
+	activeFaults  sync.WaitGroup    // of faults that are not healed yet
 
 	mu sync.Mutex
 	// accepted were answered 200, refused only ever 429 or 503, cancelled are
 	// those of which a cancel was confirmed, completed were shown as such.
 	accepted, refused, cancelled, completed map[string]bool
-	// broken are the promises that were broken.
-	broken []string
+	// violations are the promises that were broken.
+	violations []string
 
 	// versions are the newest configuration that was seen in force in a process.
 	// Only operate uses them.
@@ -69,30 +69,30 @@
 func newSoak(seed uint64, rig *queueRig) *soak {
 	s := &soak{
 		queueRig: rig,
-		random:   rand.New(rand.NewPCG(seed, seed)), stores: map[string]*proxy{}, calm: make(chan struct{}),
+		random:   rand.New(rand.NewPCG(seed, seed)), storeProxies: map[string]*proxy{}, healed: make(chan struct{}),
 		accepted: map[string]bool{}, refused: map[string]bool{}, cancelled: map[string]bool{}, completed: map[string]bool{},
 		versions: map[*process]int{},
 	}
 	s.configure(1)
 	for n := range soakWorkers {
-		s.links = append(s.links, s.addProxiedWorker(n))
+		s.workerProxies = append(s.workerProxies, s.addProxiedWorker(n))
 	}
-	s.store = serveOn(s.kv.Handler())
-	machines := serveOn(s.cloud.Handler())
+	s.store = startServer(s.kv.Handler())
+	machines := startServer(s.cloud.Handler())
 	for n := range soakDaemons {
 		id := fmt.Sprintf("d%d", 1+n)
-		s.stores[id] = newProxy(s.store)
-		s.start(id, s.stores[id].address(), machines)
+		s.storeProxies[id] = newProxy(s.store)
+		s.start(id, s.storeProxies[id].address(), machines)
 	}
 	return s
 }
 
-// ask makes a request with the time that a caller has for it. The status is
+// request makes a request with the time that a caller has for it. The status is
 // zero if there was no answer: it is unclear then what was done.
-func (s *soak) ask(client *http.Client, daemon, method, path, body string) (int, string) {
-	ctx, cancel := context.WithTimeout(context.Background(), soakAnswer)
+func (s *soak) request(client *http.Client, daemon, method, path, body string) (int, string) {
+	ctx, cancel := context.WithTimeout(context.Background(), soakRequestTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.callersOf(daemon)+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.callerAddress(daemon)+path, strings.NewReader(body))
 	if err != nil {
 		return 0, ""
 	}
@@ -106,25 +106,25 @@
 	return resp.StatusCode, string(text)
 }
 
-// caller hands in work on connections that it keeps open, asks for it, and
+// runCaller hands in work on connections that it keeps open, asks for it, and
 // cancels some of it, until faults have ended.
-func (s *soak) caller(n int, random *rand.Rand) {
+func (s *soak) runCaller(n int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for k := 0; ; k++ {
 		select {
-		case <-s.calm:
+		case <-s.healed:
 			return
 		case <-time.After(time.Duration(50+random.IntN(250)) * time.Millisecond):
 		}
 		id := fmt.Sprintf("%015x%x", k, n)
-		if !s.handIn(client, id, soakSteps(random), random) {
+		if !s.submitWithRetries(client, id, soakSteps(random), random) {
 			continue
 		}
 		if random.IntN(5) == 0 {
 			s.cancel(client, id, random)
 		}
-		s.look(client, id, random)
+		s.checkState(client, id, random)
 	}
 }
 
@@ -139,20 +139,20 @@
 	return steps
 }
 
-// handIn submits until it is accepted or surely refused.
-func (s *soak) handIn(client *http.Client, id string, steps []tw.Step, random *rand.Rand) bool {
-	s.fleet.Expect(&tw.Submission{ID: tw.SubmissionID(id), Steps: steps, Policy: tw.RoutePolicy{Attempts: 3}}, nil)
-	body := stepsBody(steps)
+// submitWithRetries submits until it is accepted or surely refused.
+func (s *soak) submitWithRetries(client *http.Client, id string, steps []tw.Step, random *rand.Rand) bool {
+	s.fleet.RegisterSubmission(&tw.Submission{ID: tw.SubmissionID(id), Steps: steps, Policy: tw.RoutePolicy{Attempts: 3}}, nil)
+	body := submissionBody(steps)
 	unclear := false
-	for range soakTries {
-		status, _ := s.ask(client, anyDaemon(random), "POST", "/x/"+id, body)
+	for range soakMaxAttempts {
+		status, _ := s.request(client, anyDaemon(random), "POST", "/x/"+id, body)
 		switch status {
 		case http.StatusOK:
-			s.note(s.accepted, id)
+			s.record(s.accepted, id)
 			return true
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 			if !unclear && random.IntN(3) == 0 {
-				s.note(s.refused, id) // it gives up: the work must never run
+				s.record(s.refused, id) // it gives up: the work must never run
 				return false
 			}
 		default:
@@ -166,14 +166,14 @@
 // cancel asks for a cancel until it is confirmed, or answered with 410: no such
 // submission. It tells whether it is confirmed.
 func (s *soak) cancel(client *http.Client, id string, random *rand.Rand) bool {
-	for range soakTries {
-		status, _ := s.ask(client, anyDaemon(random), "DELETE", "/x/"+id, "")
+	for range soakMaxAttempts {
+		status, _ := s.request(client, anyDaemon(random), "DELETE", "/x/"+id, "")
 		if status == http.StatusGone {
-			s.fail("%s was accepted and its cancel finds no such submission", id)
+			s.recordViolation("%s was accepted and its cancel finds no such submission", id)
 			return false
 		}
 		if status == http.StatusOK {
-			s.note(s.cancelled, id)
+			s.record(s.cancelled, id)
 			return true
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -181,12 +181,12 @@
 	return false
 }
 
-// look asks for a state and holds it against what was shown before.
-func (s *soak) look(client *http.Client, id string, random *rand.Rand) string {
-	status, text := s.ask(client, anyDaemon(random), "GET", "/x/"+id, "")
+// checkState asks for a state and holds it against what was shown before.
+func (s *soak) checkState(client *http.Client, id string, random *rand.Rand) string {
+	status, text := s.request(client, anyDaemon(random), "GET", "/x/"+id, "")
 	var shown struct{ State string }
 	if status == http.StatusOK && json.Unmarshal([]byte(text), &shown) != nil {
-		s.fail("unreadable state of %s: %q", id, text)
+		s.recordViolation("unreadable state of %s: %q", id, text)
 	}
 	s.mu.Lock()
 	before, accepted := s.completed[id], s.accepted[id]
@@ -194,21 +194,21 @@
 	s.mu.Unlock()
 	switch {
 	case before && status == http.StatusOK && shown.State != "completed":
-		s.fail("%s was completed and is shown as %s", id, shown.State)
+		s.recordViolation("%s was completed and is shown as %s", id, shown.State)
 	case accepted && status == http.StatusGone:
-		s.fail("%s was accepted and is not known", id)
+		s.recordViolation("%s was accepted and is not known", id)
 	}
 	return shown.State
 }
 
-// operate writes new configurations, and looks at each daemon for the newest
+// runOperator writes new configurations, and looks at each daemon for the newest
 // and the one before it: a process must never go back.
-func (s *soak) operate(random *rand.Rand) {
+func (s *soak) runOperator(random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for version := 1; ; {
 		select {
-		case <-s.calm:
+		case <-s.healed:
 			return
 		case <-time.After(time.Duration(50+random.IntN(150)) * time.Millisecond):
 		}
@@ -219,90 +219,90 @@
 		daemon := anyDaemon(random)
 		before := s.daemon(daemon)
 		for _, probed := range []int{version, version - 1} {
-			status, _ := s.ask(client, daemon, "GET", versionPath(probed), "")
+			status, _ := s.request(client, daemon, "GET", versionPath(probed), "")
 			if status == http.StatusOK && s.daemon(daemon) == before {
-				s.sawVersion(daemon, before, probed)
+				s.recordVersion(daemon, before, probed)
 			}
 		}
 	}
 }
 
-// sawVersion notes that a configuration is in force in a process, which must
+// recordVersion notes that a configuration is in force in a process, which must
 // not be older than one seen there before.
-func (s *soak) sawVersion(daemon string, p *process, version int) {
+func (s *soak) recordVersion(daemon string, p *process, version int) {
 	if version < s.versions[p] {
-		s.fail("%s went back from configuration %d to %d", daemon, s.versions[p], version)
+		s.recordViolation("%s went back from configuration %d to %d", daemon, s.versions[p], version)
 	}
 	s.versions[p] = max(s.versions[p], version)
 }
 
-func (s *soak) note(where map[string]bool, id string) {
+func (s *soak) record(where map[string]bool, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	where[id] = true
 }
 
-func (s *soak) fail(format string, args ...any) {
+func (s *soak) recordViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// play lets faults come for a while, heals everything, and checks that all
+// run lets faults come for a while, heals everything, and checks that all
 // that was accepted ends and that no promise was broken.
-func (s *soak) play() {
+func (s *soak) run() {
 	var callers sync.WaitGroup
 	for n := range soakCallers {
 		random := rand.New(rand.NewPCG(s.random.Uint64(), uint64(n)))
-		callers.Go(func() { s.caller(n, random) })
+		callers.Go(func() { s.runCaller(n, random) })
 	}
 	operator := rand.New(rand.NewPCG(s.random.Uint64(), soakCallers))
-	callers.Go(func() { s.operate(operator) })
-	for began := time.Now(); time.Since(began) < soakTime; {
+	callers.Go(func() { s.runOperator(operator) })
+	for began := time.Now(); time.Since(began) < soakFaultPeriod; {
 		time.Sleep(time.Duration(200+s.random.IntN(600)) * time.Millisecond)
-		s.act()
+		s.injectFault()
 	}
-	s.faults.Wait()
-	s.heal()
-	close(s.calm)
+	s.activeFaults.Wait()
+	s.healAll()
+	close(s.healed)
 	callers.Wait()
-	s.checkPromises()
+	s.checkGuarantees()
 }
 
-// checkPromises checks, after all faults have ended, what the callers were told
+// checkGuarantees checks, after all faults have ended, what the callers were told
 // against what has run.
-func (s *soak) checkPromises() {
+func (s *soak) checkGuarantees() {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	random := rand.New(rand.NewPCG(1, 1))
 	for id := range s.accepted {
-		Eventually(func() string { return s.look(client, id, random) }, soakHeal, 100*time.Millisecond).
+		Eventually(func() string { return s.checkState(client, id, random) }, soakRecoveryTimeout, 100*time.Millisecond).
 			Should(BeElementOf("completed", "cancelled"), "state of "+id)
 	}
 	for id := range s.cancelled {
 		Expect(s.fleet.Active(tw.SubmissionID(id))).To(BeZero(), "runs of cancelled "+id)
 	}
 	for id := range s.refused {
-		Expect(s.fleet.Begun(tw.SubmissionID(id))).To(BeFalse(), "refused "+id+" has run")
+		Expect(s.fleet.EverStarted(tw.SubmissionID(id))).To(BeFalse(), "refused "+id+" has run")
 	}
-	Expect(s.broken).To(BeEmpty())
-	Expect(s.fleet.Broken()).To(BeEmpty())
+	Expect(s.violations).To(BeEmpty())
+	Expect(s.fleet.Violations()).To(BeEmpty())
 	GinkgoWriter.Printf("accepted %d, refused %d, cancelled %d, starts %d\n",
 		len(s.accepted), len(s.refused), len(s.cancelled), s.fleet.Starts())
 	Expect(s.accepted).NotTo(BeEmpty())
 }
 
-// heal ends all faults; every daemon runs.
-func (s *soak) heal() {
+// healAll ends all faults; every daemon runs.
+func (s *soak) healAll() {
 	s.kv.SetFaults(standin.KVFaults{})
-	s.kv.DoLate()
-	s.fleet.DoLate()
-	for id, p := range s.stores {
-		p.set(linkSound)
-		s.restart(id)
+	s.kv.ApplyLateWrites()
+	s.fleet.DeliverLateStarts()
+	for id, p := range s.storeProxies {
+		p.set(linkHealthy)
+		s.ensureRunning(id)
 	}
-	for _, p := range s.links {
-		p.set(linkSound)
+	for _, p := range s.workerProxies {
+		p.set(linkHealthy)
 	}
 }
 
@@ -327,6 +327,6 @@
 
 var _ = Describe("soak: daemons under faults from outside", func() {
 	for _, seed := range seeds() {
-		It(fmt.Sprintf("keep their promises, seed %d", seed), func() { newSoak(seed, platformRig(latencies{})).play() })
+		It(fmt.Sprintf("keep their promises, seed %d", seed), func() { newSoak(seed, newPlatformRig(latencies{})).run() })
 	}
 })
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	printLine(out, "%s", report.String())
-	if report.Faults() > 0 {
+	if report.Violations() > 0 {
 		return errGuaranteeViolated
 	}
 	return nil
@@ -156,11 +156,11 @@
 // Load returns a mix of requests for the demonstration's services.
 func (f *Fleet) Load(n int, perSecond float64) standin.LoadConfig {
 	return standin.LoadConfig{
-		Entries:  f.Entries(),
-		Requests: n,
-		Rate:     perSecond,
-		Timeout:  15 * time.Second,
-		Runs:     func() (standin.Runs, error) { return f.Recorder.Runs(), nil },
+		Targets:     f.Entries(),
+		Requests:    n,
+		Rate:        perSecond,
+		Timeout:     15 * time.Second,
+		CollectRuns: func() (standin.Runs, error) { return f.Recorder.Runs(), nil },
 		Streams: []standin.Stream{
 			{Name: "check", Method: http.MethodGet, Host: "boards.demo", Path: "/check", Work: 5 * time.Millisecond, Share: 6},
 			{Name: "record", Method: http.MethodPost, Host: "boards.demo", Path: "/records", Work: 10 * time.Millisecond, Share: 2},
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -48,7 +48,7 @@
 		return nil, errors.Wrap(err, "demo.New")
 	}
 	f := &Fleet{
-		Platform:  standin.PlatformConfig{Silence: c.Silence.Std()}.New(),
+		Platform:  standin.PlatformConfig{SilenceTimeout: c.Silence.Std()}.New(),
 		Recorder:  standin.NewRecorder(nil),
 		Upstreams: map[tw.InstanceID]*standin.Upstream{},
 		url:       "http://" + listener.Addr().String(),
@@ -114,8 +114,8 @@
 	u, err := standin.UpstreamConfig{
 		Listen:   "127.0.0.1:0",
 		Recorder: f.Recorder,
-		Register: standin.RegisterOver(f.url),
-		Instance: standin.Worker(hall, rack, id, map[string]string{"kind": "general"}),
+		Register: standin.RegisterHTTP(f.url),
+		Instance: standin.WorkerInstance(hall, rack, id, map[string]string{"kind": "general"}),
 	}.New()
 	if err != nil {
 		return errors.Wrap(err, "demo.startUpstream")
--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -23,9 +23,9 @@
 }
 
 const (
-	benchJob  tw.JobID = "job"
-	benchHost string   = "bench"
-	slots     tw.Slots = 8
+	benchJob   tw.JobID = "job"
+	benchHost  string   = "bench"
+	benchSlots tw.Slots = 8
 )
 
 func newBench(instances int) (*bench, error) {
@@ -34,7 +34,7 @@
 		u, err := standin.UpstreamConfig{
 			Listen:   "127.0.0.1:0",
 			Recorder: b.recorder,
-			Instance: tw.Instance{ID: tw.InstanceID(fmt.Sprintf("w%d", i)), Slots: slots},
+			Instance: tw.Instance{ID: tw.InstanceID(fmt.Sprintf("w%d", i)), Slots: benchSlots},
 			Register: func(context.Context, tw.Instance) ([]tw.JobID, error) { return []tw.JobID{benchJob}, nil },
 		}.New()
 		if err != nil {
@@ -77,7 +77,7 @@
 		plan.Instances = append(plan.Instances, tw.Assignment{
 			Instance: tw.InstanceID(fmt.Sprintf("w%d", i)),
 			Address:  address,
-			Slots:    slots,
+			Slots:    benchSlots,
 			State:    tw.InstanceServing,
 			Jobs:     []tw.Placement{{Job: benchJob, State: tw.PlacementRunning}},
 		})
@@ -103,11 +103,11 @@
 
 func (b *bench) load(requests int, rate float64, streams []standin.Stream) standin.LoadConfig {
 	return standin.LoadConfig{
-		Entries:  []string{b.entry},
-		Requests: requests,
-		Rate:     rate,
-		Streams:  streams,
-		Timeout:  time.Minute,
-		Runs:     func() (standin.Runs, error) { return b.recorder.Runs(), nil },
+		Targets:     []string{b.entry},
+		Requests:    requests,
+		Rate:        rate,
+		Streams:     streams,
+		Timeout:     time.Minute,
+		CollectRuns: func() (standin.Runs, error) { return b.recorder.Runs(), nil },
 	}
 }
--- a/internal/experiment/control.go
+++ b/internal/experiment/control.go
@@ -50,8 +50,8 @@
 }
 
 const (
-	restTime = 20 * time.Second
-	changes  = 7
+	idleTime    = 20 * time.Second
+	changeCount = 7
 )
 
 // Control measures what a daemon's duties cost at rest, and how long a change
@@ -73,14 +73,14 @@
 		return err
 	}
 	defer h.close()
-	if err := h.change(ctx); err != nil {
+	if err := h.applyChange(ctx); err != nil {
 		return err
 	}
-	if err := h.settled(ctx); err != nil {
+	if err := h.waitSettled(ctx); err != nil {
 		return err
 	}
-	h.rest(out)
-	return h.rollOut(ctx, out)
+	h.measureIdle(out)
+	return h.measureChanges(ctx, out)
 }
 
 func (s hallSize) start() (*hallRun, error) {
@@ -155,9 +155,9 @@
 	_ = h.server.Close() // nobody is left to tell
 }
 
-// change applies a configuration and waits until it is in force.
-func (h *hallRun) change(ctx context.Context) error {
-	accepted, err := h.operator.Apply(ctx, h.size.source(h.revision), "experiment", h.revision)
+// applyChange applies a configuration and waits until it is in force.
+func (h *hallRun) applyChange(ctx context.Context) error {
+	accepted, err := h.operator.Apply(ctx, h.size.configTOML(h.revision), "experiment", h.revision)
 	if err != nil {
 		return err
 	}
@@ -171,8 +171,8 @@
 	}
 }
 
-// settled waits until every replica runs.
-func (h *hallRun) settled(ctx context.Context) error {
+// waitSettled waits until every replica runs.
+func (h *hallRun) waitSettled(ctx context.Context) error {
 	for _, hall := range h.size.hallIDs() {
 		for !h.hallSettled(ctx, hall) {
 			if ctx.Err() != nil {
@@ -186,11 +186,11 @@
 
 func (h *hallRun) hallSettled(ctx context.Context, hall tw.HallID) bool {
 	plan, err := h.operator.Plan(ctx, hall)
-	wanted := h.size.pools*h.size.replicas + extra(h.revision-1)
-	return err == nil && plan.Revision == h.revision && running(&plan) == wanted
+	wanted := h.size.pools*h.size.replicas + extraReplicas(h.revision-1)
+	return err == nil && plan.Revision == h.revision && runningReplicas(&plan) == wanted
 }
 
-func running(plan *tw.Plan) int {
+func runningReplicas(plan *tw.Plan) int {
 	n := 0
 	for i := range plan.Instances {
 		a := &plan.Instances[i]
@@ -203,11 +203,11 @@
 	return n
 }
 
-func (h *hallRun) rest(out io.Writer) {
+func (h *hallRun) measureIdle(out io.Writer) {
 	time.Sleep(2 * time.Second)
-	calls, peers, store, cpu := h.platform.Calls(), h.peers.bytes.Load(), h.store.bytes.Load(), processorTime()
-	time.Sleep(restTime)
-	seconds := restTime.Seconds()
+	calls, peers, store, cpu := h.platform.Calls(), h.peers.bytes.Load(), h.store.bytes.Load(), processCPUTime()
+	time.Sleep(idleTime)
+	seconds := idleTime.Seconds()
 	n := float64(h.size.daemons * h.size.halls)
 	halls := float64(h.size.halls)
 	after := h.platform.Calls()
@@ -219,12 +219,12 @@
 	storeRate := float64(h.store.bytes.Load()-store) / seconds / n
 	fmt.Fprintf(out, "halls=%d daemons=%-3d workers=%-4d pools=%-3d a daemon: cpu=%.2f%% of a core, peers=%.0f B/s, platform=%.0f B/s, heap=%.1f MB; store, a hall: %.2f reads/s, %.2f writes/s; falsely down %d\n",
 		h.size.halls, h.size.daemons, h.size.workers, h.size.pools,
-		100*(processorTime()-cpu).Seconds()/seconds/n, peerRate, storeRate, float64(memory.HeapAlloc)/n/1e6,
-		float64(after.Reads-calls.Reads)/seconds/halls, float64(after.Writes-calls.Writes)/seconds/halls, h.down())
+		100*(processCPUTime()-cpu).Seconds()/seconds/n, peerRate, storeRate, float64(memory.HeapAlloc)/n/1e6,
+		float64(after.Reads-calls.Reads)/seconds/halls, float64(after.Writes-calls.Writes)/seconds/halls, h.falselyDown())
 }
 
-// down counts the times that a daemon came to count as down; none was.
-func (h *hallRun) down() int {
+// falselyDown counts the times that a daemon came to count as down; none was.
+func (h *hallRun) falselyDown() int {
 	n := 0
 	for _, d := range h.daemons {
 		n += d.PeersDown()
@@ -232,17 +232,17 @@
 	return n
 }
 
-// rollOut times changes until the last daemon has them, and until the last
+// measureChanges times changes until the last daemon has them, and until the last
 // task runs.
-func (h *hallRun) rollOut(ctx context.Context, out io.Writer) error {
+func (h *hallRun) measureChanges(ctx context.Context, out io.Writer) error {
 	var inForce, tasks []time.Duration
-	for range changes {
+	for range changeCount {
 		start := time.Now()
-		if err := h.change(ctx); err != nil {
+		if err := h.applyChange(ctx); err != nil {
 			return err
 		}
 		inForce = append(inForce, time.Since(start).Round(time.Millisecond))
-		if err := h.settled(ctx); err != nil {
+		if err := h.waitSettled(ctx); err != nil {
 			return err
 		}
 		tasks = append(tasks, time.Since(start).Round(time.Millisecond))
@@ -250,16 +250,16 @@
 	slices.Sort(inForce)
 	slices.Sort(tasks)
 	fmt.Fprintf(out, "halls=%d daemons=%-3d workers=%-4d pools=%-3d a change: in force median %v, worst %v; last task median %v, worst %v (n=%d)\n",
-		h.size.halls, h.size.daemons, h.size.workers, h.size.pools, inForce[changes/2], inForce[changes-1], tasks[changes/2], tasks[changes-1], changes)
+		h.size.halls, h.size.daemons, h.size.workers, h.size.pools, inForce[changeCount/2], inForce[changeCount-1], tasks[changeCount/2], tasks[changeCount-1], changeCount)
 	return nil
 }
 
-// extra is one more replica of the first job in every other version, so that
+// extraReplicas is one more replica of the first job in every other version, so that
 // each change starts or stops a task.
-func extra(version tw.Revision) int { return int(version % 2) }
+func extraReplicas(version tw.Revision) int { return int(version % 2) }
 
-// source is a configuration in TOML.
-func (s hallSize) source(version tw.Revision) string {
+// configTOML is a configuration in TOML.
+func (s hallSize) configTOML(version tw.Revision) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "halls = [")
 	for _, hall := range s.hallIDs() {
@@ -271,7 +271,7 @@
 		fmt.Fprintf(&b, "[[pools]]\nid = %q\ninstances = \"kind=general\"\njobs = \"pool=%s\"\n", id, id)
 		replicas := s.replicas
 		if i == 0 {
-			replicas += extra(version)
+			replicas += extraReplicas(version)
 		}
 		fmt.Fprintf(&b, "[[jobs]]\nid = \"job-%s\"\nservice = \"svc-%s\"\nlabels = { pool = %q }\nreplicas = %d\ncores = 8\n", id, id, id, replicas)
 		fmt.Fprintf(&b, "[[services]]\nid = \"svc-%s\"\n[[services.routes]]\nhost = \"%s.test\"\npath = \"/\"\njob = \"job-%s\"\n", id, id, id)
--- a/internal/experiment/cost.go
+++ b/internal/experiment/cost.go
@@ -25,7 +25,7 @@
 	streams := []standin.Stream{{Name: "request", Method: http.MethodPost, Host: benchHost, Path: "/normal"}}
 	through := b.load(costRequests, costRate, streams)
 	direct := through
-	direct.Entries = b.addresses
+	direct.Targets = b.addresses
 	direct.Job = benchJob
 	for _, run := range []struct {
 		name string
@@ -36,7 +36,7 @@
 			return err
 		}
 		p := report.Latency("request")
-		fmt.Fprintf(out, "%-8s n=%d p50=%v p99=%v faults=%d\n", run.name, p.N, p.P50, p.P99, report.Faults())
+		fmt.Fprintf(out, "%-8s n=%d p50=%v p99=%v faults=%d\n", run.name, p.N, p.P50, p.P99, report.Violations())
 	}
 	return nil
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -11,9 +11,9 @@
 	"github.com/tamarindworks/tamarindworks/fleet"
 )
 
-// largestMoves is the largest hall whose moves are counted; a wave over more
+// maxMovesWorkers is the largest hall whose moves are counted; a wave over more
 // takes minutes.
-const largestMoves = 112
+const maxMovesWorkers = 112
 
 // shapes are a hall of today's users and one at the size to come, with sizes
 // between.
@@ -27,61 +27,61 @@
 
 // event is something that makes work move.
 type event struct {
-	name   string
-	happen func(m *model)
-	// least is how many placements must be made anew at the least.
-	least func(m *model) int
+	name  string
+	apply func(m *model)
+	// minMoves is how many placements must be made anew at the least.
+	minMoves func(m *model) int
 }
 
 var events = []event{
-	{name: "one instance lost", happen: loseInstance, least: lostPlacements},
-	{name: "one rack lost", happen: loseRack, least: lostPlacements},
-	{name: "a label takes one out", happen: relabel, least: lostPlacements},
-	{name: "a wave over all", happen: wave, least: func(m *model) int { return len(m.placements()) }},
+	{name: "one instance lost", apply: loseInstance, minMoves: lostPlacements},
+	{name: "one rack lost", apply: loseRack, minMoves: lostPlacements},
+	{name: "a label takes one out", apply: relabelInstance, minMoves: lostPlacements},
+	{name: "a wave over all", apply: startWave, minMoves: func(m *model) int { return len(m.placements()) }},
 }
 
 // Fleet measures moves, spares and the time of a pass.
 func Fleet(_ context.Context, out io.Writer) error {
 	for _, s := range shapes {
-		s.spares(out)
-		s.passTime(out)
+		s.compareSpares(out)
+		s.measurePassTime(out)
 		for _, e := range events {
-			if s.workers <= largestMoves {
-				s.moves(out, e)
+			if s.workers <= maxMovesWorkers {
+				s.measureMoves(out, e)
 			}
 		}
 	}
 	return nil
 }
 
-// spares compares shared spares with spares held by each pool.
-func (s shape) spares(out io.Writer) {
+// compareSpares compares shared spares with spares held by each pool.
+func (s shape) compareSpares(out io.Writer) {
 	m := newModel(s)
-	m.settle()
+	m.passUntilStable()
 	shared := m.in.Plan.SparesNeeded
 	perPool := fleet.SparesPerPool(&m.in.Plan, m.in.Config)
 	fmt.Fprintf(out, "%-26s spares needed: shared %d, per pool %d (%.0f%%)\n", s.name, shared, perPool, 100*float64(shared)/float64(perPool))
 }
 
-// passTime is the time of one decision, nothing having happened, and after
+// measurePassTime is the time of one decision, nothing having happened, and after
 // the loss of a rack.
-func (s shape) passTime(out io.Writer) {
+func (s shape) measurePassTime(out io.Writer) {
 	m := newModel(s)
-	m.settle()
-	m.see()
-	rest := clocked(func() { fleet.Decide(m.in) })
+	m.passUntilStable()
+	m.refreshInput()
+	rest := medianTime(func() { fleet.Decide(m.in) })
 	loseRack(m)
-	m.see()
-	lost := clocked(func() { fleet.Decide(m.in) })
+	m.refreshInput()
+	lost := medianTime(func() { fleet.Decide(m.in) })
 	fmt.Fprintf(out, "%-26s one pass: %v at rest, %v after the loss of a rack\n", s.name, rest, lost)
 }
 
-const clockedRuns = 21
+const timedRuns = 21
 
-// clocked is the median time of a call.
-func clocked(call func()) time.Duration {
+// medianTime is the median time of a call.
+func medianTime(call func()) time.Duration {
 	var all []time.Duration
-	for range clockedRuns {
+	for range timedRuns {
 		start := time.Now()
 		call()
 		all = append(all, time.Since(start))
@@ -90,15 +90,15 @@
 	return all[len(all)/2].Round(time.Microsecond)
 }
 
-// moves counts the tasks that an event starts, against the least possible and
+// measureMoves counts the tasks that an event starts, against the least possible and
 // against making the whole assignment anew.
-func (s shape) moves(out io.Writer, e event) {
+func (s shape) measureMoves(out io.Writer, e event) {
 	m := newModel(s)
-	m.settle()
+	m.passUntilStable()
 	before := m.placements()
 	m.starts, m.passes = 0, 0
-	e.happen(m)
-	least := e.least(m)
+	e.apply(m)
+	least := e.minMoves(m)
 	worst := len(before)
 	for quiet := 0; quiet < 2; {
 		quiet++
@@ -108,15 +108,15 @@
 		worst = min(worst, len(m.placements()))
 	}
 	fmt.Fprintf(out, "%-26s %-22s moves: %d, least %d, from scratch %d; passes %d; fewest serving %d of %d\n",
-		s.name, e.name, m.starts, least, m.scratch(before), m.passes, worst, len(before))
+		s.name, e.name, m.starts, least, m.movesFromScratch(before), m.passes, worst, len(before))
 }
 
-// scratch is how many placements would be made if the assignment were made
+// movesFromScratch is how many placements would be made if the assignment were made
 // anew from the instances that are left.
-func (m *model) scratch(before map[fleet.InstanceJob]bool) int {
+func (m *model) movesFromScratch(before map[fleet.InstanceJob]bool) int {
 	fresh := &model{in: m.in, tasks: map[tw.TaskID]tw.Task{}}
 	fresh.in.Plan = tw.Plan{}
-	fresh.settle()
+	fresh.passUntilStable()
 	n := 0
 	for held := range fresh.placements() {
 		if !before[held] {
@@ -126,8 +126,8 @@
 	return n
 }
 
-// busiest is an instance that serves.
-func busiest(m *model) tw.InstanceID {
+// firstServing is an instance that serves.
+func firstServing(m *model) tw.InstanceID {
 	for i := range m.in.Plan.Instances {
 		if a := &m.in.Plan.Instances[i]; a.State == tw.InstanceServing {
 			return a.Instance
@@ -137,25 +137,25 @@
 }
 
 func loseInstance(m *model) {
-	id := busiest(m)
-	m.lose(func(in tw.Instance) bool { return in.ID == id })
+	id := firstServing(m)
+	m.removeInstances(func(in tw.Instance) bool { return in.ID == id })
 }
 
 func loseRack(m *model) {
-	rack := m.in.Plan.Find(busiest(m)).Rack
-	m.lose(func(in tw.Instance) bool { return in.Rack == rack })
+	rack := m.in.Plan.Find(firstServing(m)).Rack
+	m.removeInstances(func(in tw.Instance) bool { return in.Rack == rack })
 }
 
-func relabel(m *model) {
+func relabelInstance(m *model) {
 	c := *m.in.Config
-	c.Labels = map[tw.InstanceID]map[string]string{busiest(m): {"kind": "special"}}
+	c.Labels = map[tw.InstanceID]map[string]string{firstServing(m): {"kind": "special"}}
 	m.in.Config = &c
 	m.in.Revision++
 }
 
-func wave(m *model) {
+func startWave(m *model) {
 	c := *m.in.Config
-	c.Waves = []tw.Wave{{ID: "wave", Instances: mustSelect("kind=general"), MaxConcurrent: 4}}
+	c.Waves = []tw.Wave{{ID: "wave", Instances: mustParseSelector("kind=general"), MaxConcurrent: 4}}
 	m.in.Config = &c
 	m.in.Revision++
 }
--- a/internal/experiment/meter.go
+++ b/internal/experiment/meter.go
@@ -52,8 +52,8 @@
 	return meteredConn{conn, m}, nil
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// processCPUTime is what this process has used.
+func processCPUTime() time.Duration {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
 		return 0
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -55,7 +55,7 @@
 		Phase:  tw.PhaseLive,
 		Cores:  16,
 		Memory: 32_000,
-		Slots:  slots,
+		Slots:  benchSlots,
 	}
 }
 
@@ -65,8 +65,8 @@
 		id := fmt.Sprintf("p%02d", i)
 		c.Pools = append(c.Pools, tw.Pool{
 			ID:        tw.PoolID(id),
-			Instances: mustSelect("kind=general"),
-			Jobs:      mustSelect("pool=" + id),
+			Instances: mustParseSelector("kind=general"),
+			Jobs:      mustParseSelector("pool=" + id),
 		})
 		c.Jobs = append(c.Jobs, tw.Job{
 			ID:       tw.JobID("job-" + id),
@@ -81,7 +81,7 @@
 	return c
 }
 
-func mustSelect(text string) tw.Selector {
+func mustParseSelector(text string) tw.Selector {
 	s, err := tw.ParseSelector(text)
 	if err != nil {
 		panic(err) // the selectors of this package are constants
@@ -89,8 +89,8 @@
 	return s
 }
 
-// settle passes until nothing changes.
-func (m *model) settle() {
+// passUntilStable passes until nothing changes.
+func (m *model) passUntilStable() {
 	for quiet := 0; quiet < 2; {
 		quiet++
 		if m.pass() {
@@ -101,24 +101,24 @@
 
 func (m *model) pass() bool {
 	m.passes++
-	m.see()
+	m.refreshInput()
 	m.in.Allowance = fleet.Allowances(fleet.BudgetInput{
 		Config: m.in.Config,
 		Plans:  map[tw.HallID]tw.Plan{modelHall: m.in.Plan},
 	})
 	out := fleet.Decide(m.in)
 	m.in.Plan = out.Plan
-	m.see()
-	m.carryOut(fleet.ComputeOrders(m.in))
+	m.refreshInput()
+	m.applyOrders(fleet.ComputeOrders(m.in))
 	return out.Changed
 }
 
-func (m *model) see() {
+func (m *model) refreshInput() {
 	m.in.Members = []fleet.Member{{ID: "d1", Acked: m.in.Plan.Generation}}
 	m.in.Tasks = slices.SortedFunc(maps.Values(m.tasks), func(a, b tw.Task) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (m *model) carryOut(orders fleet.Orders) {
+func (m *model) applyOrders(orders fleet.Orders) {
 	for _, id := range orders.Stop {
 		delete(m.tasks, id)
 	}
@@ -136,8 +136,8 @@
 	}
 }
 
-// lose removes the instances of a rack, or one instance.
-func (m *model) lose(gone func(tw.Instance) bool) {
+// removeInstances removes the instances of a rack, or one instance.
+func (m *model) removeInstances(gone func(tw.Instance) bool) {
 	m.in.Instances = slices.DeleteFunc(m.in.Instances, gone)
 	maps.DeleteFunc(m.tasks, func(_ tw.TaskID, t tw.Task) bool {
 		return !slices.ContainsFunc(m.in.Instances, func(in tw.Instance) bool { return in.ID == t.Instance })
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -20,9 +20,9 @@
 const (
 	overloadInstances = 4
 	overloadTime      = 4 * time.Second
-	// warmup comes before: long requests that were taken in before the quick
+	// warmupTime comes before: long requests that were taken in before the quick
 	// ones were known hold their slots for that long.
-	warmup = 2 * time.Second
+	warmupTime = 2 * time.Second
 )
 
 var mixes = []mix{
@@ -55,11 +55,11 @@
 }
 
 func (m mix) run(ctx context.Context, b *bench, out io.Writer) error {
-	capacity := float64(overloadInstances*int(slots)) / m.mean().Seconds()
+	capacity := float64(overloadInstances*int(benchSlots)) / m.meanWork().Seconds()
 	for _, factor := range []float64{0.1, 2} {
 		rate := factor * capacity
-		load := b.load(int(rate*(warmup+overloadTime).Seconds()), rate, m.streams)
-		load.Warmup = int(rate * warmup.Seconds())
+		load := b.load(int(rate*(warmupTime+overloadTime).Seconds()), rate, m.streams)
+		load.Warmup = int(rate * warmupTime.Seconds())
 		report, err := load.Run(ctx)
 		if err != nil {
 			return err
@@ -68,14 +68,14 @@
 			p := report.Latency(s.Name)
 			fmt.Fprintf(out, "%-18s load=%.1fx %-7s answered=%-5d p50=%-10v p99=%v\n", m.name, factor, s.Name, p.N, p.P50, p.P99)
 		}
-		goodput := report.Worked.Seconds() / (float64(overloadInstances*int(slots)) * overloadTime.Seconds())
-		fmt.Fprintf(out, "%-18s load=%.1fx goodput=%.1f%% of capacity, faults=%d, refused=%v\n", m.name, factor, 100*goodput, report.Faults(), report.Refused)
+		goodput := report.Worked.Seconds() / (float64(overloadInstances*int(benchSlots)) * overloadTime.Seconds())
+		fmt.Fprintf(out, "%-18s load=%.1fx goodput=%.1f%% of capacity, faults=%d, refused=%v\n", m.name, factor, 100*goodput, report.Violations(), report.Refused)
 	}
 	return nil
 }
 
-// mean is the mean work of the mix.
-func (m mix) mean() time.Duration {
+// meanWork is the mean work of the mix.
+func (m mix) meanWork() time.Duration {
 	var sum time.Duration
 	n := 0
 	for _, s := range m.streams {
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -24,20 +24,20 @@
 type (
 	// schedulePolicy is a way to order what waits, and whether halls count.
 	schedulePolicy struct {
-		name    string
-		halls   bool
-		urgency func(m *demandModel, j *modelJob) schedule.Urgency
+		name      string
+		hallAware bool
+		urgency   func(m *demandModel, j *modelJob) schedule.Urgency
 	}
 
 	// scheduleResult is what came of all seeds of a policy at a load.
 	scheduleResult struct {
-		// inTime is the share of jobs that ended within their objective, waited
+		// onTime is the share of jobs that ended within their objective, waited
 		// the mean time for which a job's subtasks waited, tail that of the
 		// twentieth that waited longest.
-		inTime float64
+		onTime float64
 		// served is the share that ended within three objectives.
-		served       float64
-		waited, tail time.Duration
+		served             float64
+		meanWait, tailWait time.Duration
 	}
 )
 
@@ -50,13 +50,13 @@
 
 var (
 	schedulePolicies = []schedulePolicy{
-		{name: "by urgency, steps in one hall", halls: true, urgency: byUrgency},
+		{name: "by urgency, steps in one hall", hallAware: true, urgency: byUrgency},
 		{name: "by urgency, halls ignored", urgency: byUrgency},
-		{name: "by urgency, small work sooner", halls: true, urgency: byUrgencySmall},
-		{name: "what can be in time, freshest first", halls: true, urgency: byFreshness},
-		{name: "first come", halls: true, urgency: byArrival},
-		{name: "least work left", halls: true, urgency: byWork},
-		{name: "random", halls: true, urgency: atRandom},
+		{name: "by urgency, small work sooner", hallAware: true, urgency: byUrgencySmall},
+		{name: "what can be in time, freshest first", hallAware: true, urgency: byNewest},
+		{name: "first come", hallAware: true, urgency: byArrival},
+		{name: "least work left", hallAware: true, urgency: byLeastWork},
+		{name: "random", hallAware: true, urgency: atRandom},
 	}
 	scheduleLoads = []float64{0.5, 1, 1.5, 2}
 )
@@ -64,21 +64,21 @@
 func byUrgency(m *demandModel, j *modelJob) schedule.Urgency {
 	var rest, whole time.Duration
 	for i, step := range j.steps {
-		whole += step.guess
-		if i >= j.at {
-			rest += step.guess
+		whole += step.estimate
+		if i >= j.currentStep {
+			rest += step.estimate
 		}
 	}
 	objective := time.Duration(modelStretch*float64(whole)) + modelTarget
-	return schedule.UrgencyOf(modelStart.Add(m.now), modelStart.Add(j.arrived), objective, rest, 0)
+	return schedule.UrgencyOf(modelStart.Add(m.now), modelStart.Add(j.arrivedAt), objective, rest, 0)
 }
 
-// byFreshness has what can be in time go in the reverse order of arrival: with more
+// byNewest has what can be in time go in the reverse order of arrival: with more
 // work than room, the oldest is the first that will be late.
-func byFreshness(m *demandModel, j *modelJob) schedule.Urgency {
+func byNewest(m *demandModel, j *modelJob) schedule.Urgency {
 	u := byUrgency(m, j)
 	if u.Grade == schedule.GradeOnTime {
-		u.Deadline = modelStart.Add(-j.arrived)
+		u.Deadline = modelStart.Add(-j.arrivedAt)
 	}
 	return u
 }
@@ -93,10 +93,10 @@
 }
 
 func byArrival(_ *demandModel, j *modelJob) schedule.Urgency {
-	return schedule.Urgency{Grade: schedule.GradeOnTime, Deadline: modelStart.Add(j.arrived)}
+	return schedule.Urgency{Grade: schedule.GradeOnTime, Deadline: modelStart.Add(j.arrivedAt)}
 }
 
-func byWork(_ *demandModel, j *modelJob) schedule.Urgency {
+func byLeastWork(_ *demandModel, j *modelJob) schedule.Urgency {
 	return schedule.Urgency{Grade: schedule.GradeOnTime, Deadline: modelStart.Add(time.Duration(j.workLeft() * float64(time.Millisecond)))}
 }
 
@@ -112,9 +112,9 @@
 	lines := make([]plotter.XYs, len(schedulePolicies))
 	for i, policy := range schedulePolicies {
 		for _, load := range scheduleLoads {
-			r := playPolicy(policy, load)
-			fmt.Fprintf(w, "%s\t%.1f\t%.3f\t%.3f\t%.2f s\t%.2f s\n", policy.name, load, r.inTime, r.served, r.waited.Seconds(), r.tail.Seconds())
-			lines[i] = append(lines[i], plotter.XY{X: load, Y: r.waited.Seconds()})
+			r := simulatePolicy(policy, load)
+			fmt.Fprintf(w, "%s\t%.1f\t%.3f\t%.3f\t%.2f s\t%.2f s\n", policy.name, load, r.onTime, r.served, r.meanWait.Seconds(), r.tailWait.Seconds())
+			lines[i] = append(lines[i], plotter.XY{X: load, Y: r.meanWait.Seconds()})
 		}
 	}
 	if err := w.Flush(); err != nil {
@@ -128,31 +128,31 @@
 	return nil
 }
 
-// playPolicy plays a policy at a load on all seeds. Jobs that have not ended when
+// simulatePolicy plays a policy at a load on all seeds. Jobs that have not ended when
 // a play does count as late if their objective has passed, else not at all.
-func playPolicy(policy schedulePolicy, load float64) scheduleResult {
+func simulatePolicy(policy schedulePolicy, load float64) scheduleResult {
 	plays := make([][]*modelJob, scheduleSeeds)
 	var wg sync.WaitGroup
 	for seed := range plays {
-		wg.Go(func() { plays[seed] = newDemandModel(uint64(seed), policy, load).play() })
+		wg.Go(func() { plays[seed] = newDemandModel(uint64(seed), policy, load).simulate() })
 	}
 	wg.Wait()
 	var waits []time.Duration
 	inTime, served, all := 0, 0, 0
 	for _, jobs := range plays {
 		for _, j := range jobs {
-			late := j.ended == 0 || j.ended-j.arrived > j.objective
-			if j.ended == 0 && modelTime-j.arrived <= j.objective {
+			late := j.endedAt == 0 || j.endedAt-j.arrivedAt > j.objective
+			if j.endedAt == 0 && simulatedTime-j.arrivedAt <= j.objective {
 				continue
 			}
 			all++
 			if !late {
 				inTime++
 			}
-			if j.ended != 0 && j.ended-j.arrived <= schedule.LateFactor*j.objective {
+			if j.endedAt != 0 && j.endedAt-j.arrivedAt <= schedule.LateFactor*j.objective {
 				served++
 			}
-			waits = append(waits, j.waited/time.Duration(j.subtasks()))
+			waits = append(waits, j.totalWait/time.Duration(j.subtasks()))
 		}
 	}
 	slices.SortFunc(waits, cmp.Compare[time.Duration])
@@ -161,8 +161,8 @@
 		sum += wait
 	}
 	return scheduleResult{
-		inTime: float64(inTime) / float64(all), served: float64(served) / float64(all), waited: sum / time.Duration(len(waits)),
-		tail: waits[int((1-tailShare)*float64(len(waits)))],
+		onTime: float64(inTime) / float64(all), served: float64(served) / float64(all), meanWait: sum / time.Duration(len(waits)),
+		tailWait: waits[int((1-tailShare)*float64(len(waits)))],
 	}
 }
 
@@ -170,7 +170,7 @@
 func (j *modelJob) subtasks() int {
 	n := 0
 	for _, step := range j.steps {
-		n += len(step.times)
+		n += len(step.durations)
 	}
 	return n
 }
--- a/internal/experiment/schedule_model.go
+++ b/internal/experiment/schedule_model.go
@@ -18,15 +18,15 @@
 	// real placement and the real decisions on machines, with work, machines and a
 	// hall that is cut off made up.
 	demandModel struct {
-		rand     *rand.Rand
-		policy   schedulePolicy
-		load     float64
-		now      time.Duration
-		machines []*modelMachine
-		pools    []tw.PoolID
-		jobs     []*modelJob
-		vacating map[tw.InstanceID]maintenance.Order
-		next     int
+		rand      *rand.Rand
+		policy    schedulePolicy
+		load      float64
+		now       time.Duration
+		machines  []*modelMachine
+		pools     []tw.PoolID
+		jobs      []*modelJob
+		vacating  map[tw.InstanceID]maintenance.Order
+		nextJobID int
 	}
 
 	// modelMachine is a machine with its worker.
@@ -34,52 +34,52 @@
 		tw.Machine
 		free tw.Resources
 		runs int
-		// back is when a move ends.
-		back time.Duration
+		// moveEndsAt is when a move ends.
+		moveEndsAt time.Duration
 	}
 
 	// modelJob is a submission: steps that run one after the other.
 	modelJob struct {
-		id        tw.SubmissionID
-		pool      tw.PoolID
-		arrived   time.Duration
-		objective time.Duration
-		need      tw.Resources
-		steps     []modelStep
-		at        int // the step that runs
-		waiting   []tw.SubtaskID
-		running   []*modelRun
-		// waited is from the moment a subtask could start until it did, summed.
-		waited time.Duration
-		ready  time.Duration
-		ended  time.Duration // zero if it has not
+		id          tw.SubmissionID
+		pool        tw.PoolID
+		arrivedAt   time.Duration
+		objective   time.Duration
+		need        tw.Resources
+		steps       []modelStep
+		currentStep int // the step that runs
+		waiting     []tw.SubtaskID
+		running     []*modelRun
+		// totalWait is from the moment a subtask could start until it did, summed.
+		totalWait time.Duration
+		readyAt   time.Duration
+		endedAt   time.Duration // zero if it has not
 	}
 
 	modelStep struct {
-		times []time.Duration
-		// guess is what the scheduler takes the subtasks' time for.
-		guess time.Duration
+		durations []time.Duration
+		// estimate is what the scheduler takes the subtasks' time for.
+		estimate time.Duration
 	}
 
 	modelRun struct {
 		machine *modelMachine
-		ends    time.Duration
+		endsAt  time.Duration
 	}
 )
 
 // The model's figures, near those of the users' third deployment.
 const (
-	modelTick  = 50 * time.Millisecond
-	decideTick = 100 * time.Millisecond
-	modelTime  = 60 * time.Second
-	// turnTime is how long demand stays with one pool.
-	turnTime  = 10 * time.Second
-	turnHigh  = 4.0
-	turnLow   = 0.05
-	modelMove = 1500 * time.Millisecond
+	modelTick      = 50 * time.Millisecond
+	decideInterval = 100 * time.Millisecond
+	simulatedTime  = 60 * time.Second
+	// rotationPeriod is how long demand stays with one pool.
+	rotationPeriod = 10 * time.Second
+	peakFactor     = 4.0
+	offPeakFactor  = 0.05
+	moveTime       = 1500 * time.Millisecond
 	// A hall is cut off: its machines work on, but nothing is heard of them.
-	cutFrom  = 33 * time.Second
-	cutUntil = 39 * time.Second
+	partitionStart = 33 * time.Second
+	partitionEnd   = 39 * time.Second
 
 	modelPoolCount    = 4
 	modelMachineCount = 48
@@ -95,9 +95,9 @@
 	modelCPU     = 1900
 	modelStretch = 1.6
 	modelTarget  = 600 * time.Millisecond
-	// guessSpread is the spread, as a logarithm, by which guesses are off.
-	guessSpread = 0.6
-	usableFill  = 0.85
+	// estimateSpread is the spread, as a logarithm, by which guesses are off.
+	estimateSpread = 0.6
+	usableFill     = 0.85
 )
 
 // modelStart is the time of day at which the model begins.
@@ -126,12 +126,12 @@
 	return m
 }
 
-// play plays the whole time and returns all jobs.
-func (m *demandModel) play() []*modelJob {
-	for ; m.now < modelTime; m.now += modelTick {
-		m.arrive()
+// simulate plays the whole time and returns all jobs.
+func (m *demandModel) simulate() []*modelJob {
+	for ; m.now < simulatedTime; m.now += modelTick {
+		m.arriveJobs()
 		m.finish()
-		if m.now%decideTick == 0 {
+		if m.now%decideInterval == 0 {
 			m.moveMachines()
 		}
 		for _, pool := range m.pools {
@@ -141,20 +141,20 @@
 	return m.jobs
 }
 
-// cut tells whether nothing is heard of a machine.
-func (m *demandModel) cut(machine *modelMachine) bool {
-	return machine.Hall == "hall-0" && m.now >= cutFrom && m.now < cutUntil
+// partitioned tells whether nothing is heard of a machine.
+func (m *demandModel) partitioned(machine *modelMachine) bool {
+	return machine.Hall == "hall-0" && m.now >= partitionStart && m.now < partitionEnd
 }
 
-// arrive draws the jobs of a tick.
-func (m *demandModel) arrive() {
+// arriveJobs draws the jobs of a tick.
+func (m *demandModel) arriveJobs() {
 	perJob := 2 * modelWidth * modelSubtask.Seconds() * modelCPU
 	mean := m.load * meanLoad * modelMachineCount * machineCPU / perJob / modelPoolCount
-	turn := int(m.now/turnTime) % modelPoolCount
+	turn := int(m.now/rotationPeriod) % modelPoolCount
 	for i, pool := range m.pools {
-		rate := turnLow * mean
+		rate := offPeakFactor * mean
 		if i == turn {
-			rate = turnHigh * mean
+			rate = peakFactor * mean
 		}
 		for chance := rate * modelTick.Seconds(); chance > 0; chance-- {
 			if m.rand.Float64() < chance {
@@ -165,34 +165,36 @@
 }
 
 func (m *demandModel) newJob(pool tw.PoolID) *modelJob {
-	m.next++
+	m.nextJobID++
 	j := &modelJob{
-		id: tw.SubmissionID(fmt.Sprintf("%016x", m.next)), pool: pool, arrived: m.now, ready: m.now,
-		need: tw.Resources{CPU: tw.Millicores(modelCPU * m.spread(0.45)), MemoryMB: 500},
+		id: tw.SubmissionID(fmt.Sprintf("%016x", m.nextJobID)), pool: pool, arrivedAt: m.now, readyAt: m.now,
+		need: tw.Resources{CPU: tw.Millicores(modelCPU * m.randomFactor(0.45)), MemoryMB: 500},
 	}
 	var chain time.Duration
 	for range 1 + m.rand.IntN(3) {
 		step := modelStep{}
-		usual := time.Duration(float64(modelSubtask) * m.spread(0.5))
-		for range max(1, int(modelWidth*m.spread(0.6))) {
-			step.times = append(step.times, time.Duration(float64(usual)*m.spread(0.15)))
+		usual := time.Duration(float64(modelSubtask) * m.randomFactor(0.5))
+		for range max(1, int(modelWidth*m.randomFactor(0.6))) {
+			step.durations = append(step.durations, time.Duration(float64(usual)*m.randomFactor(0.15)))
 		}
-		step.guess = time.Duration(float64(usual) * m.spread(guessSpread))
-		chain += slices.Max(step.times)
+		step.estimate = time.Duration(float64(usual) * m.randomFactor(estimateSpread))
+		chain += slices.Max(step.durations)
 		j.steps = append(j.steps, step)
 	}
 	j.objective = time.Duration(modelStretch*float64(chain)) + modelTarget
-	j.open()
+	j.queueStep()
 	return j
 }
 
-// spread is a random factor around one.
-func (m *demandModel) spread(sigma float64) float64 { return math.Exp(sigma * m.rand.NormFloat64()) }
+// randomFactor is a random factor around one.
+func (m *demandModel) randomFactor(sigma float64) float64 {
+	return math.Exp(sigma * m.rand.NormFloat64())
+}
 
-// open makes the subtasks of the job's present step wait.
-func (j *modelJob) open() {
-	for n := range j.steps[j.at].times {
-		j.waiting = append(j.waiting, tw.SubtaskID{Submission: j.id, Step: j.at, Index: n})
+// queueStep makes the subtasks of the job's present step wait.
+func (j *modelJob) queueStep() {
+	for n := range j.steps[j.currentStep].durations {
+		j.waiting = append(j.waiting, tw.SubtaskID{Submission: j.id, Step: j.currentStep, Index: n})
 	}
 }
 
@@ -200,31 +202,31 @@
 func (m *demandModel) finish() {
 	for _, j := range m.jobs {
 		j.running = slices.DeleteFunc(j.running, func(r *modelRun) bool {
-			if r.ends > m.now || m.cut(r.machine) {
+			if r.endsAt > m.now || m.partitioned(r.machine) {
 				return false
 			}
 			r.machine.free = r.machine.free.Plus(j.need)
 			r.machine.runs--
 			return true
 		})
-		if j.ended != 0 || len(j.running) > 0 || len(j.waiting) > 0 {
+		if j.endedAt != 0 || len(j.running) > 0 || len(j.waiting) > 0 {
 			continue
 		}
-		j.at++
-		if j.at == len(j.steps) {
-			j.ended = m.now
+		j.currentStep++
+		if j.currentStep == len(j.steps) {
+			j.endedAt = m.now
 			continue
 		}
-		j.ready = m.now
-		j.open()
+		j.readyAt = m.now
+		j.queueStep()
 	}
 }
 
 // workLeft is the work that a job has ahead of it, as far as is guessed.
 func (j *modelJob) workLeft() float64 {
 	work := 0.0
-	for _, step := range j.steps[j.at:] {
-		work += step.guess.Seconds() * float64(len(step.times)) * float64(j.need.CPU)
+	for _, step := range j.steps[j.currentStep:] {
+		work += step.estimate.Seconds() * float64(len(step.durations)) * float64(j.need.CPU)
 	}
 	return work
 }
@@ -256,12 +258,12 @@
 	var out []*schedule.Worker
 	for i, machine := range m.machines {
 		_, leaving := m.vacating[machine.ID]
-		if machine.Pool != pool || machine.State != tw.MachineUp || leaving || m.cut(machine) {
+		if machine.Pool != pool || machine.State != tw.MachineUp || leaving || m.partitioned(machine) {
 			continue
 		}
 		at[machine.Worker] = machine
 		w := &schedule.Worker{ID: machine.Worker, Free: machine.free, Attainable: machine.Capacity, Rank: i}
-		if m.policy.halls {
+		if m.policy.hallAware {
 			w.Hall, w.Rack = machine.Hall, tw.RackLabel(machine.Labels[0])
 		}
 		out = append(out, w)
@@ -273,8 +275,8 @@
 	j.waiting = slices.DeleteFunc(slices.Clone(j.waiting), func(w tw.SubtaskID) bool { return w == id })
 	on.free = on.free.Minus(j.need)
 	on.runs++
-	j.waited += m.now - j.ready
-	j.running = append(j.running, &modelRun{machine: on, ends: m.now + j.steps[id.Step].times[id.Index]})
+	j.totalWait += m.now - j.readyAt
+	j.running = append(j.running, &modelRun{machine: on, endsAt: m.now + j.steps[id.Step].durations[id.Index]})
 }
 
 // moveMachines decides on machines and carries the moves out.
@@ -288,7 +290,7 @@
 		state.Pools[pool] = &maintenance.Pool{ID: pool, ReportFresh: true, Report: run.Report{Pool: pool}}
 	}
 	for _, machine := range m.machines {
-		if machine.State == tw.MachineMoving && m.now >= machine.back {
+		if machine.State == tw.MachineMoving && m.now >= machine.moveEndsAt {
 			machine.State = tw.MachineUp
 		}
 		state.Machines[machine.ID] = machine.Machine
@@ -320,7 +322,7 @@
 	if machine.State != tw.MachineUp {
 		return
 	}
-	heard := !m.cut(machine)
+	heard := !m.partitioned(machine)
 	pool.Report.Workers = append(pool.Report.Workers, run.WorkerLoad{
 		Instance: machine.ID, Worker: machine.Worker, Capacity: machine.Capacity, Free: machine.free,
 		Runs: machine.runs, Known: heard, Schedulable: heard,
@@ -331,5 +333,5 @@
 func (m *demandModel) move(order maintenance.Order) {
 	i := slices.IndexFunc(m.machines, func(machine *modelMachine) bool { return machine.ID == order.Machine })
 	machine := m.machines[i]
-	machine.Pool, machine.State, machine.back = order.Pool, tw.MachineMoving, m.now+modelMove
+	machine.Pool, machine.State, machine.moveEndsAt = order.Pool, tw.MachineMoving, m.now+moveTime
 }
--- a/internal/experiment/schedule_test.go
+++ b/internal/experiment/schedule_test.go
@@ -10,12 +10,12 @@
 func TestDemandModel(t *testing.T) {
 	g := NewWithT(t)
 	policy := schedulePolicies[0]
-	first, second := newDemandModel(1, policy, 0.5).play(), newDemandModel(1, policy, 0.5).play()
+	first, second := newDemandModel(1, policy, 0.5).simulate(), newDemandModel(1, policy, 0.5).simulate()
 	g.Expect(first).To(HaveLen(len(second)))
 	inTime := 0
 	for i, j := range first {
-		g.Expect(j.ended).To(Equal(second[i].ended))
-		if j.ended != 0 && j.ended-j.arrived <= j.objective {
+		g.Expect(j.endedAt).To(Equal(second[i].endedAt))
+		if j.endedAt != 0 && j.endedAt-j.arrivedAt <= j.objective {
 			inTime++
 		}
 	}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -46,11 +46,11 @@
 
 	cloudMachine struct {
 		tw.Machine
-		fence tw.FencingToken
-		back  time.Time
-		to    tw.PoolID
-		lives int
-		done  map[int64]bool
+		fence      tw.FencingToken
+		returnsAt  time.Time
+		targetPool tw.PoolID
+		restarts   int
+		wavesDone  map[int64]bool
 	}
 )
 
@@ -68,7 +68,7 @@
 func (c *Cloud) Add(m tw.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.machines[m.ID] = &cloudMachine{Machine: m, done: map[int64]bool{}}
+	c.machines[m.ID] = &cloudMachine{Machine: m, wavesDone: map[int64]bool{}}
 }
 
 // SetDown makes every call fail.
@@ -99,7 +99,7 @@
 	if c.down {
 		return nil, errors.Wrap(tw.ErrUnavailable, "standin: cloud is down")
 	}
-	c.settle()
+	c.finishChanges()
 	var out []tw.Machine
 	for _, m := range c.machines {
 		out = append(out, m.Machine)
@@ -124,7 +124,7 @@
 	if c.down {
 		return errors.Wrap(tw.ErrUnavailable, "standin: cloud is down")
 	}
-	c.settle()
+	c.finishChanges()
 	m := c.machines[order.Machine]
 	switch {
 	case m == nil:
@@ -133,7 +133,7 @@
 		return &tw.MachineRefusedError{Reason: tw.MachineRefusedFence}
 	}
 	m.fence = by.Fence
-	if order.Wave != 0 && m.done[order.Wave] || order.Wave == 0 && m.Pool == order.Pool {
+	if order.Wave != 0 && m.wavesDone[order.Wave] || order.Wave == 0 && m.Pool == order.Pool {
 		return nil
 	}
 	if m.State != tw.MachineUp {
@@ -142,32 +142,32 @@
 	now := c.config.Clock.Now()
 	order.By, order.At = by, now
 	c.orders = append(c.orders, order)
-	m.State, m.back, m.to = state, now.Add(away), m.Pool
+	m.State, m.returnsAt, m.targetPool = state, now.Add(away), m.Pool
 	if order.Wave != 0 {
-		m.done[order.Wave] = true
+		m.wavesDone[order.Wave] = true
 	} else {
-		m.to = order.Pool
+		m.targetPool = order.Pool
 	}
-	c.tell(m)
+	c.notifyChanged(m)
 	m.Worker = ""
 	return nil
 }
 
-// settle brings back the machines whose time away is over.
-func (c *Cloud) settle() {
+// finishChanges brings back the machines whose time away is over.
+func (c *Cloud) finishChanges() {
 	now := c.config.Clock.Now()
 	for _, m := range c.machines {
-		if m.State == tw.MachineUp || now.Before(m.back) {
+		if m.State == tw.MachineUp || now.Before(m.returnsAt) {
 			continue
 		}
-		m.lives++
-		m.State, m.Pool = tw.MachineUp, m.to
-		m.Worker = tw.WorkerID(string(m.ID) + "-" + string(rune('a'+m.lives)))
-		c.tell(m)
+		m.restarts++
+		m.State, m.Pool = tw.MachineUp, m.targetPool
+		m.Worker = tw.WorkerID(string(m.ID) + "-" + string(rune('a'+m.restarts)))
+		c.notifyChanged(m)
 	}
 }
 
-func (c *Cloud) tell(m *cloudMachine) {
+func (c *Cloud) notifyChanged(m *cloudMachine) {
 	if c.config.Changed != nil {
 		c.config.Changed(m.Machine)
 	}
--- a/internal/standin/cloud_http.go
+++ b/internal/standin/cloud_http.go
@@ -12,10 +12,10 @@
 
 // stateWords and machineReasons are the platform's words.
 var (
-	stateWords = map[tw.MachineState]string{
+	machineStateNames = map[tw.MachineState]string{
 		tw.MachineUp: "up", tw.MachineMoving: "moving", tw.MachineMaintenance: "upkeep", tw.MachineDown: "down",
 	}
-	machineReasons = map[tw.MachineRefusalReason]string{
+	machineRefusalNames = map[tw.MachineRefusalReason]string{
 		tw.MachineRefusedFence: "fence", tw.MachineRefusedBusy: "busy", tw.MachineRefusedNotInWave: "wave",
 	}
 )
@@ -48,7 +48,7 @@
 
 func (c *Cloud) serveList(w http.ResponseWriter, r *http.Request) {
 	machines, err := c.List(r.Context())
-	if answerError(w, err) {
+	if writeError(w, err) {
 		return
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
@@ -61,7 +61,7 @@
 		}
 		m := machines[i]
 		rows = append(rows, map[string]any{
-			"machine": m.ID, "pool": m.Pool, "state": stateWords[m.State], "zone": m.Hall, "labels": m.Labels, "id": m.Worker,
+			"machine": m.ID, "pool": m.Pool, "state": machineStateNames[m.State], "zone": m.Hall, "labels": m.Labels, "id": m.Worker,
 			"capacity": capacityBody(m.Capacity),
 		})
 	}
@@ -82,8 +82,8 @@
 	case errors.As(err, &refused) && refused.Reason == tw.MachineRefusedUnknown:
 		w.WriteHeader(http.StatusBadRequest)
 	case errors.As(err, &refused):
-		writeJSON(w, http.StatusConflict, map[string]any{"reason": machineReasons[refused.Reason]})
-	case !answerError(w, err):
+		writeJSON(w, http.StatusConflict, map[string]any{"reason": machineRefusalNames[refused.Reason]})
+	case !writeError(w, err):
 		writeJSON(w, http.StatusOK, map[string]any{})
 	}
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -18,13 +18,13 @@
 		// Hangs is whether each run makes no progress.
 		Hangs bool
 		// Crashes is whether each run brings its worker down soon after its start.
-		Crashes bool
-		Lasting bool
-		Copies  bool
-		// Serves users of its own, Fills takes what others leave and disturbs
+		Crashes     bool
+		LongRunning bool
+		AllowCopies bool
+		// LatencySensitive users of its own, Fills takes what others leave and disturbs
 		// those that serve.
-		Serves, Fills bool
-		Gang          int // members; 0 for none
+		LatencySensitive, Filler bool
+		Gang                     int // members; 0 for none
 		// After are subtasks that must be done before this one starts.
 		After []tw.SubtaskID
 		// MaxAttempts bounds the failed runs; 0 for no bound.
@@ -42,11 +42,11 @@
 		MaxHold time.Duration
 		// StopTime is how long a stop takes.
 		StopTime time.Duration
-		// StartTime is how long a lasting subtask takes to be at work.
-		StartTime time.Duration
-		// EvacuateTime is for how long work may be started in a hall after its evacuation
+		// StartupTime is how long a lasting subtask takes to be at work.
+		StartupTime time.Duration
+		// EvacuationGrace is for how long work may be started in a hall after its evacuation
 		// was asked for.
-		EvacuateTime time.Duration
+		EvacuationGrace time.Duration
 	}
 
 	// Fleet is a set of workers that run subtasks by the clock. It implements
@@ -59,18 +59,18 @@
 		profiles map[tw.SubtaskID]Profile
 		// done are the subtasks of which a run has ended so, noted those of
 		// which the caller has confirmed that end.
-		done, noted map[tw.SubtaskID]bool
-		failed      map[tw.SubtaskID]int
+		done, acked map[tw.SubtaskID]bool
+		failures    map[tw.SubtaskID]int
 		crashes     map[tw.SubtaskID]crashCount
 		// crashed are workers that a run has brought down since Crashed was called.
 		crashed []tw.WorkerEntry
-		// storeDisturbed: the store is disturbed; disturbedAt is when it last was.
-		storeDisturbed bool
-		disturbedAt    time.Time
-		broken         []string
-		starts         int
-		// begun are the submissions of which anything was ever started.
-		begun map[tw.SubmissionID]bool
+		// storeFaulty: the store is disturbed; disturbedAt is when it last was.
+		storeFaulty   bool
+		storeFaultyAt time.Time
+		violations    []string
+		starts        int
+		// everStarted are the submissions of which anything was ever started.
+		everStarted map[tw.SubmissionID]bool
 		// evacuated are the halls that are to be left alone, since when.
 		evacuated map[tw.HallID]time.Time
 		// caps bound what of an organisation may run on all workers together.
@@ -88,33 +88,33 @@
 		FailAll bool
 		// Hang: what runs here makes no progress.
 		Hang bool
-		// Tail is the tail latency of what serves here, Disturbance what a filler
+		// TailLatency is the tail latency of what serves here, Disturbance what a filler
 		// at its full pace adds to it.
-		Tail, Disturbance time.Duration
+		TailLatency, FillerInterference time.Duration
 
-		// formerly is what it had before it shrank; that counts until roomUntil.
-		formerly  tw.Resources
-		roomUntil time.Time
+		// previousCapacity is what it had before it shrank; that counts until roomUntil.
+		previousCapacity      tw.Resources
+		previousCapacityUntil time.Time
 
-		boot     time.Time
+		bootedAt time.Time
 		fence    tw.FencingToken
 		deadline time.Time
 		runs     map[tw.SubtaskID]*simRun
 		ended    []tw.EndedSubtask
-		// again are the ends as done after which the subtask was started once more,
+		// restartedAfter are the ends as done after which the subtask was started once more,
 		// by sequence.
-		again    map[int64]bool
-		sequence int64
-		// lapsedUpTo is the last end that came before the worker's grants ran out:
+		restartedAfter map[int64]bool
+		sequence       int64
+		// expiredUpTo is the last end that came before the worker's grants ran out:
 		// whoever grants may take what it was not told of for lost from then on.
-		lapsedUpTo int64
-		// barred is the highest run of a subtask that was stopped or ended.
-		barred  map[tw.SubtaskID]tw.RunNumber
-		late    []tw.StartOrder
-		changed chan struct{}
-		dead    bool
-		// reset: it is dead, and its address refuses connections; else it is silent.
-		reset bool
+		expiredUpTo int64
+		// closedRuns is the highest run of a subtask that was stopped or ended.
+		closedRuns map[tw.SubtaskID]tw.RunNumber
+		lateOrders []tw.StartOrder
+		changed    chan struct{}
+		dead       bool
+		// connReset: it is dead, and its address refuses connections; else it is silent.
+		connReset bool
 	}
 
 	// crashCount is what became of the runs of a subtask that crashes its workers.
@@ -139,8 +139,8 @@
 	}
 	return &Fleet{
 		config: c, workers: map[tw.WorkerID]*SimWorker{}, profiles: map[tw.SubtaskID]Profile{},
-		done: map[tw.SubtaskID]bool{}, noted: map[tw.SubtaskID]bool{}, failed: map[tw.SubtaskID]int{},
-		begun: map[tw.SubmissionID]bool{}, caps: map[tw.OrganisationID]tw.Resources{}, crashes: map[tw.SubtaskID]crashCount{},
+		done: map[tw.SubtaskID]bool{}, acked: map[tw.SubtaskID]bool{}, failures: map[tw.SubtaskID]int{},
+		everStarted: map[tw.SubmissionID]bool{}, caps: map[tw.OrganisationID]tw.Resources{}, crashes: map[tw.SubtaskID]crashCount{},
 		evacuated: map[tw.HallID]time.Time{},
 	}
 }
@@ -150,8 +150,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := &SimWorker{
-		Entry: entry, boot: f.config.Clock.Now(), runs: map[tw.SubtaskID]*simRun{},
-		again: map[int64]bool{}, barred: map[tw.SubtaskID]tw.RunNumber{}, changed: make(chan struct{}),
+		Entry: entry, bootedAt: f.config.Clock.Now(), runs: map[tw.SubtaskID]*simRun{},
+		restartedAfter: map[int64]bool{}, closedRuns: map[tw.SubtaskID]tw.RunNumber{}, changed: make(chan struct{}),
 	}
 	f.workers[entry.ID] = w
 	return w
@@ -162,13 +162,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
-	f.settle(w) // what happened before the change stays as it was
+	f.advance(w) // what happened before the change stays as it was
 	change(w)
 }
 
-// shrunkTime is how long starts may count on the room that a worker had before it shrank:
+// shrinkGrace is how long starts may count on the room that a worker had before it shrank:
 // until its next account of itself, and as long as its callers may lag behind that.
-const shrunkTime = contactTime + 1500*time.Millisecond
+const shrinkGrace = storeRecoveryTime + 1500*time.Millisecond
 
 // Resize changes what a worker has.
 func (f *Fleet) Resize(id tw.WorkerID, capacity tw.Resources) tw.WorkerEntry {
@@ -176,7 +176,7 @@
 	defer f.mu.Unlock()
 	w := f.workers[id]
 	if !capacity.Fits(w.Entry.Capacity) {
-		w.formerly, w.roomUntil = w.Entry.Capacity, f.config.Clock.Now().Add(shrunkTime)
+		w.previousCapacity, w.previousCapacityUntil = w.Entry.Capacity, f.config.Clock.Now().Add(shrinkGrace)
 	}
 	w.Entry.Capacity = capacity
 	return w.Entry
@@ -214,7 +214,7 @@
 func (f *Fleet) usage(id tw.OrganisationID) tw.Resources {
 	var out tw.Resources
 	for _, w := range f.workers {
-		f.settle(w)
+		f.advance(w)
 		for _, r := range w.runs {
 			if r.profile.Organisation == id {
 				out = out.Plus(r.profile.Need)
@@ -224,8 +224,8 @@
 	return out
 }
 
-// Expect tells how a submission's subtasks behave.
-func (f *Fleet) Expect(s *tw.Submission, profile func(id tw.SubtaskID, p *Profile)) {
+// RegisterSubmission tells how a submission's subtasks behave.
+func (f *Fleet) RegisterSubmission(s *tw.Submission, profile func(id tw.SubtaskID, p *Profile)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for k := range s.Repetitions() {
@@ -241,8 +241,8 @@
 func (f *Fleet) profileOf(s *tw.Submission, id tw.SubtaskID, change func(tw.SubtaskID, *Profile)) Profile {
 	step := &s.Steps[id.Step]
 	p := Profile{
-		Need: step.Reservation(), Duration: step.Estimate, Lasting: step.LongRunning, Copies: step.AllowCopies, MaxAttempts: s.Policy.Attempts,
-		Serves: step.TailTarget > 0, Fills: step.Filler, Organisation: s.Organisation,
+		Need: step.Reservation(), Duration: step.Estimate, LongRunning: step.LongRunning, AllowCopies: step.AllowCopies, MaxAttempts: s.Policy.Attempts,
+		LatencySensitive: step.TailTarget > 0, Filler: step.Filler, Organisation: s.Organisation,
 	}
 	if step.LongRunning {
 		p.MaxAttempts = 0
@@ -261,23 +261,23 @@
 	return p
 }
 
-// DoLate carries out the starts that got no answer.
-func (f *Fleet) DoLate() {
+// DeliverLateStarts carries out the starts that got no answer.
+func (f *Fleet) DeliverLateStarts() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range f.workers {
-		for _, order := range w.late {
+		for _, order := range w.lateOrders {
 			_, _ = f.start(w, order, true) // nobody waits for the answer
 		}
-		w.late = nil
+		w.lateOrders = nil
 	}
 }
 
-// Broken lists the promises that were broken.
-func (f *Fleet) Broken() []string {
+// Violations lists the promises that were broken.
+func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.broken)
+	return slices.Clone(f.violations)
 }
 
 // Starts counts the runs that began.
@@ -287,11 +287,11 @@
 	return f.starts
 }
 
-// Begun tells whether any subtask of a submission was ever started.
-func (f *Fleet) Begun(id tw.SubmissionID) bool {
+// EverStarted tells whether any subtask of a submission was ever started.
+func (f *Fleet) EverStarted(id tw.SubmissionID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.begun[id]
+	return f.everStarted[id]
 }
 
 // Active counts the runs of a submission on living workers.
@@ -300,7 +300,7 @@
 	defer f.mu.Unlock()
 	n := 0
 	for _, w := range f.workers {
-		f.settle(w)
+		f.advance(w)
 		for subtask := range w.runs {
 			if subtask.Submission == id {
 				n++
@@ -310,13 +310,13 @@
 	return n
 }
 
-// TailOn is the tail latency of what serves on a worker, and the highest pace,
+// TailLatencyOn is the tail latency of what serves on a worker, and the highest pace,
 // in percent, of the fillers beside it.
-func (f *Fleet) TailOn(id tw.WorkerID) (tail time.Duration, pace int) {
+func (f *Fleet) TailLatencyOn(id tw.WorkerID) (tail time.Duration, pace int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
-	return w.tail(), w.fillerPace()
+	return w.tailLatency(), w.fillerPace()
 }
 
 // Running counts the runs of a subtask on living workers.
@@ -332,7 +332,7 @@
 	defer f.mu.Unlock()
 	var out []tw.WorkerID
 	for _, w := range f.workers {
-		f.settle(w)
+		f.advance(w)
 		if w.runs[id] != nil {
 			out = append(out, w.Entry.ID)
 		}
@@ -340,13 +340,13 @@
 	return out
 }
 
-// AtWork tells whether a lasting subtask runs and has been started up.
-func (f *Fleet) AtWork(id tw.SubtaskID) bool {
+// Ready tells whether a lasting subtask runs and has been started up.
+func (f *Fleet) Ready(id tw.SubtaskID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.config.Clock.Now()
 	for _, w := range f.workers {
-		f.settle(w)
+		f.advance(w)
 		if r := w.runs[id]; r != nil && w.percent(f, r, now) > 0 {
 			return true
 		}
@@ -359,7 +359,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range f.workers {
-		f.settle(w)
+		f.advance(w)
 	}
 	return f.done[id]
 }
@@ -367,7 +367,7 @@
 func (f *Fleet) running(id tw.SubtaskID) int {
 	n := 0
 	for _, w := range f.workers {
-		f.settle(w)
+		f.advance(w)
 		if w.runs[id] != nil {
 			n++
 		}
--- a/internal/standin/fleet_crash.go
+++ b/internal/standin/fleet_crash.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	// crashAfter is how long a worker lives on after the start of a subtask that
+	// crashDelay is how long a worker lives on after the start of a subtask that
 	// brings it down.
-	crashAfter = 8 * time.Millisecond
-	// crashesCounted and startsAfter bound the starts of such a subtask: after so many
+	crashDelay = 8 * time.Millisecond
+	// crashLimit and startsAfter bound the starts of such a subtask: after so many
 	// crashes it must not be started so often more.
-	crashesCounted = 3
-	startsAfter    = 3
-	// contactTime after a disturbance of the store its callers are in touch again; only
+	crashLimit      = 3
+	extraStartLimit = 3
+	// storeRecoveryTime after a disturbance of the store its callers are in touch again; only
 	// the starts of those that are count.
-	contactTime = 3 * time.Second
+	storeRecoveryTime = 3 * time.Second
 )
 
-// SetStoreDisturbed tells whether the store is disturbed, which it is not at first.
-func (f *Fleet) SetStoreDisturbed(is bool) {
+// SetStoreFaulty tells whether the store is disturbed, which it is not at first.
+func (f *Fleet) SetStoreFaulty(is bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if is || f.storeDisturbed {
-		f.disturbedAt = f.config.Clock.Now()
+	if is || f.storeFaulty {
+		f.storeFaultyAt = f.config.Clock.Now()
 	}
-	f.storeDisturbed = is
+	f.storeFaulty = is
 }
 
-// inTouch tells whether starts count against the bound of crashing subtasks.
-func (f *Fleet) inTouch() bool {
-	return !f.storeDisturbed && f.config.Clock.Now().Sub(f.disturbedAt) >= contactTime
+// callersInContact tells whether starts count against the bound of crashing subtasks.
+func (f *Fleet) callersInContact() bool {
+	return !f.storeFaulty && f.config.Clock.Now().Sub(f.storeFaultyAt) >= storeRecoveryTime
 }
 
-// crashSoon brings a worker down under a run that has just begun.
-func (f *Fleet) crashSoon(w *SimWorker, id tw.SubtaskID) {
+// scheduleCrash brings a worker down under a run that has just begun.
+func (f *Fleet) scheduleCrash(w *SimWorker, id tw.SubtaskID) {
 	count := f.crashes[id]
-	if count.workers >= crashesCounted && f.inTouch() {
+	if count.workers >= crashLimit && f.callersInContact() {
 		count.starts++
 		f.crashes[id] = count
 	}
-	if count.starts >= startsAfter {
-		f.note("BUDGET: %s was started %d times more after %d workers had crashed under it", id, count.starts, crashesCounted)
+	if count.starts >= extraStartLimit {
+		f.addViolation("BUDGET: %s was started %d times more after %d workers had crashed under it", id, count.starts, crashLimit)
 	}
-	after := f.config.Clock.After(crashAfter)
+	after := f.config.Clock.After(crashDelay)
 	go func() {
 		<-after
 		f.mu.Lock()
@@ -58,7 +58,7 @@
 	if w.dead {
 		return
 	}
-	f.settle(w)
+	f.advance(w)
 	for id, r := range w.runs {
 		if r.profile.Crashes {
 			count := f.crashes[id]
@@ -67,8 +67,8 @@
 		}
 	}
 	f.crashed = append(f.crashed, w.Entry)
-	w.reset = true
-	w.end()
+	w.connReset = true
+	w.terminate()
 }
 
 // Crash ends a worker's life for a reason of its own.
@@ -78,8 +78,8 @@
 	f.crash(f.workers[id])
 }
 
-// Crashed lists the workers that have crashed since it was last called.
-func (f *Fleet) Crashed() []tw.WorkerEntry {
+// TakeCrashed lists the workers that have crashed since it was last called.
+func (f *Fleet) TakeCrashed() []tw.WorkerEntry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.crashed
@@ -87,8 +87,8 @@
 	return out
 }
 
-// CrashesUnder counts the workers that a subtask has brought down.
-func (f *Fleet) CrashesUnder(id tw.SubtaskID) int {
+// WorkersCrashedBy counts the workers that a subtask has brought down.
+func (f *Fleet) WorkersCrashedBy(id tw.SubtaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashes[id].workers
--- a/internal/standin/fleet_http.go
+++ b/internal/standin/fleet_http.go
@@ -26,8 +26,8 @@
 	Percent    int             `json:"percent"`
 }
 
-// reasonWords are the platform's words for refusals.
-var reasonWords = map[tw.RefusalReason]string{
+// refusalNames are the platform's words for refusals.
+var refusalNames = map[tw.RefusalReason]string{
 	tw.RefusedStaleFence: "fence", tw.RefusedStaleRun: "old", tw.RefusedDeadlinePassed: "late", tw.RefusedNoCapacity: "room", tw.RefusedTicket: "ticket",
 }
 
@@ -49,7 +49,7 @@
 				return
 			}
 			answer, clock, err := do(r, body, parseTask(body.Task))
-			f.answer(w, answer, clock, err)
+			f.writeResponse(w, answer, clock, err)
 		})
 	}
 	serve("/api/run-start", func(r *http.Request, b orderBody, task tw.SubtaskID) (any, tw.WorkerTime, error) {
@@ -75,7 +75,7 @@
 	return mux
 }
 
-func (f *Fleet) answer(w http.ResponseWriter, answer any, clock tw.WorkerTime, err error) {
+func (f *Fleet) writeResponse(w http.ResponseWriter, answer any, clock tw.WorkerTime, err error) {
 	var refused *tw.OrderRefusedError
 	switch {
 	case err == nil && answer != nil:
@@ -83,7 +83,7 @@
 	case err == nil:
 		writeJSON(w, http.StatusOK, map[string]any{"clockMs": clock})
 	case errors.As(err, &refused):
-		writeJSON(w, http.StatusConflict, map[string]any{"clockMs": refused.Clock, "reason": reasonWords[refused.Reason]})
+		writeJSON(w, http.StatusConflict, map[string]any{"clockMs": refused.Clock, "reason": refusalNames[refused.Reason]})
 	default:
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/fleet_lives.go
+++ b/internal/standin/fleet_lives.go
@@ -8,31 +8,31 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
-	f.settle(w)
-	w.end()
+	f.advance(w)
+	w.terminate()
 }
 
-// end ends a worker's life.
-func (w *SimWorker) end() {
+// terminate ends a worker's life.
+func (w *SimWorker) terminate() {
 	w.dead = true
 	w.runs = map[tw.SubtaskID]*simRun{}
-	w.late = nil
-	w.wake()
+	w.lateOrders = nil
+	w.notifyChanged()
 }
 
-// Reborn ends a worker's life and starts the next one at the same address, as a
+// RestartWithNewID ends a worker's life and starts the next one at the same address, as a
 // worker does that crashes and starts again. It returns the new life's entry.
-func (f *Fleet) Reborn(id, next tw.WorkerID) tw.WorkerEntry {
-	return f.nextLife(id, func(entry *tw.WorkerEntry) { entry.ID = next })
+func (f *Fleet) RestartWithNewID(id, next tw.WorkerID) tw.WorkerEntry {
+	return f.replaceWorker(id, func(entry *tw.WorkerEntry) { entry.ID = next })
 }
 
 // Restart does so under the worker's own id.
 func (f *Fleet) Restart(id tw.WorkerID, born tw.WorkerStartTime) tw.WorkerEntry {
-	return f.nextLife(id, func(entry *tw.WorkerEntry) { entry.StartTime = born })
+	return f.replaceWorker(id, func(entry *tw.WorkerEntry) { entry.StartTime = born })
 }
 
-// nextLife ends a worker's life and starts one whose entry differs by a change.
-func (f *Fleet) nextLife(id tw.WorkerID, change func(entry *tw.WorkerEntry)) tw.WorkerEntry {
+// replaceWorker ends a worker's life and starts one whose entry differs by a change.
+func (f *Fleet) replaceWorker(id tw.WorkerID, change func(entry *tw.WorkerEntry)) tw.WorkerEntry {
 	f.Kill(id)
 	f.mu.Lock()
 	entry := f.workers[id].Entry
@@ -42,8 +42,8 @@
 	return entry
 }
 
-// livesAt tells whether a living worker listens at an address.
-func (f *Fleet) livesAt(address string) bool {
+// hasLiveWorkerAt tells whether a living worker listens at an address.
+func (f *Fleet) hasLiveWorkerAt(address string) bool {
 	for _, w := range f.workers {
 		if !w.dead && w.Entry.Address == address {
 			return true
--- a/internal/standin/fleet_orders.go
+++ b/internal/standin/fleet_orders.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// fullPace is the whole, in percent: of the pace of a lasting subtask, and
+	// fullPercent is the whole, in percent: of the pace of a lasting subtask, and
 	// of the work of any other.
-	fullPace = 100
-	// silence is when the callers of a silent worker give up.
-	silence = time.Second
+	fullPercent = 100
+	// noAnswerTimeout is when the callers of a silent worker give up.
+	noAnswerTimeout = time.Second
 )
 
 var _ tw.WorkerOrders = (*Fleet)(nil)
 
 // Start implements tw.WorkerOrders.
 func (f *Fleet) Start(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
-	w, err := f.reach(ctx, to)
+	w, err := f.connect(ctx, to)
 	if err != nil {
 		return 0, err
 	}
 	defer f.mu.Unlock()
 	if w.LateStarts > 0 {
 		w.LateStarts--
-		w.late = append(w.late, order)
+		w.lateOrders = append(w.lateOrders, order)
 		return 0, errors.Wrap(tw.ErrAmbiguous, "standin: late start")
 	}
 	return f.start(w, order, false)
@@ -37,7 +37,7 @@
 
 // start carries out an order; late says that it waited at the worker.
 func (f *Fleet) start(w *SimWorker, order tw.StartOrder, late bool) (tw.WorkerTime, error) {
-	f.settle(w)
+	f.advance(w)
 	if refused := w.admit(f, order.Fence, order.Deadline); refused != nil {
 		return 0, refused
 	}
@@ -45,100 +45,100 @@
 	if have := w.runs[order.Subtask]; have != nil && have.run == order.Run {
 		return now, nil
 	}
-	if order.Run <= w.barred[order.Subtask] || w.runs[order.Subtask] != nil {
+	if order.Run <= w.closedRuns[order.Subtask] || w.runs[order.Subtask] != nil {
 		return now, &tw.OrderRefusedError{Reason: tw.RefusedStaleRun, Clock: now}
 	}
 	profile, known := f.profiles[order.Subtask]
 	if !known {
-		f.note("UNASKED: %s", order.Subtask)
+		f.addViolation("UNASKED: %s", order.Subtask)
 		return now, nil
 	}
-	f.check(w, order, profile)
+	f.checkStart(w, order, profile)
 	since, evacuated := f.evacuated[w.Entry.Hall]
-	if evacuated && !late && f.config.Clock.Now().Sub(since) > f.config.EvacuateTime {
-		f.note("EVAC: %s on %s", order.Subtask, w.Entry.ID)
+	if evacuated && !late && f.config.Clock.Now().Sub(since) > f.config.EvacuationGrace {
+		f.addViolation("EVAC: %s on %s", order.Subtask, w.Entry.ID)
 	}
-	w.runs[order.Subtask] = &simRun{run: order.Run, started: f.config.Clock.Now(), profile: profile, pace: fullPace}
+	w.runs[order.Subtask] = &simRun{run: order.Run, started: f.config.Clock.Now(), profile: profile, pace: fullPercent}
 	f.starts++
-	f.begun[order.Subtask.Submission] = true
-	w.wake()
+	f.everStarted[order.Subtask.Submission] = true
+	w.notifyChanged()
 	if profile.Crashes {
-		f.crashSoon(w, order.Subtask)
+		f.scheduleCrash(w, order.Subtask)
 	}
 	return now, nil
 }
 
-// check notes the promises that a start breaks.
-func (f *Fleet) check(w *SimWorker, order tw.StartOrder, p Profile) {
+// checkStart notes the promises that a start breaks.
+func (f *Fleet) checkStart(w *SimWorker, order tw.StartOrder, p Profile) {
 	free := w.Entry.Capacity
-	if f.config.Clock.Now().Before(w.roomUntil) {
-		free = w.formerly
+	if f.config.Clock.Now().Before(w.previousCapacityUntil) {
+		free = w.previousCapacity
 	}
 	for _, r := range w.runs {
 		free = free.Minus(r.profile.Need)
 	}
 	if !free.Fits(p.Need) {
-		f.note("LIMIT: %s on %s", order.Subtask, w.Entry.ID)
+		f.addViolation("LIMIT: %s on %s", order.Subtask, w.Entry.ID)
 	}
 	if limit := f.caps[p.Organisation]; !limit.Allows(f.usage(p.Organisation).Plus(p.Need)) {
-		f.note("QUOTA: %s of %s", order.Subtask, p.Organisation)
+		f.addViolation("QUOTA: %s of %s", order.Subtask, p.Organisation)
 	}
-	if !p.Copies && f.running(order.Subtask) > 0 {
-		f.note("TWICE: %s runs elsewhere", order.Subtask)
+	if !p.AllowCopies && f.running(order.Subtask) > 0 {
+		f.addViolation("TWICE: %s runs elsewhere", order.Subtask)
 	}
-	if !p.Copies && f.noted[order.Subtask] {
-		f.note("TWICE: %s was done", order.Subtask)
+	if !p.AllowCopies && f.acked[order.Subtask] {
+		f.addViolation("TWICE: %s was done", order.Subtask)
 	}
-	f.noteAgain(order.Subtask)
+	f.markRestarted(order.Subtask)
 	for _, earlier := range p.After {
 		if !f.done[earlier] {
-			f.note("ORDER: %s before %s", order.Subtask, earlier)
+			f.addViolation("ORDER: %s before %s", order.Subtask, earlier)
 		}
 	}
-	if p.MaxAttempts > 0 && f.failed[order.Subtask] >= p.MaxAttempts {
-		f.note("BUDGET: %s", order.Subtask)
+	if p.MaxAttempts > 0 && f.failures[order.Subtask] >= p.MaxAttempts {
+		f.addViolation("BUDGET: %s", order.Subtask)
 	}
 }
 
-// noteAgain notes a start at the ends as done that the subtask has had: should the
+// markRestarted notes a start at the ends as done that the subtask has had: should the
 // caller confirm one of them later, it knew of work that it did twice.
-func (f *Fleet) noteAgain(id tw.SubtaskID) {
+func (f *Fleet) markRestarted(id tw.SubtaskID) {
 	for _, w := range f.workers {
 		for _, e := range w.ended {
 			if e.Subtask == id && e.Kind == tw.EndDone {
-				w.again[e.Sequence] = true
+				w.restartedAfter[e.Sequence] = true
 			}
 		}
 	}
 }
 
-func (f *Fleet) note(format string, args ...any) {
-	f.broken = append(f.broken, fmt.Sprintf(format, args...))
+func (f *Fleet) addViolation(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
 // Stop implements tw.WorkerOrders.
 func (f *Fleet) Stop(ctx context.Context, to tw.WorkerRef, order tw.StopOrder) (tw.WorkerTime, error) {
-	w, err := f.reach(ctx, to)
+	w, err := f.connect(ctx, to)
 	if err != nil {
 		return 0, err
 	}
 	defer f.mu.Unlock()
-	f.settle(w)
+	f.advance(w)
 	if refused := w.admit(f, order.Fence, 0); refused != nil {
 		return 0, refused
 	}
 	now := f.config.Clock.Now()
-	w.barred[order.Subtask] = max(w.barred[order.Subtask], order.Run)
+	w.closedRuns[order.Subtask] = max(w.closedRuns[order.Subtask], order.Run)
 	if r := w.runs[order.Subtask]; r != nil && r.run <= order.Run && r.stopAt.IsZero() {
 		r.stopAt = now.Add(f.config.StopTime)
-		w.wake()
+		w.notifyChanged()
 	}
 	return w.clock(now), nil
 }
 
 // Pace implements tw.WorkerOrders.
 func (f *Fleet) Pace(ctx context.Context, to tw.WorkerRef, order tw.PaceOrder) (tw.WorkerTime, error) {
-	w, err := f.reach(ctx, to)
+	w, err := f.connect(ctx, to)
 	if err != nil {
 		return 0, err
 	}
@@ -156,16 +156,16 @@
 func (f *Fleet) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
 	until := f.config.Clock.Now().Add(order.Wait)
 	for {
-		w, err := f.reach(ctx, to)
+		w, err := f.connect(ctx, to)
 		if err != nil {
 			return tw.HoldReport{}, err
 		}
-		f.settle(w)
+		f.advance(w)
 		if refused := w.admit(f, order.Fence, order.Deadline); refused != nil {
 			f.mu.Unlock()
 			return tw.HoldReport{}, refused
 		}
-		f.forget(w, order.AckedSequence)
+		f.acknowledge(w, order.AckedSequence)
 		now := f.config.Clock.Now()
 		if len(w.ended) > 0 || !now.Before(until) {
 			report := w.report(f)
@@ -184,9 +184,9 @@
 	}
 }
 
-// reach finds a worker, or fails as the network would. If it succeeds, the
+// connect finds a worker, or fails as the network would. If it succeeds, the
 // lock is held.
-func (f *Fleet) reach(ctx context.Context, to tw.WorkerRef) (*SimWorker, error) {
+func (f *Fleet) connect(ctx context.Context, to tw.WorkerRef) (*SimWorker, error) {
 	if f.config.Latency > 0 {
 		select {
 		case <-f.config.Clock.After(f.config.Latency):
@@ -204,20 +204,20 @@
 		f.mu.Unlock()
 		return nil, errors.Wrap(tw.ErrUnavailable, "standin: nobody listens there")
 	}
-	if w.dead && f.livesAt(w.Entry.Address) {
+	if w.dead && f.hasLiveWorkerAt(w.Entry.Address) {
 		f.mu.Unlock()
 		return nil, &tw.OrderRefusedError{Reason: tw.RefusedOtherIncarnation}
 	}
 	if !w.Silent && !w.dead {
 		return w, nil
 	}
-	reset := w.reset
+	reset := w.connReset
 	f.mu.Unlock()
 	if reset {
 		return nil, errors.Wrap(tw.ErrAmbiguous, "standin: connection reset")
 	}
 	select {
-	case <-f.config.Clock.After(silence):
+	case <-f.config.Clock.After(noAnswerTimeout):
 	case <-ctx.Done():
 	}
 	return nil, errors.Wrap(tw.ErrAmbiguous, "standin: no answer")
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -20,7 +20,7 @@
 		g := NewWithT(t)
 		fleet := standin.FleetConfig{MaxHold: 6 * time.Second, StopTime: 100 * time.Millisecond}.New()
 		s := &tw.Submission{ID: "s1", Steps: []tw.Step{{Count: 1, Estimate: time.Second}}}
-		fleet.Expect(s, nil)
+		fleet.RegisterSubmission(s, nil)
 		id := tw.SubtaskID{Submission: "s1"}
 		refs := make([]tw.WorkerRef, 2)
 		for n, worker := range []tw.WorkerID{"w0", "w1"} {
@@ -42,6 +42,6 @@
 		g.Expect(fleet.Running(id)).To(BeZero())
 		_, err = fleet.Hold(t.Context(), refs[0], tw.HoldOrder{AckedSequence: 1})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(fleet.Broken()).To(ContainElement(HavePrefix("TWICE")))
+		g.Expect(fleet.Violations()).To(ContainElement(HavePrefix("TWICE")))
 	})
 }
--- a/internal/standin/fleet_worker.go
+++ b/internal/standin/fleet_worker.go
@@ -9,7 +9,7 @@
 
 // clock is the worker's own clock.
 func (w *SimWorker) clock(now time.Time) tw.WorkerTime {
-	return tw.WorkerTime(now.Sub(w.boot).Milliseconds()) + clockStart
+	return tw.WorkerTime(now.Sub(w.bootedAt).Milliseconds()) + clockStart
 }
 
 // clockStart is what a worker's clock shows at its start.
@@ -25,7 +25,7 @@
 	if deadline == 0 {
 		return nil
 	}
-	until := w.boot.Add(time.Duration(deadline-clockStart) * time.Millisecond)
+	until := w.bootedAt.Add(time.Duration(deadline-clockStart) * time.Millisecond)
 	if until.Before(now) {
 		return &tw.OrderRefusedError{Reason: tw.RefusedDeadlinePassed, Clock: w.clock(now)}
 	}
@@ -38,11 +38,11 @@
 	return nil
 }
 
-// settle brings a worker's runs up to the present time.
-func (f *Fleet) settle(w *SimWorker) {
+// advance brings a worker's runs up to the present time.
+func (f *Fleet) advance(w *SimWorker) {
 	now := f.config.Clock.Now()
 	lapsed := !w.deadline.IsZero() && now.After(w.deadline)
-	for _, id := range w.order() {
+	for _, id := range w.runsByEnd() {
 		r := w.runs[id]
 		end, kind := w.endOf(r)
 		if lapsed && (end.IsZero() || end.After(w.deadline)) {
@@ -54,12 +54,12 @@
 		f.finish(w, id, r, kind)
 	}
 	if lapsed {
-		w.lapsedUpTo = w.sequence
+		w.expiredUpTo = w.sequence
 	}
 }
 
-// order lists the runs by their end, as it decides their sequence.
-func (w *SimWorker) order() []tw.SubtaskID {
+// runsByEnd lists the runs by their end, as it decides their sequence.
+func (w *SimWorker) runsByEnd() []tw.SubtaskID {
 	ids := make([]tw.SubtaskID, 0, len(w.runs))
 	for id := range w.runs {
 		ids = append(ids, id)
@@ -83,7 +83,7 @@
 	switch {
 	case w.FailAll || r.profile.Fails:
 		return r.started.Add(r.profile.Duration), tw.EndFailed
-	case w.Hang || r.profile.Hangs || r.profile.Lasting:
+	case w.Hang || r.profile.Hangs || r.profile.LongRunning:
 		return time.Time{}, ""
 	}
 	return r.started.Add(r.profile.Duration), tw.EndDone
@@ -92,34 +92,34 @@
 func (f *Fleet) finish(w *SimWorker, id tw.SubtaskID, r *simRun, kind tw.EndKind) {
 	delete(w.runs, id)
 	w.sequence++
-	w.barred[id] = max(w.barred[id], r.run)
+	w.closedRuns[id] = max(w.closedRuns[id], r.run)
 	w.ended = append(w.ended, tw.EndedSubtask{Sequence: w.sequence, Subtask: id, Run: r.run, Kind: kind})
 	switch kind {
 	case tw.EndDone:
 		f.done[id] = true
 	case tw.EndFailed:
-		f.failed[id]++
+		f.failures[id]++
 	}
-	w.wake()
+	w.notifyChanged()
 }
 
-// forget drops the ends that the caller has recorded. From then on a subtask
+// acknowledge drops the ends that the caller has recorded. From then on a subtask
 // that is done must not run; if its worker's grants ran out before the caller
 // could learn of the end, it may have been started again before that.
-func (f *Fleet) forget(w *SimWorker, seen int64) {
+func (f *Fleet) acknowledge(w *SimWorker, seen int64) {
 	for _, e := range w.ended {
-		if e.Sequence > seen || e.Kind != tw.EndDone || f.noted[e.Subtask] {
+		if e.Sequence > seen || e.Kind != tw.EndDone || f.acked[e.Subtask] {
 			continue
 		}
-		f.noted[e.Subtask] = true
-		if f.profiles[e.Subtask].Copies || e.Sequence <= w.lapsedUpTo {
+		f.acked[e.Subtask] = true
+		if f.profiles[e.Subtask].AllowCopies || e.Sequence <= w.expiredUpTo {
 			continue
 		}
 		switch {
 		case f.running(e.Subtask) > 0:
-			f.note("TWICE: %s runs though it is done", e.Subtask)
-		case w.again[e.Sequence]:
-			f.note("TWICE: %s was started again though it was done", e.Subtask)
+			f.addViolation("TWICE: %s runs though it is done", e.Subtask)
+		case w.restartedAfter[e.Sequence]:
+			f.addViolation("TWICE: %s was started again though it was done", e.Subtask)
 		}
 	}
 	w.ended = slices.DeleteFunc(w.ended, func(e tw.EndedSubtask) bool { return e.Sequence <= seen })
@@ -130,24 +130,24 @@
 	out := tw.HoldReport{StartTime: w.Entry.StartTime, Clock: w.clock(now), Ended: slices.Clone(w.ended)}
 	for id, r := range w.runs {
 		running := tw.RunningSubtask{Subtask: id, Run: r.run, Percent: w.percent(f, r, now)}
-		if r.profile.Serves {
-			running.TailLatency = w.tail()
+		if r.profile.LatencySensitive {
+			running.TailLatency = w.tailLatency()
 		}
 		out.Running = append(out.Running, running)
 	}
 	return out
 }
 
-// tail is the tail latency of what serves here.
-func (w *SimWorker) tail() time.Duration {
-	return w.Tail + w.Disturbance*time.Duration(w.fillerPace())/fullPace
+// tailLatency is the tail latency of what serves here.
+func (w *SimWorker) tailLatency() time.Duration {
+	return w.TailLatency + w.FillerInterference*time.Duration(w.fillerPace())/fullPercent
 }
 
 // fillerPace is the highest pace of the fillers here, in percent.
 func (w *SimWorker) fillerPace() int {
 	pace := 0
 	for _, r := range w.runs {
-		if r.profile.Fills {
+		if r.profile.Filler {
 			pace = max(pace, r.pace)
 		}
 	}
@@ -157,12 +157,12 @@
 func (w *SimWorker) percent(f *Fleet, r *simRun, now time.Time) int {
 	ran := now.Sub(r.started)
 	switch {
-	case r.profile.Lasting && ran >= f.config.StartTime:
+	case r.profile.LongRunning && ran >= f.config.StartupTime:
 		return r.pace
-	case r.profile.Lasting || w.Hang || r.profile.Hangs || r.profile.Duration == 0:
+	case r.profile.LongRunning || w.Hang || r.profile.Hangs || r.profile.Duration == 0:
 		return 0
 	}
-	return int(fullPace * ran / r.profile.Duration)
+	return int(fullPercent * ran / r.profile.Duration)
 }
 
 // nextChange is when a run may end next.
@@ -179,7 +179,7 @@
 	return next
 }
 
-func (w *SimWorker) wake() {
+func (w *SimWorker) notifyChanged() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -30,22 +30,22 @@
 		revision tw.KVRevision
 		items    map[tw.Key]tw.KVItem
 		history  []tw.KVEvent
-		// forgotten is the last revision that is not in the history any more.
-		forgotten tw.KVRevision
-		leases    map[tw.KVLeaseID]time.Time
-		nextLease tw.KVLeaseID
-		changed   chan struct{} // closed and replaced at each change
-		faults    KVFaults
-		late      []tw.KVTxn
-		calls     int
+		// compactedRevision is the last revision that is not in the history any more.
+		compactedRevision tw.KVRevision
+		leases            map[tw.KVLeaseID]time.Time
+		nextLease         tw.KVLeaseID
+		changed           chan struct{} // closed and replaced at each change
+		faults            KVFaults
+		lateTxns          []tw.KVTxn
+		calls             int
 	}
 
 	// KVFaults are what a KV does wrong from now on.
 	KVFaults struct {
 		// Down refuses every call.
 		Down bool `json:"down"`
-		// Limited refuses every call for its rate.
-		Limited bool `json:"limited"`
+		// RateLimited refuses every call for its rate.
+		RateLimited bool `json:"limited"`
 		// LoseAnswers of the next n writes are lost after taking effect.
 		LoseAnswers int `json:"lose_answers"`
 		// LateWrites: the next n writes get no answer and wait for DoLate.
@@ -77,23 +77,23 @@
 	k.faults = f
 }
 
-// DoLate carries out the writes that got no answer, if their conditions hold.
-func (k *KV) DoLate() {
+// ApplyLateWrites carries out the writes that got no answer, if their conditions hold.
+func (k *KV) ApplyLateWrites() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, txn := range k.late {
+	for _, txn := range k.lateTxns {
 		_, _ = k.apply(txn) // nobody waits for the answer
 	}
-	k.late = nil
+	k.lateTxns = nil
 }
 
-// ForgetHistory makes watches from earlier revisions fail.
-func (k *KV) ForgetHistory() {
+// CompactHistory makes watches from earlier revisions fail.
+func (k *KV) CompactHistory() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.history = nil
-	k.forgotten = k.revision
-	k.wake()
+	k.compactedRevision = k.revision
+	k.notifyChanged()
 }
 
 // RevokeLeases ends all leases before their time.
@@ -162,11 +162,11 @@
 		if err := k.begin(ctx); err != nil {
 			return nil, 0, err
 		}
-		if after < k.forgotten {
+		if after < k.compactedRevision {
 			k.mu.Unlock()
 			return nil, 0, tw.ErrHistoryGone
 		}
-		events := k.since(prefix, after)
+		events := k.eventsSince(prefix, after)
 		if k.faults.MuteWatches {
 			events = nil
 		}
@@ -196,7 +196,7 @@
 	defer k.mu.Unlock()
 	if k.faults.LateWrites > 0 {
 		k.faults.LateWrites--
-		k.late = append(k.late, txn)
+		k.lateTxns = append(k.lateTxns, txn)
 		return 0, errors.Wrap(tw.ErrAmbiguous, "standin: late write")
 	}
 	revision, err := k.apply(txn)
@@ -227,12 +227,12 @@
 	if _, found := k.leases[lease]; !found {
 		return tw.ErrNotFound
 	}
-	k.leases[lease] = k.config.Clock.Now().Add(renewal)
+	k.leases[lease] = k.config.Clock.Now().Add(renewedTTL)
 	return nil
 }
 
-// renewal is what a renewed lease gets, however long it was first.
-const renewal = 1500 * time.Millisecond
+// renewedTTL is what a renewed lease gets, however long it was first.
+const renewedTTL = 1500 * time.Millisecond
 
 // Revoke implements tw.KV.
 func (k *KV) Revoke(ctx context.Context, lease tw.KVLeaseID) error {
@@ -269,7 +269,7 @@
 	case k.faults.Down:
 		k.mu.Unlock()
 		return errors.Wrap(tw.ErrUnavailable, "standin: down")
-	case k.faults.Limited:
+	case k.faults.RateLimited:
 		k.mu.Unlock()
 		return errors.Wrap(tw.ErrRateLimited, "standin: limited")
 	}
@@ -277,7 +277,7 @@
 }
 
 func (k *KV) apply(txn tw.KVTxn) (tw.KVRevision, error) {
-	if conflict := k.check(txn.Conditions); conflict != nil {
+	if conflict := k.checkConditions(txn.Conditions); conflict != nil {
 		return 0, conflict
 	}
 	for _, put := range txn.Puts {
@@ -294,11 +294,11 @@
 	for _, key := range txn.Removes {
 		k.remove(key)
 	}
-	k.wake()
+	k.notifyChanged()
 	return k.revision, nil
 }
 
-func (k *KV) check(conditions []tw.KVCondition) error {
+func (k *KV) checkConditions(conditions []tw.KVCondition) error {
 	conflict := &tw.KVConflictError{}
 	failed := false
 	for _, c := range conditions {
@@ -330,10 +330,10 @@
 			k.remove(key)
 		}
 	}
-	k.wake()
+	k.notifyChanged()
 }
 
-func (k *KV) since(prefix tw.Key, after tw.KVRevision) []tw.KVEvent {
+func (k *KV) eventsSince(prefix tw.Key, after tw.KVRevision) []tw.KVEvent {
 	var out []tw.KVEvent
 	for _, e := range k.history {
 		if e.Item.Revision > after && strings.HasPrefix(string(e.Item.Key), string(prefix)) {
@@ -343,7 +343,7 @@
 	return out
 }
 
-func (k *KV) wake() {
+func (k *KV) notifyChanged() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
--- a/internal/standin/kv_http.go
+++ b/internal/standin/kv_http.go
@@ -37,9 +37,9 @@
 	}
 )
 
-// pageItems bounds a page, far below the platform's 500, so that tests see
+// kvPageSize bounds a page, far below the platform's 500, so that tests see
 // several.
-const pageItems = 3
+const kvPageSize = 3
 
 // Handler serves the store by the platform's published protocol.
 func (k *KV) Handler() http.Handler {
@@ -56,14 +56,14 @@
 
 func (k *KV) serveKey(w http.ResponseWriter, r *http.Request) {
 	item, err := k.Get(r.Context(), tw.Key(r.URL.Query().Get("tlsKey")))
-	if !answerError(w, err) {
+	if !writeError(w, err) {
 		writeJSON(w, http.StatusOK, messageOf(item))
 	}
 }
 
 func (k *KV) serveRange(w http.ResponseWriter, r *http.Request) {
 	items, at, err := k.Range(r.Context(), tw.Key(r.URL.Query().Get("pathPrefix")))
-	if answerError(w, err) {
+	if writeError(w, err) {
 		return
 	}
 	after := tw.Key(r.URL.Query().Get("dependsOn"))
@@ -73,7 +73,7 @@
 		if item.Key <= after {
 			continue
 		}
-		if len(page) == pageItems {
+		if len(page) == kvPageSize {
 			more = true
 			break
 		}
@@ -87,7 +87,7 @@
 	after, _ := strconv.ParseInt(query.Get("dependsOn"), 10, 64)
 	wait, _ := strconv.ParseInt(query.Get("waitMs"), 10, 64)
 	events, at, err := k.Watch(r.Context(), tw.Key(query.Get("pathPrefix")), tw.KVRevision(after), time.Duration(wait)*time.Millisecond)
-	if answerError(w, err) {
+	if writeError(w, err) {
 		return
 	}
 	list := []kvMessage{}
@@ -113,7 +113,7 @@
 		txn.Puts = append(txn.Puts, tw.KVPut(p))
 	}
 	revision, err := k.Commit(r.Context(), txn)
-	if !answerError(w, err) {
+	if !writeError(w, err) {
 		writeJSON(w, http.StatusOK, map[string]any{"revision": revision})
 	}
 }
@@ -127,19 +127,19 @@
 		return
 	}
 	lease, ttl, err := k.Grant(r.Context(), time.Duration(message.TTL)*time.Millisecond)
-	if !answerError(w, err) {
+	if !writeError(w, err) {
 		writeJSON(w, http.StatusOK, map[string]any{"lease": lease, "ttl_ms": ttl.Milliseconds()})
 	}
 }
 
 func (k *KV) serveRenew(w http.ResponseWriter, r *http.Request) {
-	if !answerError(w, k.Renew(r.Context(), leaseOf(r))) {
-		writeJSON(w, http.StatusOK, map[string]any{"ttl_ms": renewal.Milliseconds()})
+	if !writeError(w, k.Renew(r.Context(), leaseOf(r))) {
+		writeJSON(w, http.StatusOK, map[string]any{"ttl_ms": renewedTTL.Milliseconds()})
 	}
 }
 
 func (k *KV) serveRevoke(w http.ResponseWriter, r *http.Request) {
-	if !answerError(w, k.Revoke(r.Context(), leaseOf(r))) {
+	if !writeError(w, k.Revoke(r.Context(), leaseOf(r))) {
 		writeJSON(w, http.StatusOK, map[string]any{})
 	}
 }
@@ -153,9 +153,9 @@
 	return kvMessage{Key: item.Key, Value: item.Value, Revision: item.Revision, Lease: item.Lease}
 }
 
-// answerError answers with the status of an error; false if there is none. An
+// writeError answers with the status of an error; false if there is none. An
 // unclear outcome is a connection that ends without an answer.
-func answerError(w http.ResponseWriter, err error) bool {
+func writeError(w http.ResponseWriter, err error) bool {
 	var conflict *tw.KVConflictError
 	switch {
 	case err == nil:
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -24,14 +24,14 @@
 type (
 	// LoadConfig configures a bounded stream of requests.
 	LoadConfig struct {
-		Entries  []string // gateway addresses, in place of the balancer
+		Targets  []string // gateway addresses, in place of the balancer
 		Streams  []Stream
 		Requests int     // in all
 		Warmup   int     // of these, the first are left out of latency and work
 		Rate     float64 // a second; open loop
 		Timeout  time.Duration
-		// Runs tells the upstreams' own records once the stream has ended.
-		Runs func() (Runs, error)
+		// CollectRuns tells the upstreams' own records once the stream has ended.
+		CollectRuns func() (Runs, error)
 		// Job is for a load that goes to an upstream directly.
 		Job tw.JobID
 		// Repeat sends each request this many more times under the same id,
@@ -52,59 +52,59 @@
 		Share  int  // of the mix
 	}
 
-	// load is a stream under way.
-	load struct {
+	// loadRun is a stream under way.
+	loadRun struct {
 		LoadConfig
-		client *http.Client
-		turn   atomic.Uint64
-		// timing is true from the end of the warm-up to the last request.
-		timing atomic.Bool
+		client     *http.Client
+		nextTarget atomic.Uint64
+		// measuring is true from the end of the warm-up to the last request.
+		measuring atomic.Bool
 
-		mu     sync.Mutex
-		report Report
-		fates  map[string]fate
+		mu       sync.Mutex
+		report   Report
+		outcomes map[string]callerOutcome
 	}
 
-	// fate is what the caller of one request was told.
-	fate struct {
-		answered bool
-		notRun   bool // every answer it got said so
-		keyed    bool
-		once     bool // may not be repeated
+	// callerOutcome is what the caller of one request was told.
+	callerOutcome struct {
+		answered      bool
+		notRun        bool // every answer it got said so
+		keyed         bool
+		nonIdempotent bool // may not be repeated
 	}
 )
 
-// errLoad is a load that asks for nothing.
-var errLoad = errors.New("standin: load needs entries, streams and a rate")
+// errIncompleteLoad is a load that asks for nothing.
+var errIncompleteLoad = errors.New("standin: load needs entries, streams and a rate")
 
 // Run sends the stream and counts what became of it.
 func (c LoadConfig) Run(ctx context.Context) (Report, error) {
-	if len(c.Entries) == 0 || len(c.Streams) == 0 || c.Rate <= 0 {
-		return Report{}, errLoad
+	if len(c.Targets) == 0 || len(c.Streams) == 0 || c.Rate <= 0 {
+		return Report{}, errIncompleteLoad
 	}
-	l := &load{
+	l := &loadRun{
 		LoadConfig: c,
 		client:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}, Timeout: c.Timeout},
 		report:     newReport(),
-		fates:      map[string]fate{},
+		outcomes:   map[string]callerOutcome{},
 	}
 	start := time.Now()
 	l.sendAll(ctx, start)
 	l.report.Took = time.Since(start)
 	l.client.CloseIdleConnections()
-	runs, err := c.Runs()
+	runs, err := c.CollectRuns()
 	if err != nil {
 		return Report{}, err
 	}
-	l.settle(runs)
+	l.reconcile(runs)
 	return l.report, nil
 }
 
 // sendAll keeps to the rate whatever the answers do.
-func (l *load) sendAll(ctx context.Context, start time.Time) {
+func (l *loadRun) sendAll(ctx context.Context, start time.Time) {
 	var sent sync.WaitGroup
 	defer sent.Wait()
-	defer l.timing.Store(false)
+	defer l.measuring.Store(false)
 	mix := l.mix()
 	for i := range l.Requests {
 		due := start.Add(time.Duration(float64(i) / l.Rate * float64(time.Second)))
@@ -114,7 +114,7 @@
 		case <-time.After(time.Until(due)):
 		}
 		if i == l.Warmup {
-			l.timing.Store(true)
+			l.measuring.Store(true)
 		}
 		stream := mix[i%len(mix)]
 		sent.Go(func() { l.sendOne(ctx, stream, i >= l.Warmup) })
@@ -122,7 +122,7 @@
 }
 
 // mix lays the streams out by their shares.
-func (l *load) mix() []Stream {
+func (l *loadRun) mix() []Stream {
 	var out []Stream
 	for _, s := range l.Streams {
 		for range max(1, s.Share) {
@@ -133,18 +133,18 @@
 }
 
 // sendOne sends a request, and its repeats under the same key.
-func (l *load) sendOne(ctx context.Context, s Stream, timed bool) {
+func (l *loadRun) sendOne(ctx context.Context, s Stream, timed bool) {
 	id := rand.Text()
-	f := fate{notRun: true, keyed: s.Keyed, once: s.Method == http.MethodPost}
+	f := callerOutcome{notRun: true, keyed: s.Keyed, nonIdempotent: s.Method == http.MethodPost}
 	for range 1 + l.Repeat {
 		l.exchange(ctx, s, id, &f, timed)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fates[id] = f
+	l.outcomes[id] = f
 }
 
-func (l *load) exchange(ctx context.Context, s Stream, id string, f *fate, timed bool) {
+func (l *loadRun) exchange(ctx context.Context, s Stream, id string, f *callerOutcome, timed bool) {
 	payload := "body of " + id
 	start := time.Now()
 	resp, body, err := l.do(ctx, s, id, payload)
@@ -159,15 +159,15 @@
 		l.report.Cut++
 		f.notRun = false
 	case resp.Header.Get(gateway.HeaderReason) != "":
-		l.report.refusal(resp, took)
+		l.report.addRefusal(resp, took)
 		f.notRun = f.notRun && resp.Header.Get(gateway.HeaderOutcome) == string(gateway.NotRun)
 	default:
 		f.notRun, f.answered = false, true
 		l.report.Answered++
 		if timed {
-			l.report.answer(s, took)
+			l.report.addAnswer(s, took)
 		}
-		if l.timing.Load() {
+		if l.measuring.Load() {
 			l.report.Worked += s.Work
 		}
 		if !matches(body, id, payload) {
@@ -181,9 +181,9 @@
 
 // do sends to the next entry, and on to another if the connection is refused,
 // as the balancer does.
-func (l *load) do(ctx context.Context, s Stream, id, payload string) (*http.Response, []byte, error) {
-	for range l.Entries {
-		entry := l.Entries[l.turn.Add(1)%uint64(len(l.Entries))]
+func (l *loadRun) do(ctx context.Context, s Stream, id, payload string) (*http.Response, []byte, error) {
+	for range l.Targets {
+		entry := l.Targets[l.nextTarget.Add(1)%uint64(len(l.Targets))]
 		req, err := l.request(ctx, s, entry, id, payload)
 		if err != nil {
 			return nil, nil, err
@@ -202,7 +202,7 @@
 	return nil, nil, errNotSent
 }
 
-func (l *load) request(ctx context.Context, s Stream, entry, id, payload string) (*http.Request, error) {
+func (l *loadRun) request(ctx context.Context, s Stream, entry, id, payload string) (*http.Request, error) {
 	// Not a *strings.Reader: the client would set GetBody and repeat.
 	body := io.NopCloser(io.MultiReader(strings.NewReader(payload)))
 	req, err := http.NewRequestWithContext(ctx, s.Method, fmt.Sprintf("http://%s%s", entry, s.Path), body)
@@ -229,9 +229,9 @@
 	return req, nil
 }
 
-// settle compares what the callers were told with what the upstreams did.
-func (l *load) settle(runs Runs) {
-	for id, f := range l.fates {
+// reconcile compares what the callers were told with what the upstreams did.
+func (l *loadRun) reconcile(runs Runs) {
+	for id, f := range l.outcomes {
 		n := runs[id]
 		switch {
 		case f.answered && n == 0:
@@ -239,7 +239,7 @@
 		case f.notRun && n > 0:
 			l.report.FalseNotRun++
 		}
-		if n > 1 && f.once {
+		if n > 1 && f.nonIdempotent {
 			l.report.Doubled++
 		}
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -17,9 +17,9 @@
 		// AutoRun lets tasks run as soon as they are started, without an
 		// upstream that takes them.
 		AutoRun bool
-		// Silence is how long an upstream may be silent before it is no
+		// SilenceTimeout is how long an upstream may be silent before it is no
 		// longer listed. 0 means for ever.
-		Silence time.Duration
+		SilenceTimeout time.Duration
 	}
 
 	// Platform is an in-memory platform. It implements tw.Store,
@@ -27,18 +27,18 @@
 	Platform struct {
 		config PlatformConfig
 
-		mu        sync.Mutex
-		faults    Faults
-		values    map[tw.Key]tw.Item
-		changed   chan struct{} // closed and replaced at each change
-		leases    map[tw.Key]lease
-		version   uint64 // of the instance list
-		instances map[tw.InstanceID]tw.Instance
-		heard     map[tw.InstanceID]time.Time
-		stale     map[tw.HallID]tw.InstanceSnapshot
-		tasks     map[tw.TaskID]tw.Task
-		ended     map[tw.TaskID]bool
-		calls     Calls
+		mu             sync.Mutex
+		faults         Faults
+		values         map[tw.Key]tw.Item
+		changed        chan struct{} // closed and replaced at each change
+		leases         map[tw.Key]lease
+		version        uint64 // of the instance list
+		instances      map[tw.InstanceID]tw.Instance
+		lastReport     map[tw.InstanceID]time.Time
+		staleSnapshots map[tw.HallID]tw.InstanceSnapshot
+		tasks          map[tw.TaskID]tw.Task
+		endedTasks     map[tw.TaskID]bool
+		calls          Calls
 	}
 
 	// Faults are what a platform does wrong from now on.
@@ -58,7 +58,7 @@
 
 	lease struct {
 		tw.Lease
-		until time.Time
+		expiresAt time.Time
 	}
 )
 
@@ -74,15 +74,15 @@
 		c.Clock = tw.SystemClock{}
 	}
 	return &Platform{
-		config:    c,
-		values:    map[tw.Key]tw.Item{},
-		changed:   make(chan struct{}),
-		leases:    map[tw.Key]lease{},
-		instances: map[tw.InstanceID]tw.Instance{},
-		heard:     map[tw.InstanceID]time.Time{},
-		stale:     map[tw.HallID]tw.InstanceSnapshot{},
-		tasks:     map[tw.TaskID]tw.Task{},
-		ended:     map[tw.TaskID]bool{},
+		config:         c,
+		values:         map[tw.Key]tw.Item{},
+		changed:        make(chan struct{}),
+		leases:         map[tw.Key]lease{},
+		instances:      map[tw.InstanceID]tw.Instance{},
+		lastReport:     map[tw.InstanceID]time.Time{},
+		staleSnapshots: map[tw.HallID]tw.InstanceSnapshot{},
+		tasks:          map[tw.TaskID]tw.Task{},
+		endedTasks:     map[tw.TaskID]bool{},
 	}
 }
 
@@ -92,11 +92,11 @@
 	defer p.mu.Unlock()
 	if f.StaleList && !p.faults.StaleList {
 		for _, hall := range p.halls() {
-			p.stale[hall] = p.snapshot(hall)
+			p.staleSnapshots[hall] = p.snapshot(hall)
 		}
 	}
 	p.faults = f
-	p.wake()
+	p.notifyChanged()
 }
 
 // Faults tells the faults in force.
@@ -118,12 +118,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.values[key] = item
-	p.wake()
+	p.notifyChanged()
 }
 
 // Get implements tw.Store.
 func (p *Platform) Get(ctx context.Context, key tw.Key) (tw.Item, error) {
-	if err := p.enter(ctx, false); err != nil {
+	if err := p.beginCall(ctx, false); err != nil {
 		return tw.Item{}, err
 	}
 	p.mu.Lock()
@@ -137,7 +137,7 @@
 
 // Put implements tw.Store.
 func (p *Platform) Put(ctx context.Context, key tw.Key, value []byte, base tw.Version) (tw.Version, error) {
-	if err := p.enter(ctx, true); err != nil {
+	if err := p.beginCall(ctx, true); err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
@@ -147,13 +147,13 @@
 	}
 	next := tw.Item{Value: slices.Clone(value), Version: base + 1}
 	p.values[key] = next
-	p.wake()
-	return next.Version, p.leave()
+	p.notifyChanged()
+	return next.Version, p.loseAnswer()
 }
 
 // Watch implements tw.Store.
 func (p *Platform) Watch(ctx context.Context, key tw.Key, seen tw.Version, wait time.Duration) (tw.Item, error) {
-	if err := p.enter(ctx, false); err != nil {
+	if err := p.beginCall(ctx, false); err != nil {
 		return tw.Item{}, err
 	}
 	timeout := p.config.Clock.After(wait)
@@ -179,54 +179,54 @@
 
 // Acquire implements tw.Store.
 func (p *Platform) Acquire(ctx context.Context, req tw.LeaseRequest) (tw.Lease, error) {
-	if err := p.enter(ctx, true); err != nil {
+	if err := p.beginCall(ctx, true); err != nil {
 		return tw.Lease{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Clock.Now()
 	l := p.leases[req.Name]
-	if l.Holder != req.Holder && now.Before(l.until) {
+	if l.Holder != req.Holder && now.Before(l.expiresAt) {
 		return l.Lease, tw.ErrLeaseHeld
 	}
-	if l.Holder != req.Holder || !now.Before(l.until) {
+	if l.Holder != req.Holder || !now.Before(l.expiresAt) {
 		l.Epoch++
 	}
-	l.Holder, l.until = req.Holder, now.Add(req.TTL)
+	l.Holder, l.expiresAt = req.Holder, now.Add(req.TTL)
 	p.leases[req.Name] = l
-	return l.Lease, p.leave()
+	return l.Lease, p.loseAnswer()
 }
 
 // Release implements tw.Store.
 func (p *Platform) Release(ctx context.Context, req tw.LeaseRequest) error {
-	if err := p.enter(ctx, true); err != nil {
+	if err := p.beginCall(ctx, true); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l := p.leases[req.Name]; l.Holder == req.Holder {
-		l.until = time.Time{}
+		l.expiresAt = time.Time{}
 		p.leases[req.Name] = l
 	}
-	return p.leave()
+	return p.loseAnswer()
 }
 
 // Holder implements tw.Store.
 func (p *Platform) Holder(ctx context.Context, name tw.Key) (tw.Lease, error) {
-	if err := p.enter(ctx, false); err != nil {
+	if err := p.beginCall(ctx, false); err != nil {
 		return tw.Lease{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l, ok := p.leases[name]
-	if !ok || !p.config.Clock.Now().Before(l.until) {
+	if !ok || !p.config.Clock.Now().Before(l.expiresAt) {
 		return tw.Lease{}, tw.ErrNotFound
 	}
 	return l.Lease, nil
 }
 
-// enter counts a call to the store and fails it if the store is down.
-func (p *Platform) enter(ctx context.Context, writes bool) error {
+// beginCall counts a call to the store and fails it if the store is down.
+func (p *Platform) beginCall(ctx context.Context, writes bool) error {
 	p.mu.Lock()
 	if writes {
 		p.calls.Writes++
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// leave loses the answer of a write that has taken effect, if it should.
-func (p *Platform) leave() error {
+// loseAnswer loses the answer of a write that has taken effect, if it should.
+func (p *Platform) loseAnswer() error {
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
 		return tw.ErrAmbiguous
@@ -257,7 +257,7 @@
 	return nil
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/internal/standin/platform_http.go
+++ b/internal/standin/platform_http.go
@@ -46,7 +46,7 @@
 
 func (p *Platform) getValue(w http.ResponseWriter, r *http.Request) {
 	item, err := p.Get(r.Context(), tw.Key(r.FormValue("key")))
-	answer(w, platform.ValueMessage{Value: item.Value, Version: item.Version}, err)
+	writeResponse(w, platform.ValueMessage{Value: item.Value, Version: item.Version}, err)
 }
 
 func (p *Platform) putValue(w http.ResponseWriter, r *http.Request) {
@@ -62,105 +62,105 @@
 	// The call goes on when its caller has gone: that is what a lost answer is.
 	ctx := context.WithoutCancel(r.Context())
 	version, err := p.Put(ctx, tw.Key(r.URL.Query().Get("key")), value, tw.Version(base))
-	answer(w, platform.ValueMessage{Version: version}, err)
+	writeResponse(w, platform.ValueMessage{Version: version}, err)
 }
 
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
 	seen, _ := strconv.ParseUint(r.FormValue("seen"), 10, 64)
 	wait, _ := time.ParseDuration(r.FormValue("wait"))
 	item, err := p.Watch(r.Context(), tw.Key(r.FormValue("key")), tw.Version(seen), wait)
-	answer(w, platform.ValueMessage{Value: item.Value, Version: item.Version}, err)
+	writeResponse(w, platform.ValueMessage{Value: item.Value, Version: item.Version}, err)
 }
 
 func (p *Platform) holder(w http.ResponseWriter, r *http.Request) {
 	lease, err := p.Holder(r.Context(), tw.Key(r.FormValue("name")))
-	answer(w, lease, err)
+	writeResponse(w, lease, err)
 }
 
 func (p *Platform) acquire(w http.ResponseWriter, r *http.Request) {
 	var req tw.LeaseRequest
-	if !decode(w, r, &req) {
+	if !decodeBody(w, r, &req) {
 		return
 	}
 	lease, err := p.Acquire(context.WithoutCancel(r.Context()), req)
-	answer(w, lease, err)
+	writeResponse(w, lease, err)
 }
 
 func (p *Platform) release(w http.ResponseWriter, r *http.Request) {
 	var req tw.LeaseRequest
-	if !decode(w, r, &req) {
+	if !decodeBody(w, r, &req) {
 		return
 	}
-	answer(w, nil, p.Release(context.WithoutCancel(r.Context()), req))
+	writeResponse(w, nil, p.Release(context.WithoutCancel(r.Context()), req))
 }
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	seen, _ := strconv.ParseUint(r.FormValue("seen"), 10, 64) // absent means none
 	snapshot, err := p.List(r.Context(), tw.HallID(r.FormValue("hall")), seen)
-	answer(w, snapshot, err)
+	writeResponse(w, snapshot, err)
 }
 
 func (p *Platform) listTasks(w http.ResponseWriter, r *http.Request) {
 	tasks, err := p.Tasks(r.Context(), tw.HallID(r.FormValue("hall")))
-	answer(w, tasks, err)
+	writeResponse(w, tasks, err)
 }
 
 func (p *Platform) startTask(w http.ResponseWriter, r *http.Request) {
 	var task tw.Task
-	if decode(w, r, &task) {
-		answer(w, nil, p.Start(r.Context(), task))
+	if decodeBody(w, r, &task) {
+		writeResponse(w, nil, p.Start(r.Context(), task))
 	}
 }
 
 func (p *Platform) stopTask(w http.ResponseWriter, r *http.Request) {
-	answer(w, nil, p.Stop(r.Context(), tw.TaskID(r.URL.Query().Get("id"))))
+	writeResponse(w, nil, p.Stop(r.Context(), tw.TaskID(r.URL.Query().Get("id"))))
 }
 
 func (p *Platform) reboot(w http.ResponseWriter, r *http.Request) {
 	var m platform.RebootMessage
-	if decode(w, r, &m) {
-		answer(w, nil, p.Reboot(r.Context(), m.Instance, m.Boots))
+	if decodeBody(w, r, &m) {
+		writeResponse(w, nil, p.Reboot(r.Context(), m.Instance, m.Boots))
 	}
 }
 
 func (p *Platform) getFaults(w http.ResponseWriter, _ *http.Request) {
-	answer(w, p.Faults(), nil)
+	writeResponse(w, p.Faults(), nil)
 }
 
 func (p *Platform) putFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if decode(w, r, &f) {
+	if decodeBody(w, r, &f) {
 		p.SetFaults(f)
-		answer(w, nil, nil)
+		writeResponse(w, nil, nil)
 	}
 }
 
 func (p *Platform) register(w http.ResponseWriter, r *http.Request) {
 	var in tw.Instance
-	if decode(w, r, &in) {
-		answer(w, p.Register(in), nil)
+	if decodeBody(w, r, &in) {
+		writeResponse(w, p.Register(in), nil)
 	}
 }
 
 func (p *Platform) phase(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	p.SetPhase(tw.InstanceID(query.Get("id")), tw.InstancePhase(query.Get("phase")))
-	answer(w, nil, nil)
+	writeResponse(w, nil, nil)
 }
 
 func (p *Platform) getCalls(w http.ResponseWriter, _ *http.Request) {
-	answer(w, p.Calls(), nil)
+	writeResponse(w, p.Calls(), nil)
 }
 
-// answer writes v, or the status that stands for err. A lost answer is a
+// writeResponse writes v, or the status that stands for err. A lost answer is a
 // connection that ends without one.
-func answer(w http.ResponseWriter, v any, err error) {
+func writeResponse(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 	case errors.Is(err, tw.ErrAmbiguous):
 		panic(http.ErrAbortHandler)
 	default:
-		w.WriteHeader(status(err))
+		w.WriteHeader(statusCode(err))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -169,7 +169,7 @@
 	}
 }
 
-func status(err error) int {
+func statusCode(err error) int {
 	switch {
 	case errors.Is(err, tw.ErrNotFound):
 		return http.StatusNotFound
@@ -183,7 +183,7 @@
 	return http.StatusServiceUnavailable
 }
 
-func decode(w http.ResponseWriter, r *http.Request, v any) bool {
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
--- a/internal/standin/platform_instances.go
+++ b/internal/standin/platform_instances.go
@@ -61,8 +61,8 @@
 		p.version++
 	}
 	p.instances[in.ID] = in
-	p.heard[in.ID] = p.config.Clock.Now()
-	return p.take(in.ID)
+	p.lastReport[in.ID] = p.config.Clock.Now()
+	return p.startTasks(in.ID)
 }
 
 // List implements tw.InstanceList.
@@ -71,7 +71,7 @@
 	defer p.mu.Unlock()
 	list := p.snapshot(hall)
 	if p.faults.StaleList {
-		list = p.stale[hall]
+		list = p.staleSnapshots[hall]
 	}
 	if seen != 0 && list.Version == seen {
 		return tw.InstanceSnapshot{}, tw.ErrNoChange
@@ -100,12 +100,12 @@
 	defer p.mu.Unlock()
 	_, running := p.tasks[task.ID]
 	_, listed := p.instances[task.Instance]
-	if running || p.ended[task.ID] || !listed {
+	if running || p.endedTasks[task.ID] || !listed {
 		return nil
 	}
 	task.State = tw.TaskStarting
 	if p.config.AutoRun {
-		task.State = p.firstState(task.Instance)
+		task.State = p.initialState(task.Instance)
 	}
 	p.tasks[task.ID] = task
 	return nil
@@ -115,7 +115,7 @@
 func (p *Platform) Stop(_ context.Context, id tw.TaskID) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.end(id)
+	p.endTask(id)
 	return nil
 }
 
@@ -130,19 +130,19 @@
 	in.Boots++
 	p.instances[id] = in
 	p.version++
-	p.endAll(id)
+	p.endTasksOn(id)
 	return nil
 }
 
-// take starts the tasks of an instance and lists what it runs.
-func (p *Platform) take(id tw.InstanceID) []tw.JobID {
+// startTasks starts the tasks of an instance and lists what it runs.
+func (p *Platform) startTasks(id tw.InstanceID) []tw.JobID {
 	jobs := []tw.JobID{}
 	for key, t := range p.tasks {
 		if t.Instance != id {
 			continue
 		}
 		if t.State == tw.TaskStarting {
-			t.State = p.firstState(id)
+			t.State = p.initialState(id)
 			p.tasks[key] = t
 		}
 		if t.State == tw.TaskRunning {
@@ -152,7 +152,7 @@
 	return jobs
 }
 
-func (p *Platform) firstState(id tw.InstanceID) tw.TaskState {
+func (p *Platform) initialState(id tw.InstanceID) tw.TaskState {
 	if slices.Contains(p.faults.FailTasksOn, string(id)) {
 		return tw.TaskFailed
 	}
@@ -161,12 +161,12 @@
 
 // dropSilent loses the upstreams that have not reported.
 func (p *Platform) dropSilent() {
-	if p.config.Silence == 0 {
+	if p.config.SilenceTimeout == 0 {
 		return
 	}
 	now := p.config.Clock.Now()
-	for id, at := range p.heard {
-		if now.Sub(at) > p.config.Silence {
+	for id, at := range p.lastReport {
+		if now.Sub(at) > p.config.SilenceTimeout {
 			p.remove(id)
 		}
 	}
@@ -174,22 +174,22 @@
 
 func (p *Platform) remove(id tw.InstanceID) {
 	delete(p.instances, id)
-	delete(p.heard, id)
-	p.endAll(id)
+	delete(p.lastReport, id)
+	p.endTasksOn(id)
 	p.version++
 }
 
-func (p *Platform) endAll(id tw.InstanceID) {
+func (p *Platform) endTasksOn(id tw.InstanceID) {
 	for key, t := range p.tasks {
 		if t.Instance == id {
-			p.end(key)
+			p.endTask(key)
 		}
 	}
 }
 
-func (p *Platform) end(id tw.TaskID) {
+func (p *Platform) endTask(id tw.TaskID) {
 	if _, ok := p.tasks[id]; ok {
 		delete(p.tasks, id)
-		p.ended[id] = true
+		p.endedTasks[id] = true
 	}
 }
--- a/internal/standin/recorder.go
+++ b/internal/standin/recorder.go
@@ -31,8 +31,8 @@
 // NewRecorder makes a recorder that also appends lines to out, if not nil.
 func NewRecorder(out io.Writer) *Recorder { return &Recorder{out: out, runs: Runs{}} }
 
-// Note records a run.
-func (r *Recorder) Note(request string, instance tw.InstanceID, job tw.JobID) error {
+// Record records a run.
+func (r *Recorder) Record(request string, instance tw.InstanceID, job tw.JobID) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[request]++
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Faults counts what must never happen.
-func (r *Report) Faults() int { return r.Lost + r.Doubled + r.FalseNotRun + r.Wrong }
+// Violations counts what must never happen.
+func (r *Report) Violations() int { return r.Lost + r.Doubled + r.FalseNotRun + r.Wrong }
 
 // Latency is that of a stream's answers.
 func (r *Report) Latency(stream string) Percentiles {
@@ -105,7 +105,7 @@
 	}{plain(*r), latency})
 }
 
-func (r *Report) refusal(resp *http.Response, took time.Duration) {
+func (r *Report) addRefusal(resp *http.Response, took time.Duration) {
 	r.Refused[resp.Header.Get(gateway.HeaderReason)]++
 	if resp.Header.Get(gateway.HeaderOutcome) == string(gateway.NotRun) {
 		r.NotRun++
@@ -115,7 +115,7 @@
 	_ = r.refusals.RecordValue(took.Microseconds()) // out of range is off the scale
 }
 
-func (r *Report) answer(s Stream, took time.Duration) {
+func (r *Report) addAnswer(s Stream, took time.Duration) {
 	if r.answers[s.Name] == nil {
 		r.answers[s.Name] = newHistogram()
 	}
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -39,7 +39,7 @@
 		jobs    atomic.Pointer[map[tw.JobID]bool]
 		failing atomic.Bool
 		cancel  context.CancelFunc
-		done    sync.WaitGroup
+		wg      sync.WaitGroup
 	}
 
 	// UpstreamAnswer is the body of an upstream's answer.
@@ -57,7 +57,7 @@
 	HeaderSize = "Standin-Size" // bytes of padding in the answer
 )
 
-const registerEvery = 100 * time.Millisecond
+const registerInterval = 100 * time.Millisecond
 
 // New starts an upstream; Close ends it.
 func (c UpstreamConfig) New() (*Upstream, error) {
@@ -75,8 +75,8 @@
 	u.server = &http.Server{Handler: u}
 	ctx, cancel := context.WithCancel(context.Background())
 	u.cancel = cancel
-	u.done.Go(func() { _ = u.server.Serve(at) }) // ends with Close
-	u.done.Go(func() { u.register(ctx) })
+	u.wg.Go(func() { _ = u.server.Serve(at) }) // ends with Close
+	u.wg.Go(func() { u.register(ctx) })
 	return u, nil
 }
 
@@ -90,7 +90,7 @@
 func (u *Upstream) Close() {
 	u.cancel()
 	_ = u.server.Close() // nobody is left to tell
-	u.done.Wait()
+	u.wg.Wait()
 }
 
 // register reports to the platform until ctx ends.
@@ -105,7 +105,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(registerEvery):
+		case <-time.After(registerInterval):
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	if id == "" {
 		id = r.Header.Get(gateway.HeaderRequest)
 	}
-	if err := u.config.Recorder.Note(id, u.config.Instance.ID, job); err != nil {
+	if err := u.config.Recorder.Record(id, u.config.Instance.ID, job); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
@@ -143,7 +143,7 @@
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
 	}
-	time.Sleep(u.work(r))
+	time.Sleep(u.workTime(r))
 	sum := sha256.Sum256(body)
 	size, _ := strconv.Atoi(r.Header.Get(HeaderSize)) // absent means none
 	answer := UpstreamAnswer{
@@ -157,7 +157,7 @@
 	_, _ = w.Write(bytes.Repeat([]byte(" "), size))
 }
 
-func (u *Upstream) work(r *http.Request) time.Duration {
+func (u *Upstream) workTime(r *http.Request) time.Duration {
 	if d, err := time.ParseDuration(r.Header.Get(HeaderWork)); err == nil {
 		return d
 	}
@@ -169,8 +169,8 @@
 	http.Error(w, "this job does not run here", http.StatusMisdirectedRequest)
 }
 
-// RegisterOver reports to a stand-in platform over HTTP.
-func RegisterOver(url string) func(ctx context.Context, in tw.Instance) ([]tw.JobID, error) {
+// RegisterHTTP reports to a stand-in platform over HTTP.
+func RegisterHTTP(url string) func(ctx context.Context, in tw.Instance) ([]tw.JobID, error) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	return func(ctx context.Context, in tw.Instance) ([]tw.JobID, error) {
 		body, err := json.Marshal(in)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -2,9 +2,9 @@
 
 import tw "github.com/tamarindworks/tamarindworks"
 
-// Worker is an instance as both users have them: 16 cores, 32 GB, 8 slots and
+// WorkerInstance is an instance as both users have them: 16 cores, 32 GB, 8 slots and
 // 64 connections.
-func Worker(hall tw.HallID, rack tw.RackID, id tw.InstanceID, labels map[string]string) tw.Instance {
+func WorkerInstance(hall tw.HallID, rack tw.RackID, id tw.InstanceID, labels map[string]string) tw.Instance {
 	return tw.Instance{
 		ID:          id,
 		Role:        tw.RoleWorker,
--- a/ledger/book_test.go
+++ b/ledger/book_test.go
@@ -248,7 +248,7 @@
 		}()
 		time.Sleep(5 * time.Millisecond)
 		present := b.open("b")
-		b.kv.DoLate()
+		b.kv.ApplyLateWrites()
 		b.Expect(<-result).To(MatchError(ledger.ErrOwnershipLost))
 		b.Expect(b.ids(present)).To(BeEmpty())
 	},
@@ -269,14 +269,14 @@
 		p.Step(0, 0).Done.Add(1)
 		_, err = book.Write(b.ctx, []ledger.Change{ledger.SaveProgress(pool, "s1", p)})
 		b.Expect(err).NotTo(HaveOccurred())
-		b.kv.DoLate()
+		b.kv.ApplyLateWrites()
 		got, err := ledger.FindProgress(b.ctx, b.kv, pool, "s1")
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(got.Step(0, 0).Done.All(2)).To(BeTrue())
 	},
 	"reports that nothing was written when the store refuses": func(b *fixture) {
 		book := b.open("a")
-		for _, faults := range []standin.KVFaults{{Down: true}, {Limited: true}} {
+		for _, faults := range []standin.KVFaults{{Down: true}, {RateLimited: true}} {
 			b.kv.SetFaults(faults)
 			_, err := book.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
 			b.Expect(tw.NotApplied(err)).To(BeTrue())
--- a/ledger/shares_test.go
+++ b/ledger/shares_test.go
@@ -83,7 +83,7 @@
 			return units{"red": requested}
 		})
 		g.Expect(err).NotTo(HaveOccurred())
-		kv.DoLate()
+		kv.ApplyLateWrites()
 		taken, err := b.Set(t.Context(), upTo("b", 1024))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(held["red"] + taken["red"]).To(BeNumerically("<=", ledger.CapUnits))
@@ -128,7 +128,7 @@
 		case 0:
 			kv.SetFaults(standin.KVFaults{LoseAnswers: random.IntN(3), LateWrites: random.IntN(3)})
 		case 1:
-			kv.DoLate()
+			kv.ApplyLateWrites()
 			kv.SetFaults(standin.KVFaults{})
 		case 2:
 			fences[name]++
--- a/member/watcher.go
+++ b/member/watcher.go
@@ -51,11 +51,11 @@
 )
 
 const (
-	// watchRetryMin and watchRetryMax are the bounds of the exponential
+	// minWatchRetry and watchRetryMax are the bounds of the exponential
 	// backoff after a failed call. It has jitter, so that daemons do not all
 	// retry at the same time.
-	watchRetryMin = 100 * time.Millisecond
-	watchRetryMax = 500 * time.Millisecond
+	minWatchRetry = 100 * time.Millisecond
+	maxWatchRetry = 500 * time.Millisecond
 	// refreshMinInterval is the minimum time between two reads triggered by Refresh.
 	refreshMinInterval = 600 * time.Millisecond
 )
@@ -103,9 +103,9 @@
 }
 
 func (w *Watcher) run(ctx context.Context) {
-	pause := watchRetryMin
+	pause := minWatchRetry
 	for ctx.Err() == nil {
-		err := w.follow(ctx, func() { pause = watchRetryMin })
+		err := w.follow(ctx, func() { pause = minWatchRetry })
 		if ctx.Err() != nil {
 			return
 		}
@@ -118,7 +118,7 @@
 		}
 		w.markFailing(err)
 		jittered := pause/2 + rand.N(pause)
-		pause = min(2*pause, watchRetryMax)
+		pause = min(2*pause, maxWatchRetry)
 		select {
 		case <-ctx.Done():
 		case <-w.config.Clock.After(jittered):
--- a/member/watcher_test.go
+++ b/member/watcher_test.go
@@ -24,7 +24,7 @@
 	"a history that is gone": {
 		event: func(k *standin.KV) {
 			k.Put("p/1", []byte("three"))
-			k.ForgetHistory()
+			k.CompactHistory()
 		},
 		want: "three",
 	},
--- a/run/born_test.go
+++ b/run/born_test.go
@@ -101,7 +101,7 @@
 		r.submit(o, submission("s1", 8))
 		time.Sleep(20 * time.Millisecond)
 		r.relistWorker(o, r.restart(0))
-		r.fleet.DoLate()
+		r.fleet.DeliverLateStarts()
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
 	"repeated restarts": func(r *rig, o *run.Owner) {
--- a/run/caps_test.go
+++ b/run/caps_test.go
@@ -112,7 +112,7 @@
 	r.next++
 	s := submission(fmt.Sprintf("%016x", r.next), subtasks)
 	s.Organisation, s.Policy.Pool, s.Steps[0].Estimate = organisation, name, takes
-	r.fleet.Expect(&s, nil)
+	r.fleet.RegisterSubmission(&s, nil)
 	ctx, cancel := context.WithTimeout(r.ctx, callerTimeout)
 	defer cancel()
 	if r.owners[name].Submit(ctx, s) == nil {
@@ -208,7 +208,7 @@
 		r.kv.SetFaults(standin.KVFaults{LateWrites: 3})
 		r.send("boards", "red", 30, time.Second)
 		r.watch(time.Second)
-		r.kv.DoLate()
+		r.kv.ApplyLateWrites()
 		r.kv.SetFaults(standin.KVFaults{LoseAnswers: 3})
 		r.watch(2 * time.Second)
 		r.kv.SetFaults(standin.KVFaults{})
@@ -255,7 +255,7 @@
 				r := newCapRig(t)
 				defer r.end()
 				act(r)
-				r.Expect(r.fleet.Broken()).To(BeEmpty())
+				r.Expect(r.fleet.Violations()).To(BeEmpty())
 			})
 		})
 	}
@@ -291,9 +291,9 @@
 		r.actOnCaps(random)
 		time.Sleep(time.Duration(10+random.IntN(300)) * time.Millisecond)
 	}
-	r.kv.DoLate()
+	r.kv.ApplyLateWrites()
 	r.kv.SetFaults(standin.KVFaults{})
-	r.fleet.DoLate()
+	r.fleet.DeliverLateStarts()
 	for id := range r.list {
 		r.fleet.Set(id, func(w *standin.SimWorker) { w.Silent, w.LateStarts = false, 0 })
 	}
@@ -306,7 +306,7 @@
 		}
 	}
 	r.Expect(r.unfinished()).To(BeEmpty())
-	r.Expect(r.fleet.Broken()).To(BeEmpty())
+	r.Expect(r.fleet.Violations()).To(BeEmpty())
 }
 
 // actOnCaps does one random action.
@@ -323,7 +323,7 @@
 	case 7:
 		r.fleet.Set(id, func(w *standin.SimWorker) { w.LateStarts += 1 + random.IntN(3) })
 	case 8:
-		r.fleet.DoLate()
+		r.fleet.DeliverLateStarts()
 	case 9:
 		r.kv.SetFaults(standin.KVFaults{})
 		r.takePool(name)
@@ -334,7 +334,7 @@
 	case 15:
 		r.cancelAny(random)
 	case 12:
-		r.kv.DoLate()
+		r.kv.ApplyLateWrites()
 		r.kv.SetFaults(standin.KVFaults{})
 	case 13:
 		if r.cap < redCap+4 { // caps only rise: a start ordered before a cap was lowered may be executed long after
--- a/run/crash_test.go
+++ b/run/crash_test.go
@@ -22,7 +22,7 @@
 		o := r.newOwner("a")
 		r.poison(o, submission("s1", 3), 0)
 		r.runWithReboots(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
-		r.Expect(r.fleet.CrashesUnder(subtask("s1", 0, 0))).To(BeNumerically("<=", 4))
+		r.Expect(r.fleet.WorkersCrashedBy(subtask("s1", 0, 0))).To(BeNumerically("<=", 4))
 	},
 	"gives up a long-running subtask": func(r *rig) {
 		o := r.newOwner("a")
@@ -67,9 +67,9 @@
 		o := r.newOwner("a")
 		r.poison(o, submission("s1", 1), 0)
 		for n := range 4 {
-			crashes := r.fleet.CrashesUnder(subtask("s1", 0, 0))
+			crashes := r.fleet.WorkersCrashedBy(subtask("s1", 0, 0))
 			r.runWithReboots(o, 10*time.Second, func() bool {
-				return r.state(o, "s1") == tw.SubmissionFailed || r.fleet.CrashesUnder(subtask("s1", 0, 0)) > crashes
+				return r.state(o, "s1") == tw.SubmissionFailed || r.fleet.WorkersCrashedBy(subtask("s1", 0, 0)) > crashes
 			})
 			r.runWithReboots(o, 500*time.Millisecond, nil) // the crash is recorded by then
 			o.Close()
@@ -135,7 +135,7 @@
 	"keeps using workers on which a single subtask stalls": func(r *rig) {
 		o := r.newOwner("a")
 		s := submission("s1", 1)
-		r.fleet.Expect(&s, func(_ tw.SubtaskID, p *standin.Profile) { p.Hangs = true })
+		r.fleet.RegisterSubmission(&s, func(_ tw.SubtaskID, p *standin.Profile) { p.Hangs = true })
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
 		most := 0
 		for range 150 {
@@ -180,7 +180,7 @@
 // poison submits a submission of which one subtask of the first step crashes the workers that
 // start it.
 func (r *rig) poison(o *run.Owner, s tw.Submission, index int) {
-	r.fleet.Expect(&s, func(id tw.SubtaskID, p *standin.Profile) { p.Crashes = id.Step == 0 && id.Index == index })
+	r.fleet.RegisterSubmission(&s, func(id tw.SubtaskID, p *standin.Profile) { p.Crashes = id.Step == 0 && id.Index == index })
 	r.Expect(o.Submit(r.ctx, s)).To(Succeed())
 }
 
@@ -199,7 +199,7 @@
 
 // rebootCrashed does one step of runWithReboots.
 func (r *rig) rebootCrashed(o *run.Owner) {
-	for _, entry := range r.fleet.Crashed() {
+	for _, entry := range r.fleet.TakeCrashed() {
 		r.cloud.Add(tw.Machine{ID: entry.Instance, Pool: pool, State: tw.MachineDown})
 		delete(r.list, entry.ID)
 		r.reboots = append(r.reboots, reboot{entry: entry, at: time.Now().Add(rebootTime)})
--- a/run/evacuation_test.go
+++ b/run/evacuation_test.go
@@ -81,7 +81,7 @@
 			time.Sleep(100 * time.Millisecond)
 			ready := 0
 			for index := range 4 {
-				if r.fleet.AtWork(subtask("s1", 0, index)) {
+				if r.fleet.Ready(subtask("s1", 0, index)) {
 					ready++
 				}
 			}
@@ -137,8 +137,8 @@
 		r.submit(o, longRunning("s2", 1))
 		r.evacuate(o)
 		time.Sleep(2 * time.Second)
-		r.Expect(r.fleet.Begun("s1")).To(BeFalse())
-		r.Expect(r.fleet.Begun("s2")).To(BeTrue())
+		r.Expect(r.fleet.EverStarted("s1")).To(BeFalse())
+		r.Expect(r.fleet.EverStarted("s2")).To(BeTrue())
 		r.submit(o, s)
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 3*time.Second)
 	},
--- a/run/inbox_test.go
+++ b/run/inbox_test.go
@@ -13,7 +13,7 @@
 
 // storeViaInbox stores a submission through the inbox, as a daemon that can't reach the owner does.
 func (r *rig) storeViaInbox(s tw.Submission) tw.Submission {
-	r.fleet.Expect(&s, nil)
+	r.fleet.RegisterSubmission(&s, nil)
 	_, err := r.kv.Commit(r.ctx, ledger.AcceptViaInbox(&s))
 	r.Expect(err).NotTo(HaveOccurred())
 	return s
@@ -41,7 +41,7 @@
 		o.HandleInbox(r.ctx, ledger.InboxRecord{Kind: ledger.InboxSubmitted, ID: "s1"})
 		time.Sleep(time.Second)
 		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionWaiting))
-		r.Expect(r.fleet.Begun("s1")).To(BeFalse())
+		r.Expect(r.fleet.EverStarted("s1")).To(BeFalse())
 		r.kv.SetFaults(standin.KVFaults{})
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
@@ -71,7 +71,7 @@
 	},
 	"adopts a run of the previous owner before it knows the submission": func(r *rig) {
 		s := submission("s1", 1)
-		r.fleet.Expect(&s, nil)
+		r.fleet.RegisterSubmission(&s, nil)
 		r.newOwner("a").Close()
 		time.Sleep(time.Second) // the list of machines can be read again
 		r.startAs(1, 0, subtask("s1", 0, 0))
@@ -82,7 +82,7 @@
 	},
 	"applies an end that it saw before it knew the submission": func(r *rig) {
 		s := submission("s1", 1, 1)
-		r.fleet.Expect(&s, nil)
+		r.fleet.RegisterSubmission(&s, nil)
 		r.newOwner("a").Close()
 		r.startAs(1, 0, subtask("s1", 0, 0))
 		time.Sleep(3 * time.Second)
--- a/run/lapse_test.go
+++ b/run/lapse_test.go
@@ -26,7 +26,7 @@
 		time.Sleep(latency + latency/4) // the order has arrived, a poll has not
 		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Silent = true })
 		time.Sleep(1500 * time.Millisecond)
-		r.fleet.DoLate()
+		r.fleet.DeliverLateStarts()
 		time.Sleep(2 * maxHold)
 		r.expectNoViolations()
 	})
--- a/run/lives_test.go
+++ b/run/lives_test.go
@@ -213,7 +213,7 @@
 
 // startNextWorker starts a machine's next worker at the address of the previous one.
 func (r *rig) startNextWorker(id, next tw.WorkerID) tw.WorkerEntry {
-	entry := r.fleet.Reborn(id, next)
+	entry := r.fleet.RestartWithNewID(id, next)
 	r.listAsRunning(entry)
 	return entry
 }
--- a/run/owner_bench_test.go
+++ b/run/owner_bench_test.go
@@ -103,7 +103,7 @@
 			s.Steps[i].Need = tw.Resources{CPU: 2300, MemoryMB: 8300}
 			s.Steps[i].Estimate = 640 * time.Millisecond
 		}
-		fleet.Expect(&s, nil)
+		fleet.RegisterSubmission(&s, nil)
 		go func() {
 			if err := owner.Submit(b.Context(), s); err != nil {
 				b.Error(err)
@@ -115,7 +115,7 @@
 	b.StopTimer()
 	b.ReportMetric((processorTime(b)-began).Seconds()*1e3/float64(b.N), "cpu-ms/submission")
 	b.ReportMetric(0, "ns/op")
-	if broken := fleet.Broken(); len(broken) > 0 {
+	if broken := fleet.Violations(); len(broken) > 0 {
 		b.Error(broken[0])
 	}
 }
--- a/run/owner_test.go
+++ b/run/owner_test.go
@@ -44,7 +44,7 @@
 	"fails once a subtask has failed in all its attempts": func(r *rig) {
 		o := r.newOwner("a")
 		s := submission("s1", 2)
-		r.fleet.Expect(&s, func(id tw.SubtaskID, p *standin.Profile) { p.Fails = id.Index == 1 })
+		r.fleet.RegisterSubmission(&s, func(id tw.SubtaskID, p *standin.Profile) { p.Fails = id.Index == 1 })
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
 		r.eventually(o, "s1", tw.SubmissionFailed, 10*time.Second)
 		r.Expect(r.fleet.Running(subtask("s1", 0, 0))).To(BeZero())
@@ -65,7 +65,7 @@
 		}
 		r.submit(o, submission("s1", 1))
 		time.Sleep(10 * time.Millisecond)
-		r.fleet.DoLate()
+		r.fleet.DeliverLateStarts()
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
@@ -78,7 +78,7 @@
 		time.Sleep(5 * time.Millisecond)
 		r.drain(o, 0) // the subtask must go elsewhere
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
-		r.fleet.DoLate()
+		r.fleet.DeliverLateStarts()
 		r.Expect(r.fleet.Starts()).To(Equal(1))
 	},
 	"does not count a submission as started while its start is unconfirmed": func(r *rig) {
@@ -106,7 +106,7 @@
 		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		s := longRunning("s1", 2)
-		r.fleet.Expect(&s, nil)
+		r.fleet.RegisterSubmission(&s, nil)
 		_, err := r.kv.Commit(r.ctx, ledger.AcceptViaInbox(&s))
 		r.Expect(err).NotTo(HaveOccurred())
 		submitted := make(chan error, 1)
@@ -141,7 +141,7 @@
 		time.Sleep(time.Second)
 		low := submission("low", 16)
 		low.Policy.Priority, low.Policy.Attempts = 1, 9
-		r.fleet.Expect(&low, func(_ tw.SubtaskID, p *standin.Profile) { p.Duration = 20 * time.Second })
+		r.fleet.RegisterSubmission(&low, func(_ tw.SubtaskID, p *standin.Profile) { p.Duration = 20 * time.Second })
 		r.Expect(o.Submit(r.ctx, low)).To(Succeed())
 		time.Sleep(time.Second)
 		same := submission("same", 1)
@@ -234,7 +234,7 @@
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 5*time.Second) // answers take 2 ms here
 		orders.remaining.Store(1)
 		r.submit(o, submission("s2", 1))
-		r.Eventually(func() bool { return r.fleet.Begun("s2") }, 500*time.Millisecond, 10*time.Millisecond).Should(BeTrue())
+		r.Eventually(func() bool { return r.fleet.EverStarted("s2") }, 500*time.Millisecond, 10*time.Millisecond).Should(BeTrue())
 	},
 	"starts at once what a daemon with a fast clock accepted": func(r *rig) {
 		o := r.newOwner("a")
@@ -333,7 +333,7 @@
 		for i := range s.Steps {
 			s.Steps[i].AllowCopies = true
 		}
-		r.fleet.Expect(&s, func(id tw.SubtaskID, p *standin.Profile) {
+		r.fleet.RegisterSubmission(&s, func(id tw.SubtaskID, p *standin.Profile) {
 			if id.Step == 0 && id.Index == 1 {
 				p.Duration = 4 * time.Second // long enough for a copy
 			}
--- a/run/pace_test.go
+++ b/run/pace_test.go
@@ -38,7 +38,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := newRig(t, 1)
 				defer r.end()
-				r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Tail, w.Disturbance = c.tail, c.disturbance })
+				r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.TailLatency, w.FillerInterference = c.tail, c.disturbance })
 				o := r.newOwner("a")
 				serving := longRunning("serving", 1)
 				serving.Steps[0].TailTarget = tailTarget
@@ -48,11 +48,11 @@
 				r.submit(o, filler)
 				time.Sleep(2 * time.Second)
 				r.Expect(r.longestOverTarget(20 * time.Second)).To(BeNumerically("<", maxOverTarget))
-				_, pace := r.fleet.TailOn(workerID(0))
+				_, pace := r.fleet.TailLatencyOn(workerID(0))
 				r.Expect(pace).To(And(BeNumerically(">=", c.least), BeNumerically("<=", c.most)))
-				r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Tail, w.Disturbance = 0, 0 })
+				r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.TailLatency, w.FillerInterference = 0, 0 })
 				time.Sleep(15 * time.Second)
-				_, pace = r.fleet.TailOn(workerID(0))
+				_, pace = r.fleet.TailLatencyOn(workerID(0))
 				r.Expect(pace).To(Equal(100))
 				r.Expect(o.Cancel(r.ctx, "", tw.SubmissionID("filler"))).To(Succeed())
 				r.expectNoViolations()
@@ -68,7 +68,7 @@
 	var longest, present time.Duration
 	for range watch / step {
 		time.Sleep(step)
-		tail, pace := r.fleet.TailOn(workerID(0))
+		tail, pace := r.fleet.TailLatencyOn(workerID(0))
 		present += step
 		if tail <= tailTarget || pace == 0 {
 			present = 0
--- a/run/proof_test.go
+++ b/run/proof_test.go
@@ -146,8 +146,8 @@
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
 		former := r.list[workerID(0)]
-		present := r.fleet.Reborn(former.ID, "present") // the list of machines names the former worker
-		r.relist(o, present)                            // and so does the list of workers
+		present := r.fleet.RestartWithNewID(former.ID, "present") // the list of machines names the former worker
+		r.relist(o, present)                                      // and so does the list of workers
 		time.Sleep(time.Second)
 		r.listAsRunning(present)
 		delete(r.list, former.ID)
@@ -163,7 +163,7 @@
 		time.Sleep(takeoverSettleTime)
 		former := r.list[workerID(0)]
 		r.cloud.Add(tw.Machine{ID: former.Instance, Pool: pool, State: tw.MachineDown})
-		present := r.fleet.Reborn(former.ID, "present")
+		present := r.fleet.RestartWithNewID(former.ID, "present")
 		r.relist(o, present)
 		time.Sleep(time.Second)
 		r.listAsRunning(present)
--- a/run/recorded_test.go
+++ b/run/recorded_test.go
@@ -93,7 +93,7 @@
 		o := r.newOwner("a")
 		for n := range submissions {
 			s := submission(fmt.Sprintf("%016x", n+1), slices.Repeat([]int{1}, 40)...)
-			r.fleet.Expect(&s, func(id tw.SubtaskID, p *standin.Profile) {
+			r.fleet.RegisterSubmission(&s, func(id tw.SubtaskID, p *standin.Profile) {
 				p.Duration = time.Duration(300+(id.Step*37+n*53)%200) * time.Millisecond
 			})
 			r.Expect(o.Submit(r.ctx, s)).To(Succeed())
--- a/run/rig_test.go
+++ b/run/rig_test.go
@@ -73,7 +73,7 @@
 		WithT: NewWithT(t), t: t, ctx: t.Context(),
 		kv: standin.KVConfig{Latency: latency}.New(),
 		fleet: standin.FleetConfig{
-			Latency: latency, MaxHold: maxHold, StopTime: stopTime, StartTime: 500 * time.Millisecond, EvacuateTime: evacuateTime,
+			Latency: latency, MaxHold: maxHold, StopTime: stopTime, StartupTime: 500 * time.Millisecond, EvacuationGrace: evacuateTime,
 		}.New(),
 		cloud: standin.CloudConfig{MoveTime: time.Second, MaintenanceTime: time.Second}.New(),
 		list:  map[tw.WorkerID]tw.WorkerEntry{},
@@ -194,7 +194,7 @@
 
 // submit hands a submission to an owner, which must accept it.
 func (r *rig) submit(o *run.Owner, s tw.Submission) {
-	r.fleet.Expect(&s, nil)
+	r.fleet.RegisterSubmission(&s, nil)
 	r.Expect(o.Submit(r.ctx, s)).To(Succeed())
 }
 
@@ -234,7 +234,7 @@
 
 func (r *rig) expectNoViolations() {
 	r.t.Helper()
-	r.Expect(r.fleet.Broken()).To(BeEmpty())
+	r.Expect(r.fleet.Violations()).To(BeEmpty())
 }
 
 func subtask(id string, step, index int) tw.SubtaskID {
--- a/run/shortage_test.go
+++ b/run/shortage_test.go
@@ -189,7 +189,7 @@
 		sub := submission(fmt.Sprintf("%016x", n+1), subtasksEach)
 		sub.Spec = strings.Repeat("x", specSize)
 		sub.Steps[0].Estimate = 640 * time.Millisecond
-		r.fleet.Expect(&sub, nil)
+		r.fleet.RegisterSubmission(&sub, nil)
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(r.ctx, callerTimeout)
 			defer cancel()
@@ -198,7 +198,7 @@
 			if accepted.Before(capacityFrom) {
 				accepted = capacityFrom // until then it may have waited for capacity
 			}
-			for err == nil && !r.fleet.Begun(sub.ID) && time.Since(accepted) < 2*maxBeginDelay {
+			for err == nil && !r.fleet.EverStarted(sub.ID) && time.Since(accepted) < 2*maxBeginDelay {
 				time.Sleep(20 * time.Millisecond)
 			}
 			mu.Lock()
@@ -376,7 +376,7 @@
 		time.Sleep(maxBeginDelay)
 		begun := 0
 		for n := range waiting {
-			if r.fleet.Begun(tw.SubmissionID(fmt.Sprintf("%016x", n+1))) {
+			if r.fleet.EverStarted(tw.SubmissionID(fmt.Sprintf("%016x", n+1))) {
 				begun++
 			}
 		}
--- a/run/slow_store_test.go
+++ b/run/slow_store_test.go
@@ -22,10 +22,10 @@
 	"uses the capacity of ended runs that are not recorded yet": {workers: 1, do: func(r *rig) {
 		o := r.newOwner("a")
 		first, second := submission("00000000000000aa", 4), submission("00000000000000ab", 4)
-		r.fleet.Expect(&first, func(id tw.SubtaskID, p *standin.Profile) {
+		r.fleet.RegisterSubmission(&first, func(id tw.SubtaskID, p *standin.Profile) {
 			p.Duration = time.Duration(1+id.Index) * 300 * time.Millisecond
 		})
-		r.fleet.Expect(&second, nil)
+		r.fleet.RegisterSubmission(&second, nil)
 		r.Expect(o.Submit(r.ctx, first)).To(Succeed())
 		r.Expect(o.Submit(r.ctx, second)).To(Succeed())
 		time.Sleep(50 * time.Millisecond)
@@ -76,7 +76,7 @@
 		for n := range answers {
 			s := submission(fmt.Sprintf("%016x", n), 1)
 			s.Steps[0].Estimate = 300 * time.Millisecond
-			r.fleet.Expect(&s, nil)
+			r.fleet.RegisterSubmission(&s, nil)
 			wg.Go(func() {
 				sent := time.Now()
 				if err := o.Submit(r.ctx, s); err != nil {
@@ -109,7 +109,7 @@
 		var wg sync.WaitGroup
 		for n := range submissions {
 			s := submission(fmt.Sprintf("%016x", n), 1)
-			r.fleet.Expect(&s, nil)
+			r.fleet.RegisterSubmission(&s, nil)
 			wg.Go(func() {
 				if err := o.Submit(r.ctx, s); err != nil {
 					t.Error(err)
--- a/run/soak_test.go
+++ b/run/soak_test.go
@@ -180,7 +180,7 @@
 	case 6:
 		s.fleet.Set(id, func(w *standin.SimWorker) { w.LateStarts += 1 + s.rand.IntN(3) })
 	case 7:
-		s.fleet.DoLate()
+		s.fleet.DeliverLateStarts()
 	case 8:
 		s.fleet.Set(id, func(w *standin.SimWorker) { w.Hang = !w.Hang })
 	case 9:
@@ -195,7 +195,7 @@
 		}
 		s.setFaults(faults)
 	case 11:
-		s.kv.DoLate()
+		s.kv.ApplyLateWrites()
 		s.setFaults(standin.KVFaults{})
 	case 12:
 		s.crash(id)
@@ -208,7 +208,7 @@
 
 // setFaults sets the faults of the store.
 func (s *soak) setFaults(faults standin.KVFaults) {
-	s.fleet.SetStoreDisturbed(faults != standin.KVFaults{})
+	s.fleet.SetStoreFaulty(faults != standin.KVFaults{})
 	s.kv.SetFaults(faults)
 }
 
@@ -278,7 +278,7 @@
 	sub.Policy.Attempts = 2
 	crashes := s.poisonous && s.rand.IntN(6) == 0
 	s.poisoned[sub.ID] = crashes
-	s.fleet.Expect(&sub, func(id tw.SubtaskID, p *standin.Profile) { p.Crashes = crashes && id.Step == 0 && id.Index == 0 })
+	s.fleet.RegisterSubmission(&sub, func(id tw.SubtaskID, p *standin.Profile) { p.Crashes = crashes && id.Step == 0 && id.Index == 0 })
 	return sub
 }
 
@@ -338,9 +338,9 @@
 
 // endFaults ends all faults and gives the pool additional workers and a new owner.
 func (s *soak) endFaults() {
-	s.kv.DoLate()
+	s.kv.ApplyLateWrites()
 	s.kv.SetFaults(standin.KVFaults{})
-	s.fleet.DoLate()
+	s.fleet.DeliverLateStarts()
 	if s.evacuating {
 		s.evacuate(s.owner)
 	}
@@ -375,5 +375,5 @@
 
 // runsOn reports whether a long-running submission is running.
 func (s *soak) runsOn(id tw.SubmissionID) bool {
-	return s.fleet.AtWork(tw.SubtaskID{Submission: id}) && s.fleet.AtWork(tw.SubtaskID{Submission: id, Index: 1})
+	return s.fleet.Ready(tw.SubtaskID{Submission: id}) && s.fleet.Ready(tw.SubtaskID{Submission: id, Index: 1})
 }
--- a/run/tries_test.go
+++ b/run/tries_test.go
@@ -48,7 +48,7 @@
 		kv.dropWrites.Store(false)
 		r.Expect(<-cancelled).To(Succeed())
 		r.waitForEnd(o, "s1", tw.SubmissionCancelled, 5*time.Second)
-		r.Expect(r.fleet.Begun("s1")).To(BeFalse())
+		r.Expect(r.fleet.EverStarted("s1")).To(BeFalse())
 	},
 }
 
@@ -78,7 +78,7 @@
 	kv.dropWrites.Store(true)
 	for _, id := range []string{"before", id} {
 		s := submission(id, 2)
-		r.fleet.Expect(&s, nil)
+		r.fleet.RegisterSubmission(&s, nil)
 		go func() { _ = o.Submit(r.ctx, s) }() // the answer does not matter here
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -124,7 +124,7 @@
 const triesActions = 12
 
 func (p *tries) run() {
-	p.fleet.Expect(&p.sub, nil)
+	p.fleet.RegisterSubmission(&p.sub, nil)
 	p.replaceOwner()
 	time.Sleep(time.Second)
 	for range triesActions {
@@ -182,7 +182,7 @@
 // submitOther submits another submission, behind whose write the next one waits.
 func (p *tries) submitOther() {
 	s := submission(fmt.Sprint("other", len(p.results)), 1)
-	p.fleet.Expect(&s, nil)
+	p.fleet.RegisterSubmission(&s, nil)
 	o := p.owner
 	go func() { _ = o.Submit(p.ctx, s) }() // the answer does not matter here
 }
@@ -228,7 +228,7 @@
 	}
 	_, err := ledger.FindSubmission(p.ctx, p.rig.kv, "s1")
 	if stored = stored || err == nil; !stored {
-		p.Expect(p.fleet.Begun("s1")).To(BeFalse(), "a submission that was not stored has begun")
+		p.Expect(p.fleet.EverStarted("s1")).To(BeFalse(), "a submission that was not stored has begun")
 		return
 	}
 	p.Expect(p.state(p.owner, "s1").Final()).To(BeTrue(), "a stored submission has not ended")
--- a/run/worker_test.go
+++ b/run/worker_test.go
@@ -162,7 +162,7 @@
 			r.Expect(err).NotTo(HaveOccurred())
 			away := 0
 			for index := range 3 {
-				if !r.fleet.AtWork(subtask("s1", 0, index)) {
+				if !r.fleet.Ready(subtask("s1", 0, index)) {
 					away++
 				}
 			}
@@ -187,7 +187,7 @@
 		for range 20 {
 			away := 0
 			for index := range 3 {
-				if !r.fleet.AtWork(subtask("s1", 0, index)) {
+				if !r.fleet.Ready(subtask("s1", 0, index)) {
 					away++
 				}
 			}
