--- a/control/absence.go
+++ b/control/absence.go
@@ -8,27 +8,27 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// absenceTracker notes since when every read of the platform's list has lacked the
-// instance of a registered life of a daemon.
+// absenceTracker records since when every read of the platform's instance list has
+// lacked the instance of a registered daemon (by incarnation).
 type absenceTracker struct {
 	clock tw.Clock
 
 	mu       sync.Mutex
-	lastRead time.Time // when the list was last read, changed or not
+	lastRead time.Time // last read of the list, changed or not
 	since    map[tw.RosterMember]time.Time
 }
 
 // absenceTimeout is how long an entry instance must be unlisted, and its daemon
-// silent, until nobody waits for its acknowledgement any more. The list lags,
-// also for instances that are new.
+// silent, until handovers stop waiting for the daemon's acknowledgement. The list
+// may be out of date, also for new instances.
 const absenceTimeout = 30 * time.Second
 
 func newAbsenceTracker(clock tw.Clock) *absenceTracker {
 	return &absenceTracker{clock: clock, since: map[tw.RosterMember]time.Time{}}
 }
 
-// observeList takes in a read of the list. Every read counts, not only those that a
-// handover looks at: an instance that was listed in between was not absent.
+// observeList records a read of the list. It must get every read, not only those
+// during a handover, as an instance that was listed in between was not absent.
 func (a *absenceTracker) observeList(list tw.InstanceSnapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -36,8 +36,9 @@
 	maps.DeleteFunc(a.since, func(m tw.RosterMember, _ time.Time) bool { return !isMissing(list, m.Instance) })
 }
 
-// absentTooLong tells whether the instance of a life has been unlisted for long, since this
-// life was first asked for, up to the last read of the list.
+// absentTooLong reports whether the instance of a daemon has been unlisted for at
+// least absenceTimeout, counted from the first call for this incarnation to the
+// last read of the list.
 func (a *absenceTracker) absentTooLong(m tw.RosterMember, list tw.InstanceSnapshot) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,15 +54,15 @@
 	return a.lastRead.Sub(since) >= absenceTimeout
 }
 
-// isMissing tells whether a list has entry instances, but not this one. A list without
-// any says nothing of them.
+// isMissing reports whether a list has entry instances but not this one. A list
+// without any entry instance is inconclusive.
 func isMissing(list tw.InstanceSnapshot, id tw.InstanceID) bool {
-	entries := false
+	hasEntries := false
 	for _, in := range list.Instances {
 		if in.ID == id {
 			return false
 		}
-		entries = entries || in.Role == tw.RoleEntry
+		hasEntries = hasEntries || in.Role == tw.RoleEntry
 	}
-	return entries && id != ""
+	return hasEntries && id != ""
 }
--- a/control/absence_test.go
+++ b/control/absence_test.go
@@ -12,7 +12,7 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// partitionableList is an instance list that may not answer.
+// partitionableList is an instance list that can be made unavailable.
 type partitionableList struct {
 	tw.InstanceList
 	unavailable atomic.Bool
@@ -25,28 +25,28 @@
 	return l.InstanceList.List(ctx, hall, seen)
 }
 
-// absenceBed is a hall whose planner, d1, does not hear d2.
+// absenceBed is a hall whose planner, d1, loses contact with the daemon d2.
 type absenceBed struct {
 	bed       *testBed
 	list      *partitionableList
-	store     *partitionableStore // of d2
-	node      *Node               // d2
-	restarted *Node               // a new life of d2, if there is one
+	store     *partitionableStore // d2's store
+	d2        *Node               // d2
+	restarted *Node               // the next incarnation of d2, or nil
 }
 
-// setIsolated cuts d2 off from the other daemons and from the store.
-func (a *absenceBed) setIsolated(cut bool) {
-	a.bed.network.setIsolated("d2", cut)
-	a.store.setUnavailable(cut)
+// setIsolated isolates d2 from the other daemons and the store, or ends this.
+func (a *absenceBed) setIsolated(isolated bool) {
+	a.bed.network.setIsolated("d2", isolated)
+	a.store.setUnavailable(isolated)
 }
 
-// kill ends d2 without a word.
+// kill ends d2 without removing it from the roster.
 func (a *absenceBed) kill() {
-	a.node.Close()
+	a.d2.Close()
 	a.bed.network.setHandler("d2", nil)
 }
 
-// setListed puts d2's instance into the platform's list, or takes it out.
+// setListed adds d2's instance to the platform's list, or removes it.
 func (a *absenceBed) setListed(listed bool) {
 	if listed {
 		a.bed.platform.SetInstance(tw.Instance{ID: "d2", Role: tw.RoleEntry, Hall: "h1"})
@@ -55,10 +55,10 @@
 	a.bed.platform.RemoveInstance("d2")
 }
 
-// removeWorker loses a worker, so that the planner waits for acknowledgements.
+// removeWorker removes a worker, so that the planner waits for acknowledgements.
 func (a *absenceBed) removeWorker(worker tw.InstanceID) { a.bed.platform.RemoveInstance(worker) }
 
-// rosterIncarnation is that of d2 in the roster, 0 if it is not there.
+// rosterIncarnation returns d2's incarnation in the roster, or 0 if it is not there.
 func (a *absenceBed) rosterIncarnation(g Gomega) tw.Incarnation {
 	roster, err := a.bed.operator.Roster(context.Background(), "h1")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -70,22 +70,22 @@
 	return 0
 }
 
-// absenceCases are what becomes of d2, and which life of it must be in the roster then.
+// absenceCases are events and d2's expected incarnation in the roster after them.
 var absenceCases = map[string]struct {
-	happens func(a *absenceBed)
-	life    tw.Incarnation
+	event       func(a *absenceBed)
+	incarnation tw.Incarnation
 }{
 	"its process and its instance are gone": {
-		happens: func(a *absenceBed) {
+		event: func(a *absenceBed) {
 			a.kill()
 			a.setListed(false)
 			a.removeWorker("w0")
 			time.Sleep(2 * absenceTimeout)
 		},
-		life: 0,
+		incarnation: 0,
 	},
-	"it is cut off, and one read of the list lacks its instance before the list goes silent": {
-		happens: func(a *absenceBed) {
+	"it is isolated, and one read of the list lacks its instance before the list becomes unavailable": {
+		event: func(a *absenceBed) {
 			a.setIsolated(true)
 			a.setListed(false)
 			a.removeWorker("w0")
@@ -94,10 +94,10 @@
 			a.setListed(true)
 			time.Sleep(2 * absenceTimeout)
 		},
-		life: 1,
+		incarnation: 1,
 	},
-	"it is cut off, and the list lacks its instance for a moment, as it did long before": {
-		happens: func(a *absenceBed) {
+	"it is isolated, and its instance is missing from the list for a moment, as it was long before": {
+		event: func(a *absenceBed) {
 			a.setIsolated(true)
 			a.setListed(false)
 			a.removeWorker("w0")
@@ -112,10 +112,10 @@
 			a.removeWorker("w1")
 			time.Sleep(3 * time.Second)
 		},
-		life: 1,
+		incarnation: 1,
 	},
-	"its former life was gone for long, and a new one has just registered": {
-		happens: func(a *absenceBed) {
+	"its former incarnation was absent for long, and a new one has just registered": {
+		event: func(a *absenceBed) {
 			a.kill()
 			a.setListed(false)
 			a.removeWorker("w0")
@@ -124,13 +124,13 @@
 			a.restarted, _ = a.bed.start("d2", 2, a.bed.platform)
 			time.Sleep(4 * time.Second)
 		},
-		life: 2,
+		incarnation: 2,
 	},
 }
 
-// TestAbsence: only a daemon whose instance was missing from every read of the list
-// for long, while it was silent itself, is taken out of the roster. No handover waits
-// for one that is not there.
+// TestAbsence checks that a daemon is removed from the roster, so that handovers no
+// longer wait for it, only if it has been silent for absenceTimeout and its instance
+// was missing from every read of the list in that time.
 func TestAbsence(t *testing.T) {
 	for name, c := range absenceCases {
 		t.Run(name, func(t *testing.T) {
@@ -148,16 +148,16 @@
 				defer planner.Close()
 				time.Sleep(10 * time.Second)
 				a.store = &partitionableStore{Store: a.bed.platform}
-				a.node, _ = a.bed.start("d2", 1, a.store)
-				defer a.node.Close()
+				a.d2, _ = a.bed.start("d2", 1, a.store)
+				defer a.d2.Close()
 				time.Sleep(absenceTimeout)
 				g.Expect(a.rosterIncarnation(g)).To(Equal(tw.Incarnation(1)))
-				c.happens(a)
+				c.event(a)
 				if a.restarted != nil {
 					defer a.restarted.Close()
 				}
 				g.Expect(planner.planner.leaseHeld.Load()).To(BeTrue())
-				g.Expect(a.rosterIncarnation(g)).To(Equal(c.life))
+				g.Expect(a.rosterIncarnation(g)).To(Equal(c.incarnation))
 			})
 		})
 	}
--- a/control/busy_meter.go
+++ b/control/busy_meter.go
@@ -7,7 +7,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// busyMeter smooths the measured use of jobs: up at once, down slowly.
+// busyMeter smooths the number of busy slots of each job: it follows increases at
+// once and decays exponentially.
 type busyMeter struct {
 	clock        tw.Clock
 	lastObserved time.Time
@@ -16,7 +17,7 @@
 
 const (
 	busyHalfLife = 30 * time.Second
-	// negligibleSlots is so little use that it is forgotten.
+	// negligibleSlots is the value below which a job is dropped.
 	negligibleSlots = 0.01
 )
 
@@ -24,16 +25,16 @@
 	return &busyMeter{clock: clock, lastObserved: clock.Now(), slots: map[tw.JobID]float64{}}
 }
 
-// observe takes in what is in flight now and returns the smoothed use.
-func (b *busyMeter) observe(now map[tw.JobID]float64) map[tw.JobID]float64 {
-	at := b.clock.Now()
-	keep := math.Exp2(-at.Sub(b.lastObserved).Seconds() / busyHalfLife.Seconds())
-	b.lastObserved = at
+// observe records the requests in flight now and returns the smoothed values.
+func (b *busyMeter) observe(inFlight map[tw.JobID]float64) map[tw.JobID]float64 {
+	now := b.clock.Now()
+	decay := math.Exp2(-now.Sub(b.lastObserved).Seconds() / busyHalfLife.Seconds())
+	b.lastObserved = now
 	out := map[tw.JobID]float64{}
 	for job, v := range b.slots {
-		b.slots[job] = v * keep
+		b.slots[job] = v * decay
 	}
-	for job, v := range now {
+	for job, v := range inFlight {
 		b.slots[job] = max(b.slots[job], v)
 	}
 	for job, v := range b.slots {
--- a/control/claim_table.go
+++ b/control/claim_table.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// claimTable holds claims on idempotency keys for a while.
+	// claimTable stores claims on idempotency keys until they expire.
 	claimTable struct {
 		clock tw.Clock
 		ttl   time.Duration
@@ -30,20 +30,20 @@
 	}
 )
 
-func newClaimTable(clock tw.Clock, keep time.Duration, limit int) *claimTable {
-	return &claimTable{clock: clock, ttl: keep, limit: limit, claims: map[string]storedClaim{}}
+func newClaimTable(clock tw.Clock, ttl time.Duration, limit int) *claimTable {
+	return &claimTable{clock: clock, ttl: ttl, limit: limit, claims: map[string]storedClaim{}}
 }
 
-// put records a claim and returns the one that stands: the same, or another
-// one that was first. A full table takes no new claim and returns an empty
-// one: nothing is run that would not be remembered.
+// put stores a claim and returns the one in effect: the same, or an earlier one. A
+// full table stores no new claim and returns an empty one, so that no request runs
+// whose claim is not stored.
 func (t *claimTable) put(c tw.Claim) tw.Claim {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	t.expire(now)
-	standing, ok := t.claims[c.Scope]
-	own := ok && standing.Holder == c.Holder && standing.Nonce == c.Nonce
+	existing, ok := t.claims[c.Scope]
+	own := ok && existing.Holder == c.Holder && existing.Nonce == c.Nonce
 	switch {
 	case c.State == tw.ClaimReleased:
 		if own {
@@ -51,22 +51,22 @@
 		}
 		return c
 	case ok && !own:
-		return standing.Claim
+		return existing.Claim
 	case !ok && len(t.claims) >= t.limit:
 		return tw.Claim{}
 	}
-	until := now.Add(t.ttl)
-	t.claims[c.Scope] = storedClaim{Claim: c, expiresAt: until}
-	t.expiries = append(t.expiries, expiry{scope: c.Scope, at: until})
+	expiresAt := now.Add(t.ttl)
+	t.claims[c.Scope] = storedClaim{Claim: c, expiresAt: expiresAt}
+	t.expiries = append(t.expiries, expiry{scope: c.Scope, at: expiresAt})
 	return c
 }
 
-// expire drops what is too old. A scope may stand in the line several times;
-// only the newest counts.
+// expire removes claims past their expiry. A scope may be queued several times;
+// only its latest expiry counts.
 func (t *claimTable) expire(now time.Time) {
 	for len(t.expiries) > 0 && !now.Before(t.expiries[0].at) {
 		scope := t.expiries[0].scope
-		if held, ok := t.claims[scope]; ok && !now.Before(held.expiresAt) {
+		if stored, ok := t.claims[scope]; ok && !now.Before(stored.expiresAt) {
 			delete(t.claims, scope)
 		}
 		t.expiries = t.expiries[1:]
--- a/control/claims_test.go
+++ b/control/claims_test.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindworks/tamarindworks/internal/fakeclock"
 )
 
-// slowClaims are peers of which one hears late of the claims of another.
+// slowClaims delays the pending claims from one daemon to another.
 type slowClaims struct {
 	*network
 	from tw.DaemonID
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("a claim that is refused", func() {
-	It("does not keep the key from those who come once it is free", func() {
+	It("does not block the key after the claim in effect is released", func() {
 		network := newNetwork()
 		var members []tw.Member
 		for i := range 3 {
@@ -47,11 +47,11 @@
 			network.setHandler(m.Address, claimsOnly{all[m.ID]})
 		}
 		standing := tw.Claim{Scope: "key", Body: "body", Holder: "d0", Nonce: "first", State: tw.ClaimPending}
-		all["d0"].table.put(standing) // d2 has missed it, or is new
+		all["d0"].table.put(standing) // d2 has not received it
 
 		_, refused := all["d1"].Claim(GinkgoT().Context(), "key", "body")
 		Expect(refused.Existing).To(Equal(standing))
-		time.Sleep(100 * time.Millisecond) // until d2 has heard all
+		time.Sleep(100 * time.Millisecond) // until d2 has received the delayed claim
 		all["d0"].Settle(standing, tw.ClaimReleased)
 		Eventually(func() bool {
 			again, result := all["d0"].Claim(context.Background(), "key", "body")
@@ -64,9 +64,9 @@
 })
 
 var _ = Describe("a daemon that has just registered", func() {
-	// It may send to instances as soon as it has the plan, but hears the other
-	// daemons only with the next heartbeat.
-	It("grants no key that the daemons in the roster hold", func() {
+	// It may send to instances as soon as it has the plan, but gets the first
+	// heartbeats of the other daemons only later.
+	It("grants no key that a daemon in the roster has claimed", func() {
 		b := newTestBed()
 		b.intervals.Sync = time.Second
 		one, _ := b.node("d1", b.platform)
@@ -77,7 +77,7 @@
 		}
 		_, first := one.Claims().Claim(GinkgoT().Context(), "key", "body")
 		Expect(first.Granted).To(BeTrue())
-		b.network.setIsolated("d1", true) // with its caller's answer: the caller repeats
+		b.network.setIsolated("d1", true) // its response to the caller is lost, so the caller repeats the request
 
 		three, view := b.node("d3", b.platform)
 		Eventually(func() bool { return view.installedView().Registered }, eventualTimeout, "1ms").Should(BeTrue())
@@ -99,7 +99,7 @@
 		Expect(result.Granted).To(BeTrue())
 	})
 
-	It("grants keys beside a daemon that stays silent, once that counts as down", func() {
+	It("grants keys without a silent daemon once it counts as down", func() {
 		b := newTestBed()
 		b.intervals.Sync = time.Second
 		b.node("d1", b.platform)
@@ -111,7 +111,7 @@
 		three, view := b.node("d3", b.platform)
 		Eventually(func() bool { return view.installedView().Registered }, eventualTimeout, "1ms").Should(BeTrue())
 		_, result := three.Claims().Claim(GinkgoT().Context(), "key", "body")
-		Expect(result.Granted).To(BeTrue(), "with the other one")
+		Expect(result.Granted).To(BeTrue(), "together with d2")
 		b.network.setIsolated("d2", true)
 		Eventually(func() bool {
 			_, alone := three.Claims().Claim(GinkgoT().Context(), "another key", "body")
--- a/control/cut_store_test.go
+++ b/control/cut_store_test.go
@@ -8,17 +8,17 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// partitionableStore is a store that one daemon can be cut off from.
+// partitionableStore is a store that can be made unavailable to one daemon.
 type partitionableStore struct {
 	tw.Store
 	mu          sync.Mutex
 	unavailable bool
 }
 
-func (s *partitionableStore) setUnavailable(cut bool) {
+func (s *partitionableStore) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unavailable = cut
+	s.unavailable = unavailable
 }
 
 func (s *partitionableStore) check() error {
@@ -49,8 +49,8 @@
 		return tw.Item{}, err
 	}
 	item, err := s.Store.Watch(ctx, key, seen, wait)
-	if cut := s.check(); cut != nil {
-		return tw.Item{}, cut
+	if down := s.check(); down != nil {
+		return tw.Item{}, down
 	}
 	return item, err
 }
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,4 +1,4 @@
-// Package control runs the duties around the decisions: it carries the
-// configuration and the hall's plan to the gateway, keeps membership between
-// the daemons, and, for the daemon that holds its hall's lease, plans.
+// Package control runs a daemon's control loops: it distributes the configuration
+// and the hall's plan to the gateway, maintains the membership of daemons by
+// gossip, and plans for the hall in the daemon that holds the planner's lease.
 package control
--- a/control/install.go
+++ b/control/install.go
@@ -8,10 +8,10 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// installLoop gives the gateway a new view whenever something has changed,
-// and with each heartbeat, as demand and membership move the slot shares.
+// installLoop installs a new view in the gateway on every change, and at the
+// heartbeat interval, as slot shares depend on demand and membership.
 func (n *Node) installLoop(ctx context.Context) {
-	live := 0
+	lastLive := 0
 	down := n.cfg.Metrics.GetOrCreateCounter("tamarind_peers_down_total")
 	for {
 		select {
@@ -20,23 +20,23 @@
 		case <-n.state.viewChanged:
 		case <-n.cfg.Clock.After(n.cfg.Intervals.Sync):
 		}
-		now := n.installView()
-		if now < live {
-			down.Add(live - now)
+		live := n.installView()
+		if live < lastLive {
+			down.Add(lastLive - live)
 		}
-		live = now
+		lastLive = live
 	}
 }
 
-// acknowledge notes the plan that the gateway obeys now.
+// acknowledge records the generation of the plan that the gateway follows now.
 func (n *Node) acknowledge(gen tw.Generation) {
 	if before := n.acked.Swap(uint64(gen)); before != uint64(gen) {
 		n.log.Debug("plan in force", zap.Uint64("generation", uint64(gen)))
 	}
 }
 
-// installView builds the view and, once the gateway obeys it, acknowledges the
-// plan in it. It returns how many daemons of the hall are live.
+// installView builds the view, installs it in the gateway, and then acknowledges its
+// plan. It returns the number of live daemons in the hall.
 func (n *Node) installView() int {
 	view := n.state.view()
 	view.Hall = n.cfg.Self.Hall
--- a/control/knowledge.go
+++ b/control/knowledge.go
@@ -7,119 +7,118 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// localState is the newest configuration, plan and instance list that a daemon
-// has seen. Nothing older ever replaces anything newer, wherever it is from.
+// localState holds the newest configuration, plan and instance list that a daemon
+// has received from any source. An older version never replaces a newer one.
 type localState struct {
-	mu         sync.Mutex
-	configBody json.RawMessage
-	config     *tw.FleetConfig
-	revision   tw.Revision
-	behind     bool // the store showed an older configuration last
-	planBody   json.RawMessage
-	plan       *tw.Plan
-	list       tw.InstanceSnapshot
-	hasList    bool
-	// registered and fresh: the daemon is in the roster, and has read the
-	// plan from the store since.
-	registered  bool
-	planFresh   bool
-	viewChanged chan struct{} // holds one token, for the installer
-	plannerWake chan struct{} // holds one token, for the planner
+	mu          sync.Mutex
+	configBody  json.RawMessage
+	config      *tw.FleetConfig
+	revision    tw.Revision
+	behind      bool // the last read of the store returned an older configuration
+	planBody    json.RawMessage
+	plan        *tw.Plan
+	list        tw.InstanceSnapshot
+	hasList     bool
+	registered  bool          // the daemon is in the roster
+	planFresh   bool          // the plan was read from the store after registering
+	viewChanged chan struct{} // wakes the install loop; capacity 1
+	plannerWake chan struct{} // wakes the planner; capacity 1
 }
 
 func newLocalState() *localState {
 	return &localState{viewChanged: make(chan struct{}, 1), plannerWake: make(chan struct{}, 1)}
 }
 
-// updateConfig takes a configuration if it is newer; it tells whether it was.
-func (k *localState) updateConfig(body json.RawMessage) (bool, error) {
+// updateConfig stores a configuration if it is newer, and reports whether it was.
+func (s *localState) updateConfig(body json.RawMessage) (bool, error) {
 	accepted, config, err := parseAccepted(body)
 	if err != nil {
 		return false, err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if accepted.Revision <= k.revision {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if accepted.Revision <= s.revision {
 		return false, nil
 	}
-	k.configBody, k.config, k.revision = body, config, accepted.Revision
-	k.notifyInstaller()
-	notify(k.plannerWake)
+	s.configBody, s.config, s.revision = body, config, accepted.Revision
+	s.notifyInstaller()
+	notify(s.plannerWake)
 	return true, nil
 }
 
-// observeStoredRevision notes which revision the store has.
-func (k *localState) observeStoredRevision(revision tw.Revision) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.behind = revision < k.revision
-	if k.behind {
-		notify(k.plannerWake)
+// observeStoredRevision records the revision that the store has.
+func (s *localState) observeStoredRevision(revision tw.Revision) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.behind = revision < s.revision
+	if s.behind {
+		notify(s.plannerWake)
 	}
 }
 
-// isStoreBehind tells whether the store has an older configuration.
-func (k *localState) isStoreBehind() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.behind
+// isStoreBehind reports whether the store has an older configuration.
+func (s *localState) isStoreBehind() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.behind
 }
 
-// updatePlan takes a plan if it is newer. One of the same generation and a higher
-// epoch is a planner's fence: who does not know its epoch takes itself for deposed
-// when it plans next, after the store has forgotten its leases.
-func (k *localState) updatePlan(body json.RawMessage) (bool, error) {
+// updatePlan stores a plan if it is newer, and reports whether it was. A plan of the
+// same generation and a higher epoch is a planner's fence. A daemon that missed its
+// epoch would, if it becomes planner after the store has lost its leases, conclude
+// that it has lost the lease itself (see loadPlan).
+func (s *localState) updatePlan(body json.RawMessage) (bool, error) {
 	plan := &tw.Plan{}
 	if err := json.Unmarshal(body, plan); err != nil {
 		return false, err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.plan != nil && !plan.NewerThan(k.plan) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.plan != nil && !plan.NewerThan(s.plan) {
 		return false, nil
 	}
-	k.planBody, k.plan = body, plan
-	k.notifyInstaller()
+	s.planBody, s.plan = body, plan
+	s.notifyInstaller()
 	return true, nil
 }
 
-// updateList takes an instance list if it is newer; it tells whether it was.
-func (k *localState) updateList(list tw.InstanceSnapshot) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.hasList && list.Version <= k.list.Version {
+// updateList stores an instance list if it is newer, and reports whether it was.
+func (s *localState) updateList(list tw.InstanceSnapshot) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.hasList && list.Version <= s.list.Version {
 		return false
 	}
-	k.list, k.hasList = list, true
-	k.notifyInstaller()
-	notify(k.plannerWake)
+	s.list, s.hasList = list, true
+	s.notifyInstaller()
+	notify(s.plannerWake)
 	return true
 }
 
-// setRegistered notes that the daemon is in the roster. The plan must be read from
-// the store after that: what was learned before may be older than a handover
-// that no longer waits for this daemon.
-func (k *localState) setRegistered(in bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.registered, k.planFresh = in, false
-	k.notifyInstaller()
+// setRegistered records whether the daemon is in the roster. The plan must be read
+// from the store after registering: a plan received before may be older than a
+// handover that did not wait for this daemon.
+func (s *localState) setRegistered(registered bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.registered, s.planFresh = registered, false
+	s.notifyInstaller()
 }
 
-// markPlanFresh notes that the store's plan was read after registering.
-func (k *localState) markPlanFresh() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.registered && !k.planFresh {
-		k.planFresh = true
-		k.notifyInstaller()
+// markPlanFresh records that the store's plan was read after registering.
+func (s *localState) markPlanFresh() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.registered && !s.planFresh {
+		s.planFresh = true
+		s.notifyInstaller()
 	}
 }
 
-// notifyInstaller wakes the installer.
-func (k *localState) notifyInstaller() { notify(k.viewChanged) }
+// notifyInstaller wakes the install loop.
+func (s *localState) notifyInstaller() { notify(s.viewChanged) }
 
-// notify puts one token into a channel that may have it already.
+// notify sends to a channel of capacity 1 unless it is full.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -127,18 +126,19 @@
 	}
 }
 
-// view is what is known; who the members are is for the caller to add.
-func (k *localState) view() tw.View {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// view returns the current view without Hall, Self, Members and Remote, which the
+// caller adds.
+func (s *localState) view() tw.View {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	view := tw.View{
-		Revision:   k.revision,
-		Config:     k.config,
-		Plan:       k.plan,
-		Registered: k.registered && k.planFresh,
+		Revision:   s.revision,
+		Config:     s.config,
+		Plan:       s.plan,
+		Registered: s.registered && s.planFresh,
 		Leaving:    map[tw.InstanceID]bool{},
 	}
-	for _, in := range k.list.Instances {
+	for _, in := range s.list.Instances {
 		if in.Phase == tw.PhaseLeaving {
 			view.Leaving[in.ID] = true
 		}
@@ -146,29 +146,29 @@
 	return view
 }
 
-func (k *localState) currentRevision() tw.Revision {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.revision
+func (s *localState) currentRevision() tw.Revision {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.revision
 }
 
-func (k *localState) currentGeneration() tw.Generation {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.plan == nil {
+func (s *localState) currentGeneration() tw.Generation {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.plan == nil {
 		return 0
 	}
-	return k.plan.Generation
+	return s.plan.Generation
 }
 
-func (k *localState) documents() (config, plan json.RawMessage) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.configBody, k.planBody
+func (s *localState) documents() (config, plan json.RawMessage) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.configBody, s.planBody
 }
 
-func (k *localState) instances() (tw.InstanceSnapshot, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.list, k.hasList
+func (s *localState) instances() (tw.InstanceSnapshot, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.list, s.hasList
 }
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -12,24 +12,26 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// storedLedger is a ledger as read, to be written by compare-and-swap.
+// storedLedger is a service's disruption ledger and the document it was read from,
+// which compare-and-swap writes are based on.
 type storedLedger struct {
 	stored platform.Document
 	ledger tw.ServiceDisruptions
 }
 
-// decideWithBudget decides again, with the allowances that the store gives, and
-// enters the drains that come of it in the ledgers. Whatever goes wrong, no
-// drain is written that is not in its ledgers.
-func (p *planner) decideWithBudget(ctx context.Context, in fleet.Input, plain fleet.Output) fleet.Output {
+// decideWithBudget decides again, with the allowances computed from the store, and
+// records the resulting drains in the ledgers. On any error it returns fallback, the
+// decision without planned drains, so that no drain is written to the plan that is
+// not in its ledgers.
+func (p *planner) decideWithBudget(ctx context.Context, in fleet.Input, fallback fleet.Output) fleet.Output {
 	now := p.node.cfg.Clock.Now()
 	if now.Before(p.nextLedgerRead) {
-		return plain
+		return fallback
 	}
 	p.nextLedgerRead = now.Add(p.node.jitter(ledgerRetryInterval))
-	ledgers, err := p.readLedgers(ctx, plain.Deferred)
+	ledgers, err := p.readLedgers(ctx, fallback.Deferred)
 	if err != nil {
-		return plain // no store, no planned disruption
+		return fallback // no planned disruption without the store
 	}
 	in.Allowance = fleet.Allowances(fleet.BudgetInput{
 		Config:  in.Config,
@@ -43,25 +45,25 @@
 	}
 	out := fleet.Decide(in)
 	if err := p.recordDrains(ctx, ledgers, out.Drains); err != nil {
-		p.log.Debug("planned moves wait for a ledger", zap.Error(err))
-		return plain
+		p.log.Debug("cannot record planned drains in the ledgers", zap.Error(err))
+		return fallback
 	}
 	return out
 }
 
-// readLedgers reads the ledgers of all services that the wanted drains touch.
-func (p *planner) readLedgers(ctx context.Context, wants []fleet.Drain) (map[tw.ServiceID]storedLedger, error) {
+// readLedgers reads the ledgers of all services that the drains affect.
+func (p *planner) readLedgers(ctx context.Context, drains []fleet.Drain) (map[tw.ServiceID]storedLedger, error) {
 	out := map[tw.ServiceID]storedLedger{}
-	for _, w := range wants {
-		for _, service := range w.Services {
+	for _, drain := range drains {
+		for _, service := range drain.Services {
 			if _, done := out[service]; done {
 				continue
 			}
-			held, err := p.readLedger(ctx, service)
+			ledger, err := p.readLedger(ctx, service)
 			if err != nil {
 				return nil, err
 			}
-			out[service] = held
+			out[service] = ledger
 		}
 	}
 	return out, nil
@@ -72,15 +74,15 @@
 	if err != nil {
 		return storedLedger{}, err
 	}
-	held := storedLedger{stored: stored}
+	ledger := storedLedger{stored: stored}
 	if stored.Body != nil {
-		err = json.Unmarshal(stored.Body, &held.ledger)
+		err = json.Unmarshal(stored.Body, &ledger.ledger)
 	}
-	return held, err
+	return ledger, err
 }
 
-// trustedPlans reads the plans of the halls whose planner holds its lease.
-// It must come after the ledgers were read.
+// trustedPlans reads the plans of the halls that have a planner with a valid lease.
+// It must be called after the ledgers were read.
 func (p *planner) trustedPlans(ctx context.Context, in fleet.Input) map[tw.HallID]tw.Plan {
 	out := map[tw.HallID]tw.Plan{in.Hall: in.Plan}
 	for _, hall := range in.Config.Halls {
@@ -107,14 +109,14 @@
 	return plan, json.Unmarshal(stored.Body, &plan) == nil
 }
 
-// recordDrains writes the drains into the ledgers, by compare-and-swap on what the
-// allowances were worked out from.
+// recordDrains writes the drains to the ledgers, by compare-and-swap on the versions
+// that the allowances were computed from.
 func (p *planner) recordDrains(ctx context.Context, ledgers map[tw.ServiceID]storedLedger, drains []fleet.Drain) error {
 	next := map[tw.ServiceID]tw.ServiceDisruptions{}
 	for _, d := range drains {
 		for _, service := range d.Services {
-			ledger, begun := next[service]
-			if !begun {
+			ledger, ok := next[service]
+			if !ok {
 				ledger = ledgers[service].ledger
 			}
 			next[service] = ledger.With(tw.Disruption{
@@ -133,15 +135,16 @@
 	return nil
 }
 
-// clearLedgerEntries takes this hall's entries out again once their instances have
-// drained: from then on the plan itself shows them as unavailable.
+// clearLedgerEntries removes this hall's entries from a service's ledger once none of
+// the service's instances is draining here: from then on the plan itself shows them
+// as unavailable.
 func (p *planner) clearLedgerEntries(ctx context.Context, config *tw.FleetConfig) {
 	for service := range p.ledgersToClear {
 		if p.hasDraining(config, service) {
 			continue
 		}
 		err := p.node.cfg.Documents.Update(ctx, tw.BudgetKey(service), func(body json.RawMessage) (any, error) {
-			if !p.holdsLease() { // what was read may have a successor's entries
+			if !p.holdsLease() { // the document may already have entries of the next planner
 				return nil, ErrLostLease
 			}
 			return p.withoutOwnEntries(body)
@@ -170,15 +173,15 @@
 	return ledger, nil
 }
 
-// hasDraining tells whether an instance of the service is draining here.
+// hasDraining reports whether an instance with a job of the service is draining here.
 func (p *planner) hasDraining(config *tw.FleetConfig, service tw.ServiceID) bool {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
 		if a.State != tw.InstanceDraining {
 			continue
 		}
-		for _, at := range a.Jobs {
-			if job := config.Job(at.Job); job != nil && job.Service == service {
+		for _, placement := range a.Jobs {
+			if job := config.Job(placement.Job); job != nil && job.Service == service {
 				return true
 			}
 		}
@@ -188,8 +191,8 @@
 
 func ledgerValues(in map[tw.ServiceID]storedLedger) map[tw.ServiceID]tw.ServiceDisruptions {
 	out := map[tw.ServiceID]tw.ServiceDisruptions{}
-	for service, held := range in {
-		out[service] = held.ledger
+	for service, ledger := range in {
+		out[service] = ledger.ledger
 	}
 	return out
 }
--- a/control/members.go
+++ b/control/members.go
@@ -10,11 +10,11 @@
 )
 
 type (
-	// memberTable is the table of daemons heard of.
+	// memberTable has the daemons known from heartbeats, gossip and rosters.
 	memberTable struct {
 		clock      tw.Clock
 		hall       tw.HallID
-		minTimeout time.Duration // least silence after which a daemon counts as down
+		minTimeout time.Duration // shortest silence after which a daemon counts as down
 
 		mu    sync.Mutex
 		table map[tw.DaemonID]memberState
@@ -23,23 +23,25 @@
 	// memberState is a daemon's last heartbeat.
 	memberState struct {
 		tw.Member
-		lastHeard time.Time // when its beat last grew
-		// learnedAt is when this daemon registered and found it in the roster;
-		// zero once it was heard.
+		lastHeard time.Time // when its Beat last increased
+		// learnedAt is when this daemon found it in the roster while registering;
+		// zero after its first heartbeat.
 		learnedAt time.Time
-		// formerIncarnation is the highest number of an earlier life, if this life has a lower one.
+		// formerIncarnation is the highest incarnation of an earlier process, if the
+		// current process has a lower one.
 		formerIncarnation tw.Incarnation
 	}
 )
 
-func newMemberTable(clock tw.Clock, hall tw.HallID, dead time.Duration) *memberTable {
-	return &memberTable{clock: clock, hall: hall, minTimeout: dead, table: map[tw.DaemonID]memberState{}}
+func newMemberTable(clock tw.Clock, hall tw.HallID, minTimeout time.Duration) *memberTable {
+	return &memberTable{clock: clock, hall: hall, minTimeout: minTimeout, table: map[tw.DaemonID]memberState{}}
 }
 
-// update takes in a heartbeat, direct or by hearsay. An earlier life or an older
-// beat changes nothing; a report stands until the same life sends a new one. Who
-// speaks for itself while the other life is down is no earlier one: the wall clock,
-// which lives are numbered by, went back over its restart.
+// update applies a heartbeat, received from the daemon itself (direct) or by gossip.
+// An earlier incarnation or an older beat is ignored; a report is kept until the
+// same incarnation sends a new one. A lower incarnation is accepted directly from a
+// daemon whose known incarnation is down: incarnations come from the wall clock,
+// which may have gone back across a restart.
 func (t *memberTable) update(m tw.Member, direct bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,10 +50,10 @@
 		return
 	}
 	if !direct && m.Incarnation > old.Incarnation && m.Incarnation <= old.formerIncarnation {
-		return // others may not know yet that it is down
+		return // gossip from daemons that don't know yet that the former incarnation is down
 	}
-	same := known && m.Incarnation == old.Incarnation
-	if same && (m.Beat < old.Beat || m.Beat == old.Beat && !direct) {
+	sameIncarnation := known && m.Incarnation == old.Incarnation
+	if sameIncarnation && (m.Beat < old.Beat || m.Beat == old.Beat && !direct) {
 		return
 	}
 	next := memberState{Member: m, lastHeard: t.clock.Now()}
@@ -61,16 +63,16 @@
 	if !direct {
 		next.Report = nil
 	}
-	if same && next.Report == nil {
+	if sameIncarnation && next.Report == nil {
 		next.Report = old.Report
 	}
-	if same && len(next.Jobs) == 0 {
+	if sameIncarnation && len(next.Jobs) == 0 {
 		next.Jobs = old.Jobs
 	}
 	t.table[m.ID] = next
 }
 
-// get returns the last heartbeat of a daemon in one of its lives.
+// get returns the last heartbeat of an incarnation of a daemon.
 func (t *memberTable) get(id tw.DaemonID, incarnation tw.Incarnation) (memberState, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,11 +80,11 @@
 	return m, ok && m.Incarnation == incarnation
 }
 
-// mostRecent lists the daemons heard last, n at most.
-func (t *memberTable) mostRecent(n int, keep func(tw.Member) bool) []tw.Member {
+// mostRecent returns up to n live daemons, those with the latest heartbeats first.
+func (t *memberTable) mostRecent(n int, filter func(tw.Member) bool) []tw.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.liveStates(keep)
+	all := t.liveStates(filter)
 	slices.SortFunc(all, func(a, b memberState) int {
 		return cmp.Or(b.lastHeard.Compare(a.lastHeard), cmp.Compare(a.ID, b.ID))
 	})
@@ -93,39 +95,40 @@
 	return out
 }
 
-// live lists the daemons heard of late, by id.
-func (t *memberTable) live(keep func(tw.Member) bool) []tw.Member {
+// live returns the daemons that are not down, sorted by ID.
+func (t *memberTable) live(filter func(tw.Member) bool) []tw.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []tw.Member
-	for _, m := range t.liveStates(keep) {
+	for _, m := range t.liveStates(filter) {
 		out = append(out, m.Member)
 	}
 	slices.SortFunc(out, func(a, b tw.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-// claimCandidates lists the daemons that may hold claims, in no order: the live ones, and those
-// found in the roster when this one registered, until they are heard or count as
-// down. A daemon that did not ask these either granted keys that they held.
-func (t *memberTable) claimCandidates(keep func(tw.Member) bool) []tw.Member {
+// claimCandidates returns the daemons that may store claims, in no order: the live
+// ones, and those found in the roster when this one registered, until their first
+// heartbeat or until they count as down. Without the latter, a newly registered
+// daemon would grant keys that they have already granted.
+func (t *memberTable) claimCandidates(filter func(tw.Member) bool) []tw.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []tw.Member
-	for _, m := range t.liveStates(keep) {
+	for _, m := range t.liveStates(filter) {
 		out = append(out, m.Member)
 	}
 	for _, m := range t.table {
-		if !m.learnedAt.IsZero() && t.clock.Now().Sub(m.learnedAt) <= t.timeoutFor(m.Member) && keep(m.Member) {
+		if !m.learnedAt.IsZero() && t.clock.Now().Sub(m.learnedAt) <= t.timeoutFor(m.Member) && filter(m.Member) {
 			out = append(out, m.Member)
 		}
 	}
 	return out
 }
 
-// liveStates lists the daemons that are not down, in no order, and drops those
-// silent for long. The lock is held.
-func (t *memberTable) liveStates(keep func(tw.Member) bool) []memberState {
+// liveStates returns the daemons that are not down, in no order, and removes those
+// silent for longer than memberRetention. The caller must hold mu.
+func (t *memberTable) liveStates(filter func(tw.Member) bool) []memberState {
 	now := t.clock.Now()
 	var out []memberState
 	for id, m := range t.table {
@@ -133,36 +136,38 @@
 			delete(t.table, id)
 			continue
 		}
-		if !t.isDown(m) && keep(m.Member) {
+		if !t.isDown(m) && filter(m.Member) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// isDown tells whether a daemon has been silent for too long. The lock is held.
+// isDown reports whether a daemon has been silent for longer than its timeout. The
+// caller must hold mu.
 func (t *memberTable) isDown(m memberState) bool {
 	return t.clock.Now().Sub(m.lastHeard) > t.timeoutFor(m.Member)
 }
 
-// timeoutFor is the silence after which a daemon counts as down. The more
-// there are, the longer news of one takes. The lock is held.
+// timeoutFor returns the silence after which a daemon counts as down. It grows with
+// the number of daemons, as gossip takes longer to spread. The caller must hold mu.
 func (t *memberTable) timeoutFor(m tw.Member) time.Duration {
-	patience := t.minTimeout + time.Duration(float64(len(t.table))*timeoutPerMember*float64(t.minTimeout))
+	timeout := t.minTimeout + time.Duration(float64(len(t.table))*timeoutPerMember*float64(t.minTimeout))
 	if m.Hall != t.hall {
-		return remoteTimeoutFactor * patience
+		return remoteTimeoutFactor * timeout
 	}
-	return patience
+	return timeout
 }
 
-// remoteTimeoutFactor multiplies the patience with daemons of other halls: they are
-// heard seldom, and a relay that fails is tried elsewhere.
+// remoteTimeoutFactor multiplies the timeout for daemons of other halls: their
+// heartbeats are rare, and a relay that fails is retried elsewhere.
 const remoteTimeoutFactor = 10
 
-// timeoutPerMember adds to patience, as a part of the least.
+// timeoutPerMember is what each known daemon adds to the timeout, as a fraction of
+// the shortest one.
 const timeoutPerMember = 0.1
 
-// silentFor tells whether a daemon has not been heard for d.
+// silentFor reports whether a daemon is unknown or has sent no heartbeat for d.
 func (t *memberTable) silentFor(id tw.DaemonID, d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,5 +175,5 @@
 	return !ok || t.clock.Now().Sub(m.lastHeard) > d
 }
 
-// memberRetention is when a silent daemon is dropped from the table.
+// memberRetention is the silence after which a daemon is removed from the table.
 const memberRetention = 10 * time.Minute
--- a/control/node.go
+++ b/control/node.go
@@ -17,7 +17,7 @@
 type (
 	// Config configures a Node.
 	Config struct {
-		Self       tw.Member // id, hall, instance, addresses; the rest is filled in
+		Self       tw.Member // ID, hall, instance, addresses and incarnation; the node sets the rest
 		Clock      tw.Clock
 		Log        *zap.Logger
 		Metrics    *metrics.Set
@@ -26,13 +26,14 @@
 		Workers    tw.Workers
 		Peers      tw.Peers
 		Dispatcher tw.Dispatcher
-		// SeedAddresses are peer addresses to ask while the store cannot be reached.
+		// SeedAddresses are the peers to contact while no daemon of the hall is known,
+		// as when the store cannot be reached.
 		SeedAddresses []string
-		RandomSeed    uint64 // of random choices
+		RandomSeed    uint64 // seeds the random number generator
 		Intervals     Intervals
 	}
 
-	// Node runs a daemon's duties.
+	// Node runs a daemon's control loops.
 	Node struct {
 		cfg         Config
 		log         *zap.Logger
@@ -43,26 +44,26 @@
 		rand        *lockedRand
 		acked       atomic.Uint64
 		beat        atomic.Uint64
-		incarnation atomic.Uint64 // incarnation
+		incarnation atomic.Uint64
 		ctx         context.Context
 		cancel      context.CancelFunc
 		loops       sync.WaitGroup
 		done        chan struct{}
 	}
 
-	// Intervals is how often the duties run.
+	// Intervals has the intervals and timeouts of the control loops.
 	Intervals struct {
 		Sync           time.Duration // heartbeats
 		List           time.Duration // instance list
-		Plan           time.Duration // planning at rest
-		Handover       time.Duration // planning while a handover is on its way
-		StatusPoll     time.Duration // at rest: tasks, and reports of the daemons
-		Watch          time.Duration // how long a watch waits
-		Roster         time.Duration // looking whether we are still in it
+		Plan           time.Duration // planning passes, while nothing is pending
+		Handover       time.Duration // planning passes, while a handover is pending
+		StatusPoll     time.Duration // polls of tasks and daemon reports, while nothing is pending
+		Watch          time.Duration // timeout of a watch on the store
+		Roster         time.Duration // checks that this daemon is still in the roster
 		Lease          time.Duration // renewal of the planner's lease
 		LeaseTTL       time.Duration
-		PeerTimeout    time.Duration // silence of a peer
-		ClaimRetention time.Duration // idempotency keys
+		PeerTimeout    time.Duration // shortest silence after which a peer counts as down
+		ClaimRetention time.Duration // lifetime of claims on idempotency keys
 	}
 
 	lockedRand struct {
@@ -71,16 +72,17 @@
 	}
 )
 
-// claimLimit bounds the idempotency keys held by a daemon.
+// claimLimit is the maximum number of claims on idempotency keys that a daemon
+// stores.
 const claimLimit = 100_000
 
 var _ tw.PeerHandler = (*Node)(nil)
 
-// SetDefaults fills what was left out.
+// SetDefaults sets all zero fields to their defaults.
 func (p *Intervals) SetDefaults() {
 	for _, d := range []struct {
-		at   *time.Duration
-		rest time.Duration
+		interval *time.Duration
+		fallback time.Duration
 	}{
 		{&p.Sync, 1250 * time.Millisecond},
 		{&p.List, time.Second},
@@ -94,13 +96,13 @@
 		{&p.PeerTimeout, 3 * time.Second},
 		{&p.ClaimRetention, 10 * time.Minute},
 	} {
-		if *d.at == 0 {
-			*d.at = d.rest
+		if *d.interval == 0 {
+			*d.interval = d.fallback
 		}
 	}
 }
 
-// New makes a node and starts its duties; Close ends them.
+// New creates a node and starts its loops. Close stops them.
 func (c Config) New() *Node {
 	c.Intervals.SetDefaults()
 	if c.Clock == nil {
@@ -145,7 +147,7 @@
 	return n
 }
 
-// startLoop runs a duty until the node is closed.
+// startLoop runs a control loop in a goroutine until the node is closed.
 func (n *Node) startLoop(duty func(ctx context.Context)) {
 	n.loops.Add(1)
 	go func() {
@@ -154,11 +156,11 @@
 	}()
 }
 
-// Claims is the keeper of idempotency keys.
+// Claims returns the claims on idempotency keys.
 func (n *Node) Claims() tw.Claims { return n.claims }
 
-// Leave gives back the lease and the place in the roster, for a planned stop.
-// The gateway must have stopped: nothing may be in flight any more.
+// Leave stops the loops, releases the lease and removes the daemon from the roster,
+// for a planned stop. The gateway must have stopped, with no requests in flight.
 func (n *Node) Leave(ctx context.Context) {
 	n.cancel()
 	<-n.done
@@ -166,16 +168,16 @@
 	n.unregister(ctx)
 }
 
-// Close ends the duties at once.
+// Close stops the loops. The lease and the roster entry stay in the store.
 func (n *Node) Close() {
 	n.cancel()
 	<-n.done
 }
 
-// Done is closed when all duties have ended.
+// Done returns a channel that is closed when all loops have ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// sleep waits, and returns false when the node is closed.
+// sleep waits for d, and returns false if ctx ends first.
 func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -185,14 +187,14 @@
 	}
 }
 
-// jitter spreads d by a fifth to either side.
+// jitter returns a random duration within 20% of d.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	n.rand.mu.Lock()
 	defer n.rand.mu.Unlock()
 	return time.Duration(float64(d) * (0.8 + 0.4*n.rand.rand.Float64()))
 }
 
-// oneIn is true once in n times on average.
+// oneIn returns true with probability 1/times.
 func (n *Node) oneIn(times int) bool {
 	n.rand.mu.Lock()
 	defer n.rand.mu.Unlock()
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -18,7 +18,7 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-const eventualTimeout = "10s" // for what must come, whenever
+const eventualTimeout = "10s" // timeout of Eventually
 
 var _ = Describe("a configuration", func() {
 	It("reaches every daemon and becomes a plan that serves", func() {
@@ -32,7 +32,7 @@
 		}
 	})
 
-	It("reaches a daemon that is cut off from the store, through a peer", func() {
+	It("reaches a daemon that cannot reach the store, through a peer", func() {
 		b := newTestBed()
 		store := &partitionableStore{Store: b.platform}
 		b.node("d1", b.platform)
@@ -44,7 +44,7 @@
 		Eventually(func() tw.Revision { return two.installedView().Revision }, eventualTimeout).Should(Equal(tw.Revision(2)))
 	})
 
-	It("does not revert when the store comes back older", func() {
+	It("is not reverted when the store is restored to an older revision", func() {
 		b := newTestBed()
 		_, one := b.node("d1", b.platform)
 		b.applyConfig(0)
@@ -54,7 +54,7 @@
 		Eventually(func() tw.Revision { return one.installedView().Revision }, eventualTimeout).Should(Equal(tw.Revision(2)))
 		b.platform.Restore(tw.ConfigKey, older)
 		Consistently(func() tw.Revision { return one.installedView().Revision }, "300ms").Should(Equal(tw.Revision(2)))
-		Eventually(func() tw.Revision { return b.revision() }, eventualTimeout).Should(Equal(tw.Revision(2)), "the planner puts it back")
+		Eventually(func() tw.Revision { return b.revision() }, eventualTimeout).Should(Equal(tw.Revision(2)), "the planner restores it")
 	})
 
 	It("is not accepted over a store that is behind the daemons", func() {
@@ -69,12 +69,12 @@
 		b.platform.Restore(tw.ConfigKey, older)
 		_, err = b.operator.Apply(GinkgoT().Context(), testConfig+"# late\n", "test", 1)
 		var conflict *ConflictError
-		if !errors.As(err, &conflict) { // the planner may have put it back already
+		if !errors.As(err, &conflict) { // the planner may have restored it already
 			Expect(err).To(MatchError(ErrStoreBehind))
 		}
 	})
 
-	It("is not lost on a fresh daemon that cannot reach the store", func() {
+	It("reaches a new daemon that cannot reach the store", func() {
 		b := newTestBed()
 		b.node("d1", b.platform)
 		b.applyConfig(0)
@@ -87,13 +87,13 @@
 		Eventually(func() bool { return two.installedView().Registered }, eventualTimeout).Should(BeTrue())
 	})
 
-	It("is taken from one operator of two, and the other is told", func() {
+	It("is accepted from one of two concurrent operators, and the other gets a conflict", func() {
 		b := newTestBed()
 		b.applyConfig(0)
 		results := make(chan error, 2)
-		for _, who := range []string{"ama", "salim"} {
+		for _, operator := range []string{"ama", "salim"} {
 			go func() {
-				_, err := b.operator.Apply(context.Background(), testConfig+"# "+who+"\n", who, 1)
+				_, err := b.operator.Apply(context.Background(), testConfig+"# "+operator+"\n", operator, 1)
 				results <- err
 			}()
 		}
@@ -111,8 +111,8 @@
 })
 
 var _ = Describe("a move", func() {
-	// drained starts two daemons, and takes an instance that serves away.
-	drained := func() (b *testBed, one, two *recordingDispatcher, id tw.InstanceID) {
+	// startMove starts two daemons, and returns a serving instance to move.
+	startMove := func() (b *testBed, one, two *recordingDispatcher, id tw.InstanceID) {
 		b = newTestBed()
 		_, one = b.node("d1", b.platform)
 		_, two = b.node("d2", b.platform)
@@ -127,8 +127,8 @@
 		return b, one, two, id
 	}
 
-	It("waits for work in flight at every daemon", func() {
-		b, _, two, id := drained()
+	It("waits for requests in flight at every daemon", func() {
+		b, _, two, id := startMove()
 		two.setLoads(tw.Load{Instance: id, Job: "j", InFlight: 1})
 		b.platform.SetPhase(id, tw.PhaseLeaving)
 		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceDraining))
@@ -137,8 +137,8 @@
 		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceOut))
 	})
 
-	It("waits for work in flight on an instance that the list loses for a moment", func() {
-		b, _, two, id := drained()
+	It("waits for requests in flight on an instance that is missing from the list for a moment", func() {
+		b, _, two, id := startMove()
 		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
 		two.setLoads(tw.Load{Instance: id, Job: "j", InFlight: 1})
 		lost := b.platform.Instance(id)
@@ -151,24 +151,24 @@
 		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceSpare))
 	})
 
-	It("waits for a daemon that is cut off, while a spare serves", func() {
-		b, _, _, id := drained()
-		planner := "d1"
+	It("waits for an isolated daemon, while a spare serves", func() {
+		b, _, _, id := startMove()
+		follower := "d1"
 		if holder, err := b.platform.Holder(GinkgoT().Context(), tw.PlannerLease("h1")); err == nil && holder.Holder == "d1" {
-			planner = "d2"
+			follower = "d2"
 		}
-		b.network.setIsolated(planner, true) // the one that does not plan
+		b.network.setIsolated(follower, true) // the daemon that does not plan
 		b.platform.SetPhase(id, tw.PhaseLeaving)
 		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceDraining))
 		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		Consistently(func() tw.InstanceState { return b.state(id) }, "300ms").Should(Equal(tw.InstanceDraining))
-		b.network.setIsolated(planner, false)
+		b.network.setIsolated(follower, false)
 		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceOut))
 	})
 
-	It("waits for work in flight at a daemon that the store's roster has lost", func() {
+	It("waits for requests in flight at a daemon that a restored roster lacks", func() {
 		b := newTestBed()
-		b.intervals.Roster = time.Minute // the daemon has not looked yet whether it is still there
+		b.intervals.Roster = time.Minute // so that the daemon does not check its entry in time
 		b.node("d1", b.platform)
 		b.applyConfig(0)
 		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
@@ -187,8 +187,8 @@
 		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceOut))
 	})
 
-	It("waits no longer for a daemon that is attested to be gone", func() {
-		b, _, _, id := drained()
+	It("stops waiting for a daemon that the operator has removed", func() {
+		b, _, _, id := startMove()
 		Expect(b.operator.documents.Update(GinkgoT().Context(), tw.RosterKey("h1"), addUnreachableDaemon)).To(Succeed())
 		b.platform.SetPhase(id, tw.PhaseLeaving)
 		Eventually(func() tw.InstanceState { return b.state(id) }, eventualTimeout).Should(Equal(tw.InstanceDraining))
@@ -198,18 +198,18 @@
 	})
 })
 
-// plannerFault is something that happens to the one that plans.
+// plannerFaults are faults of the planning daemon or of its store.
 var plannerFaults = map[string]func(b *testBed, store *partitionableStore){
-	"loses the answers of its writes": func(b *testBed, _ *partitionableStore) {
+	"loses the responses to its writes": func(b *testBed, _ *partitionableStore) {
 		b.platform.SetFaults(standin.Faults{LoseAnswers: 30})
 	},
-	"finds the store slow": func(b *testBed, _ *partitionableStore) {
+	"has a slow store": func(b *testBed, _ *partitionableStore) {
 		b.platform.SetFaults(standin.Faults{Delay: tw.Duration(20 * time.Millisecond)})
 	},
-	"is cut off from the store past its lease": func(_ *testBed, store *partitionableStore) {
+	"cannot reach the store until its lease has expired": func(_ *testBed, store *partitionableStore) {
 		store.setUnavailable(true)
 	},
-	"finds the store down for a while": func(b *testBed, _ *partitionableStore) {
+	"has no store for a while": func(b *testBed, _ *partitionableStore) {
 		b.platform.SetFaults(standin.Faults{Down: true})
 		time.Sleep(2 * fastIntervals.LeaseTTL)
 		b.platform.SetFaults(standin.Faults{})
@@ -226,7 +226,7 @@
 
 var _ = Describe("the planner of a hall", func() {
 	for _, name := range slices.Sorted(maps.Keys(plannerFaults)) {
-		It(name+": losses are made good, generations only grow", func() {
+		It(name+": replaces lost instances, and no generation decreases", func() {
 			b := newTestBed()
 			store := &partitionableStore{Store: b.platform}
 			_, one := b.node("d1", store)
@@ -234,17 +234,17 @@
 			Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 			_, two := b.node("d2", b.platform)
 			Eventually(func() bool { return two.installedView().Registered }, eventualTimeout).Should(BeTrue())
-			grows := watchGenerations(one, two)
+			neverDecreased := watchGenerations(one, two)
 			plannerFaults[name](b, store)
 			b.platform.RemoveInstance(firstServing(b))
 			Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 			Eventually(func() tw.Generation { return two.installedView().Plan.Generation }, eventualTimeout).
 				Should(BeNumerically(">=", b.plan().Generation))
-			Expect(grows()).To(BeTrue())
+			Expect(neverDecreased()).To(BeTrue())
 		})
 	}
 
-	It("takes the lease once, also when the store has forgotten its epochs", func() {
+	It("acquires the lease once, also when the store has lost its epochs", func() {
 		b := newTestBed()
 		core, logs := observer.New(zap.InfoLevel)
 		b.log = zap.New(core)
@@ -259,15 +259,15 @@
 		Expect(logs.FilterMessage("planning for the hall").Len()).To(Equal(1))
 	})
 
-	It("plans on when its predecessor's epoch is above its own, though it knew that plan already", func() {
+	It("keeps planning when its predecessor's epoch is above its own, even if it already has that plan", func() {
 		b := newTestBed()
 		b.node("d1", b.platform)
 		b.node("d2", b.platform)
 		b.applyConfig(0)
 		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
-		// As a planner leaves it that took over after the store forgot its leases:
-		// its fence has an epoch above the plan's, and the lease counts from 1 again.
+		// The state after a planner took over from a store that had lost its leases: its
+		// fence has an epoch above the plan's, and the lease epochs count from 1 again.
 		Expect(b.operator.documents.Update(GinkgoT().Context(), tw.PlanKey("h1"), func(body json.RawMessage) (any, error) {
 			var plan tw.Plan
 			err := json.Unmarshal(body, &plan)
@@ -287,20 +287,20 @@
 		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
 		before := b.plan()
-		one.Close() // as a process that is paused for ever
+		one.Close() // like a process that is paused for good
 		b.network.setIsolated("d1", true)
 		b.node("d2", b.platform)
 		Eventually(func() tw.Epoch { return b.plan().Epoch }, eventualTimeout).Should(BeNumerically(">", before.Epoch))
 		Expect(b.plan().Generation).To(Equal(before.Generation))
 	})
 
-	It("fences a former life of its own daemon, which had the same epoch", func() {
+	It("fences an earlier process of its own daemon that had the same epoch", func() {
 		b := newTestBed()
 		one, _ := b.node("d1", b.platform)
 		b.applyConfig(0)
 		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
-		one.Close() // as a process that was killed, with a write still on its way
+		one.Close() // like a process that was killed with a write still in flight
 		late, err := b.platform.Get(GinkgoT().Context(), tw.PlanKey("h1"))
 		Expect(err).NotTo(HaveOccurred())
 		two, _ := b.start("d1", 2, b.platform)
@@ -338,8 +338,8 @@
 	return ""
 }
 
-// watchGenerations looks on while something happens; the function it returns
-// tells whether no daemon went back.
+// watchGenerations watches the plans of the dispatchers. The function it returns ends
+// this and reports whether no generation has decreased.
 func watchGenerations(all ...*recordingDispatcher) func() bool {
 	done := make(chan struct{})
 	result := make(chan bool, 1)
--- a/control/operator.go
+++ b/control/operator.go
@@ -21,22 +21,23 @@
 		Clock     tw.Clock
 	}
 
-	// Operator does what the command line asks for. It never places anything:
-	// it changes the configuration, and looks.
+	// Operator implements the operator's commands. It changes the configuration and
+	// rosters, and reads state; it never changes a plan.
 	Operator struct {
 		documents *platform.Documents
 		peers     tw.Peers
 		clock     tw.Clock
 	}
 
-	// ConflictError is an apply that was made from a revision that is no longer
-	// the newest.
+	// ConflictError is returned by Apply if its base is no longer the newest
+	// revision.
 	ConflictError struct {
 		Base    tw.Revision
 		Current tw.AcceptedConfig
 	}
 
-	// DaemonState is how far one registered daemon is.
+	// DaemonState is what a registered daemon reports about its configuration and
+	// plan. Reached is false if it did not respond.
 	DaemonState struct {
 		tw.RosterMember
 		Hall     tw.HallID
@@ -46,28 +47,29 @@
 	}
 )
 
-// daemonPollInterval is how often WaitInForce asks the daemons.
+// daemonPollInterval is the interval at which WaitForRevision polls the daemons.
 const daemonPollInterval = 50 * time.Millisecond
 
-// New makes an operator.
+// New creates an operator.
 func (c OperatorConfig) New() *Operator {
 	return &Operator{documents: c.Documents, peers: c.Peers, clock: c.Clock}
 }
 
-// Error tells who was first.
+// Error implements error. It names the operator of the current revision.
 func (c *ConflictError) Error() string {
 	return fmt.Sprintf("made from revision %d, but revision %d by %s is in force: look at the difference and apply again",
 		c.Base, c.Current.Revision, nameOr(c.Current.Operator, "somebody"))
 }
 
-// Get reads the accepted configuration; revision 0 means none.
+// Get reads the accepted configuration. Its revision is 0 if there is none.
 func (o *Operator) Get(ctx context.Context) (tw.AcceptedConfig, error) {
 	current, _, err := o.readConfig(ctx)
 	return current, err
 }
 
-// Apply makes source the configuration, if base is still the newest revision.
-// It fails with tw.Faults, or with *Conflict.
+// Apply stores source as the configuration, if base is still the newest revision.
+// An invalid configuration fails with tw.Faults, another base with *ConflictError,
+// and an outdated store with ErrStoreBehind.
 func (o *Operator) Apply(ctx context.Context, source, operator string, base tw.Revision) (tw.AcceptedConfig, error) {
 	if _, err := ParseConfig(source); err != nil {
 		return tw.AcceptedConfig{}, err
@@ -99,8 +101,9 @@
 	return next, err
 }
 
-// checkStore refuses to build on a store that has come back older than what is
-// in force: the daemons would not take a revision that they have had.
+// checkStore fails with ErrStoreBehind if a daemon has a newer revision than the
+// store: the daemons would ignore a new configuration under a revision that they
+// already have.
 func (o *Operator) checkStore(ctx context.Context, current tw.AcceptedConfig) error {
 	if current.Revision == 0 {
 		return nil
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// Daemons asks every registered daemon of the halls how far it is.
+// Daemons queries the state of every registered daemon of the halls.
 func (o *Operator) Daemons(ctx context.Context, halls []tw.HallID) ([]DaemonState, error) {
 	var out []DaemonState
 	for _, hall := range halls {
@@ -133,11 +136,11 @@
 			out = append(out, DaemonState{RosterMember: m, Hall: hall})
 		}
 	}
-	var asked sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range out {
-		asked.Go(func() { o.queryDaemon(ctx, &out[i]) })
+		wg.Go(func() { o.queryDaemon(ctx, &out[i]) })
 	}
-	asked.Wait()
+	wg.Wait()
 	return out, nil
 }
 
@@ -155,7 +158,8 @@
 	return plan, err
 }
 
-// Forget attests that a daemon is gone, so that no move waits for it.
+// Forget removes a daemon from the roster, so that handovers no longer wait for it.
+// The operator must be sure that its process has ended.
 func (o *Operator) Forget(ctx context.Context, hall tw.HallID, id tw.DaemonID) error {
 	found := false
 	err := o.documents.Update(ctx, tw.RosterKey(hall), func(body json.RawMessage) (any, error) {
@@ -178,7 +182,7 @@
 	return err
 }
 
-// WaitForRevision waits until every registered daemon has the revision.
+// WaitForRevision waits until every registered daemon has at least the revision.
 func (o *Operator) WaitForRevision(ctx context.Context, halls []tw.HallID, revision tw.Revision) ([]DaemonState, error) {
 	for {
 		daemons, err := o.Daemons(ctx, halls)
@@ -227,9 +231,9 @@
 	return json.Unmarshal(stored.Body, into)
 }
 
-func nameOr(name, rest string) string {
+func nameOr(name, fallback string) string {
 	if name == "" {
-		return rest
+		return fallback
 	}
 	return name
 }
--- a/control/parse.go
+++ b/control/parse.go
@@ -18,7 +18,7 @@
 	return config, nil
 }
 
-// parseAccepted reads a configuration as the store keeps it.
+// parseAccepted parses a stored configuration document.
 func parseAccepted(body []byte) (tw.AcceptedConfig, *tw.FleetConfig, error) {
 	var accepted tw.AcceptedConfig
 	if err := json.Unmarshal(body, &accepted); err != nil {
--- a/control/parts_test.go
+++ b/control/parts_test.go
@@ -25,21 +25,21 @@
 	return roster.With(tw.RosterMember{ID: "ghost", Instance: "ghost", Incarnation: 1, Address: "nowhere"}), nil
 }
 
-var _ = Describe("knowledge", func() {
-	It("never takes anything older, in any order", func() {
+var _ = Describe("local state", func() {
+	It("never accepts an older revision", func() {
 		k := newLocalState()
 		for _, step := range []struct {
 			revision tw.Revision
-			took     bool
+			accepted bool
 		}{{3, true}, {2, false}, {3, false}, {5, true}, {4, false}} {
-			took, err := k.updateConfig(acceptedConfigJSON(step.revision))
+			accepted, err := k.updateConfig(acceptedConfigJSON(step.revision))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(took).To(Equal(step.took), "revision %d", step.revision)
+			Expect(accepted).To(Equal(step.accepted), "revision %d", step.revision)
 		}
 		Expect(k.currentRevision()).To(Equal(tw.Revision(5)))
 	})
 
-	It("does not count as registered before the plan was read again", func() {
+	It("does not count as registered before the plan was read after registering", func() {
 		k := newLocalState()
 		k.markPlanFresh()
 		k.setRegistered(true)
@@ -51,7 +51,7 @@
 	})
 })
 
-var _ = Describe("the table of members", func() {
+var _ = Describe("the member table", func() {
 	type row struct {
 		first, second tw.Member
 		direct        bool
@@ -59,27 +59,27 @@
 	}
 	report := func(acked tw.Generation) *tw.Report { return &tw.Report{Acked: acked} }
 	rows := map[string]row{
-		"a later beat counts": {
+		"a later beat is accepted": {
 			first: tw.Member{Incarnation: 1, Beat: 1, Report: report(1)}, second: tw.Member{Incarnation: 1, Beat: 2, Report: report(2)},
 			direct: true, want: tw.Member{Incarnation: 1, Beat: 2, Report: report(2)},
 		},
-		"a beat without a report leaves the last one": {
+		"a beat without a report keeps the last report": {
 			first: tw.Member{Incarnation: 1, Beat: 1, Report: report(1)}, second: tw.Member{Incarnation: 1, Beat: 2},
 			direct: true, want: tw.Member{Incarnation: 1, Beat: 2, Report: report(1)},
 		},
-		"an earlier beat does not count": {
+		"an earlier beat is ignored": {
 			first: tw.Member{Incarnation: 1, Beat: 2, Report: report(2)}, second: tw.Member{Incarnation: 1, Beat: 1, Report: report(9)},
 			direct: true, want: tw.Member{Incarnation: 1, Beat: 2, Report: report(2)},
 		},
-		"an earlier life does not count": {
+		"an earlier incarnation is ignored": {
 			first: tw.Member{Incarnation: 2, Beat: 1}, second: tw.Member{Incarnation: 1, Beat: 9, Report: report(9)},
 			direct: true, want: tw.Member{Incarnation: 2, Beat: 1},
 		},
-		"a new life has acked nothing": {
+		"a new incarnation starts without a report": {
 			first: tw.Member{Incarnation: 1, Beat: 9, Report: report(9)}, second: tw.Member{Incarnation: 2, Beat: 1},
 			direct: true, want: tw.Member{Incarnation: 2, Beat: 1},
 		},
-		"hearsay acknowledges for nobody": {
+		"a report in gossip is ignored": {
 			first: tw.Member{Incarnation: 1, Beat: 1, Report: report(1)}, second: tw.Member{Incarnation: 1, Beat: 2, Report: report(9)},
 			want: tw.Member{Incarnation: 1, Beat: 2, Report: report(1)},
 		},
@@ -95,24 +95,25 @@
 		})
 	}
 
-	It("takes a life with a lower number once the other is down", func() {
+	It("accepts a lower incarnation once the higher one is down", func() {
 		clock := fakeclock.New()
 		t := newMemberTable(clock, "", time.Second)
 		all := func(tw.Member) bool { return true }
 		t.update(tw.Member{ID: "a", Incarnation: 9, Beat: 1}, true)
-		later := tw.Member{ID: "a", Incarnation: 8, Beat: 1} // its clock went back while it was away
+		later := tw.Member{ID: "a", Incarnation: 8, Beat: 1} // its clock went back while it was down
 		t.update(later, true)
 		Expect(t.live(all)[0].Incarnation).To(Equal(tw.Incarnation(9)))
 		clock.Advance(2 * time.Second)
 		t.update(later, false)
-		Expect(t.live(all)).To(BeEmpty(), "hearsay may be of an earlier life")
+		Expect(t.live(all)).To(BeEmpty(), "gossip may be about an earlier incarnation")
 		t.update(later, true)
 		Expect(t.live(all)).To(HaveLen(1))
 		Expect(t.live(all)[0].Incarnation).To(Equal(tw.Incarnation(8)))
 	})
 
-	// Hearsay of the former life came back from the other table each time, as news.
-	It("agrees with another table on a life with a lower number", func() {
+	// Guards against gossip about the former incarnation being accepted as new again and
+	// again, so that the two tables never agree.
+	It("agrees with another table on a lower incarnation", func() {
 		clock := fakeclock.New()
 		all := func(tw.Member) bool { return true }
 		one, two := newMemberTable(clock, "", time.Second), newMemberTable(clock, "", time.Second)
@@ -150,7 +151,7 @@
 		all := func(tw.Member) bool { return true }
 		Expect(t.live(all)).To(HaveLen(1))
 		clock.Advance(2 * time.Second)
-		t.update(tw.Member{ID: "a", Incarnation: 1, Beat: 1}, false) // old news
+		t.update(tw.Member{ID: "a", Incarnation: 1, Beat: 1}, false) // the same beat again, by gossip
 		Expect(t.live(all)).To(BeEmpty())
 	})
 })
@@ -164,10 +165,10 @@
 		gone bool
 	}
 	rows := map[string]row{
-		"is not gone while it is listed":             {list: []tw.Instance{entry, other}},
-		"is gone when it is unlisted for long":       {list: []tw.Instance{other, worker}, gone: true},
-		"is not gone if the list has no entries":     {list: []tw.Instance{worker}},
-		"is not gone if the list has nothing at all": {},
+		"is not absent while it is listed":                    {list: []tw.Instance{entry, other}},
+		"is absent once it has been unlisted for the timeout": {list: []tw.Instance{other, worker}, gone: true},
+		"is not absent if the list has no entry instances":    {list: []tw.Instance{worker}},
+		"is not absent if the list is empty":                  {},
 	}
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
 		It(name, func() {
@@ -188,7 +189,8 @@
 	}
 })
 
-// peerImplementations of tw.Peers, each in front of a handler.
+// peerImplementations creates the implementations of tw.Peers with a handler, and
+// returns the address of the handler.
 var peerImplementations = map[string]func(h tw.PeerHandler) (tw.Peers, string){
 	"in memory": func(h tw.PeerHandler) (tw.Peers, string) {
 		n := newNetwork()
@@ -196,18 +198,18 @@
 		return n, "peer"
 	},
 	"over connect-go": func(h tw.PeerHandler) (tw.Peers, string) {
-		at, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server := &http.Server{Handler: NewPeerServer(h), Protocols: ServerProtocols()}
-		go func() { _ = server.Serve(at) }() // ends with Close
+		go func() { _ = server.Serve(listener) }() // returns on Close
 		DeferCleanup(server.Close)
 		client := PeerClientConfig{}.New()
 		DeferCleanup(client.Close)
-		return client, at.Addr().String()
+		return client, listener.Addr().String()
 	},
 }
 
-// echo answers with what it was asked.
+// echo responds with the content of the request.
 type echo struct{}
 
 func (echo) HandleSync(req tw.SyncRequest) tw.SyncResponse {
@@ -223,7 +225,7 @@
 		Report: &tw.Report{Acked: 4, Loads: []tw.Load{{Instance: "w", Job: "j", InFlight: 1, OK: 2, Failed: 3}}},
 	}
 	for _, name := range slices.Sorted(maps.Keys(peerImplementations)) {
-		It(name+": carry everything there and back", func() {
+		It(name+": transfers all fields in both directions", func() {
 			peers, address := peerImplementations[name](echo{})
 			got, err := peers.Sync(GinkgoT().Context(), address, tw.SyncRequest{Self: member, Others: []tw.Member{member}, Generation: 9})
 			Expect(err).NotTo(HaveOccurred())
@@ -231,12 +233,12 @@
 			Expect(got.Others).To(Equal([]tw.Member{member}))
 			Expect(string(got.Config)).To(Equal("config"))
 			claim := tw.Claim{Scope: "s", Body: "b", Holder: "d", Nonce: "n", State: tw.ClaimPending}
-			back, err := peers.Claim(GinkgoT().Context(), address, claim)
+			echoed, err := peers.Claim(GinkgoT().Context(), address, claim)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(back).To(Equal(claim))
+			Expect(echoed).To(Equal(claim))
 		})
 
-		It(name+": a process that is not there is gone", func() {
+		It(name+": reports that nothing listens at an address", func() {
 			peers, _ := peerImplementations[name](echo{})
 			_, err := peers.Sync(GinkgoT().Context(), "127.0.0.1:1", tw.SyncRequest{})
 			Expect(err).To(MatchError(tw.ErrNotListening))
@@ -247,8 +249,8 @@
 })
 
 var _ = Describe("idempotency keys", func() {
-	// hall starts n keepers that know each other.
-	hall := func(n int) (*network, []*claims) {
+	// newClaims creates the claims of n daemons that know each other.
+	newClaims := func(n int) (*network, []*claims) {
 		network := newNetwork()
 		var members []tw.Member
 		var all []*claims
@@ -271,8 +273,8 @@
 	}
 
 	for _, n := range []int{2, 3, 7} {
-		It(fmt.Sprintf("run once among %d daemons, also when the first is lost", n), func() {
-			network, all := hall(n)
+		It(fmt.Sprintf("are granted once among %d daemons, also when the first is lost", n), func() {
+			network, all := newClaims(n)
 			for k := range 50 {
 				scope := fmt.Sprint("key", k)
 				holder := k % n
@@ -290,8 +292,8 @@
 		})
 	}
 
-	It("are free again once released", func() {
-		_, all := hall(3)
+	It("can be claimed again once released", func() {
+		_, all := newClaims(3)
 		claim, first := all[0].Claim(GinkgoT().Context(), "key", "body")
 		Expect(first.Granted).To(BeTrue())
 		all[0].Settle(claim, tw.ClaimReleased)
@@ -304,8 +306,8 @@
 		}, eventualTimeout).Should(BeTrue())
 	})
 
-	It("are not granted if nobody else could keep them", func() {
-		network, all := hall(2)
+	It("are not granted if no other daemon can store the claim", func() {
+		network, all := newClaims(2)
 		network.setIsolated("d1", true)
 		_, result := all[0].Claim(GinkgoT().Context(), "key", "body")
 		Expect(result.Granted).To(BeFalse())
@@ -313,14 +315,14 @@
 	})
 
 	It("are granted by one daemon alone when the other's process is gone", func() {
-		network, all := hall(2)
+		network, all := newClaims(2)
 		network.setHandler("d1", nil)
 		_, result := all[0].Claim(GinkgoT().Context(), "key", "body")
 		Expect(result.Granted).To(BeTrue())
 	})
 
-	It("are granted to at most one of those who ask at the same time", func() {
-		_, all := hall(3)
+	It("are granted to at most one of several concurrent claims", func() {
+		_, all := newClaims(3)
 		for k := range 50 {
 			results := make(chan bool, len(all))
 			for _, c := range all {
@@ -339,7 +341,7 @@
 		}
 	})
 
-	It("are held for their time, and no more than fit", func() {
+	It("expire after their lifetime, and are limited in number", func() {
 		clock := fakeclock.New()
 		t := newClaimTable(clock, time.Minute, 2)
 		one := tw.Claim{Scope: "1", Holder: "a", Nonce: "n"}
@@ -352,7 +354,7 @@
 	})
 })
 
-// claimsOnly is a peer that only keeps claims.
+// claimsOnly is a peer that handles only claims.
 type claimsOnly struct{ *claims }
 
 func (claimsOnly) HandleSync(tw.SyncRequest) tw.SyncResponse { return tw.SyncResponse{} }
--- a/control/peer_client.go
+++ b/control/peer_client.go
@@ -21,11 +21,12 @@
 	// PeerClientConfig configures a PeerClient.
 	PeerClientConfig struct {
 		Timeout time.Duration // of a call
-		// Dial replaces the network, so that tests can cut and count it.
+		// Dial replaces the default dialer, so that tests can interrupt connections
+		// and count their traffic.
 		Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	}
 
-	// PeerClient calls other daemons over connect-go and plain HTTP/2.
+	// PeerClient calls other daemons with connect-go over unencrypted HTTP/2.
 	PeerClient struct {
 		timeout time.Duration
 		http    *http.Client
@@ -39,7 +40,7 @@
 
 var _ tw.Peers = (*PeerClient)(nil)
 
-// New makes a client; it makes no call yet.
+// New creates a client without connecting.
 func (c PeerClientConfig) New() *PeerClient {
 	if c.Timeout == 0 {
 		c.Timeout = defaultPeerTimeout
@@ -54,7 +55,7 @@
 		Protocols:       protocols,
 		IdleConnTimeout: time.Minute,
 		HTTP2: &http.HTTP2Config{
-			// A peer that went away without a word is noticed.
+			// Pings detect a peer that is gone without closing its connection.
 			SendPingTimeout: 5 * time.Second,
 			PingTimeout:     5 * time.Second,
 		},
@@ -98,7 +99,7 @@
 	return claimFromWire(resp.Msg), nil
 }
 
-// Close drops the connections.
+// Close closes idle connections.
 func (c *PeerClient) Close() { c.http.CloseIdleConnections() }
 
 func (c *PeerClient) client(address string) peerpbconnect.PeerServiceClient {
--- a/control/peer_server.go
+++ b/control/peer_server.go
@@ -11,18 +11,18 @@
 	"github.com/tamarindworks/tamarindworks/control/peerpb/peerpbconnect"
 )
 
-// peerServer turns calls into those of a handler.
+// peerServer adapts a tw.PeerHandler to the generated service interface.
 type peerServer struct{ handler tw.PeerHandler }
 
-// NewPeerServer makes the HTTP handler of the peer service. It must be served
-// over unencrypted HTTP/2; see ServerProtocols.
+// NewPeerServer returns the HTTP handler of the peer service. It must be served over
+// unencrypted HTTP/2; see ServerProtocols.
 func NewPeerServer(handler tw.PeerHandler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(peerpbconnect.NewPeerServiceHandler(peerServer{handler}))
 	return mux
 }
 
-// ServerProtocols are the protocols that a peer server must speak.
+// ServerProtocols returns the protocols that a peer server must support.
 func ServerProtocols() *http.Protocols {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -30,7 +30,7 @@
 	return protocols
 }
 
-// Sync serves a heartbeat.
+// Sync handles a heartbeat.
 func (s peerServer) Sync(_ context.Context, req *connect.Request[peerpb.SyncRequest]) (*connect.Response[peerpb.SyncResponse], error) {
 	resp := s.handler.HandleSync(tw.SyncRequest{
 		Self:       memberFromWire(req.Msg.GetSelf()),
@@ -46,7 +46,7 @@
 	}), nil
 }
 
-// Claim serves a claim.
+// Claim handles a claim on an idempotency key.
 func (s peerServer) Claim(_ context.Context, req *connect.Request[peerpb.ClaimMessage]) (*connect.Response[peerpb.ClaimMessage], error) {
 	return connect.NewResponse(claimToWire(s.handler.HandleClaim(claimFromWire(req.Msg)))), nil
 }
--- a/control/planner.go
+++ b/control/planner.go
@@ -14,31 +14,30 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// planner plans for its hall while it holds the hall's lease. Only its duty
-// touches it.
+// planner plans for its hall while it holds the hall's lease. Only its loop uses it,
+// except for leaseHeld and absences.
 type planner struct {
 	node           *Node
 	log            *zap.Logger
 	leaseHeld      atomic.Bool
-	leaseUntil     time.Time // the lease surely holds until then, by our own clock
+	leaseUntil     time.Time // the lease is valid at least until then, by the local clock
 	renewAt        time.Time
-	leaseEpoch     tw.Epoch          // the lease's
-	planEpoch      tw.Epoch          // the plans'; the same, unless the store has forgotten it
-	stored         platform.Document // the plan as last read or written
+	leaseEpoch     tw.Epoch          // epoch of the lease
+	planEpoch      tw.Epoch          // epoch of the plans; differs from the lease's if the store has lost its leases
+	stored         platform.Document // the plan document last read or written
 	loaded         bool
-	fenced         bool // nothing that was sent before the lease was taken can replace the plan
+	fenced         bool // no write sent before this lease was acquired can replace the plan
 	plan           tw.Plan
 	tasks          []tw.Task
-	tasksKnown     bool      // tasks are those of the platform
-	nextPoll       time.Time // when to look closely though nothing is pending
+	tasksKnown     bool      // the last listing of tasks succeeded
+	nextPoll       time.Time // when to poll tasks and reports while nothing is pending
 	busy           *busyMeter
 	absences       *absenceTracker
 	ledgersToClear map[tw.ServiceID]bool // ledgers that may have entries of this hall
-	nextLedgerRead time.Time             // when to ask the ledgers again
+	nextLedgerRead time.Time             // when to read the ledgers again
 }
 
-// ledgerRetryInterval is how long to wait before asking again for a budget that was
-// used up.
+// ledgerRetryInterval is the shortest time between two attempts to get an allowance.
 const ledgerRetryInterval = time.Second
 
 func newPlanner(n *Node) *planner {
@@ -51,18 +50,18 @@
 	}
 }
 
-// loop takes or renews the lease, and plans while it holds it.
+// loop acquires and renews the lease, and plans while it holds it.
 func (p *planner) loop(ctx context.Context) {
-	pace := p.node.cfg.Intervals
+	intervals := p.node.cfg.Intervals
 	for {
-		wait := pace.Lease
+		wait := intervals.Lease
 		if p.ensureLease(ctx) {
-			wait = pace.Plan
+			wait = intervals.Plan
 			if err := p.runPass(ctx); err != nil {
 				p.handleError(err)
 			}
 			if p.pending() {
-				wait = pace.Handover
+				wait = intervals.Handover
 			}
 		}
 		select {
@@ -74,11 +73,12 @@
 	}
 }
 
-// ensureLease makes sure that this daemon may plan now.
+// ensureLease acquires or renews the lease if necessary, and reports whether this
+// daemon holds it.
 func (p *planner) ensureLease(ctx context.Context) bool {
 	clock := p.node.cfg.Clock
-	asked := clock.Now()
-	if p.leaseHeld.Load() && asked.Before(p.renewAt) {
+	requested := clock.Now()
+	if p.leaseHeld.Load() && requested.Before(p.renewAt) {
 		return true
 	}
 	if !p.node.readyToPlan() || !p.leaseHeld.Load() && p.anotherDaemonPlans() {
@@ -87,8 +87,8 @@
 	lease, err := p.node.cfg.Documents.Acquire(ctx, p.leaseRequest())
 	switch {
 	case err == nil:
-		p.leaseUntil = asked.Add(p.node.cfg.Intervals.LeaseTTL)
-		p.renewAt = asked.Add(p.node.cfg.Intervals.Lease)
+		p.leaseUntil = requested.Add(p.node.cfg.Intervals.LeaseTTL)
+		p.renewAt = requested.Add(p.node.cfg.Intervals.Lease)
 		if !p.leaseHeld.Load() || lease.Epoch != p.leaseEpoch {
 			p.beginTerm(lease.Epoch)
 		}
@@ -98,8 +98,8 @@
 	return p.holdsLease()
 }
 
-// anotherDaemonPlans tells whether a live daemon of the hall says that it plans. Then
-// this one need not ask the store for the lease.
+// anotherDaemonPlans reports whether another live daemon of the hall says that it
+// holds the planner's lease. This one then need not request it from the store.
 func (p *planner) anotherDaemonPlans() bool {
 	for _, m := range p.node.withoutSelf(p.node.hallMembers()) {
 		if m.Planning {
@@ -109,8 +109,8 @@
 	return false
 }
 
-// holdsLease tells whether the lease surely holds now: a process that was paused
-// finds out by its own clock before it does anything.
+// holdsLease reports whether the lease is still valid by the local clock. A process
+// that was paused past its lease so finds out before it writes anything.
 func (p *planner) holdsLease() bool {
 	if p.leaseHeld.Load() && !p.node.cfg.Clock.Now().Before(p.leaseUntil) {
 		p.endTerm()
@@ -147,13 +147,13 @@
 	}
 }
 
-// release gives the lease back, for a planned stop.
+// release releases the lease, for a planned stop.
 func (p *planner) release(ctx context.Context) {
 	if !p.leaseHeld.Load() {
 		return
 	}
 	if err := p.node.cfg.Documents.Release(ctx, p.leaseRequest()); err != nil {
-		p.log.Warn("cannot give the lease back", zap.Error(err))
+		p.log.Warn("cannot release the lease", zap.Error(err))
 	}
 }
 
@@ -164,11 +164,12 @@
 	case errors.Is(err, tw.ErrConflict):
 		p.loaded = false
 	default:
-		p.log.Debug("pass not finished", zap.Error(err))
+		p.log.Debug("planning pass failed", zap.Error(err))
 	}
 }
 
-// runPass is one pass: look, decide, write, then order.
+// runPass gathers the input, decides, writes the plan, and then sends orders to the
+// platform.
 func (p *planner) runPass(ctx context.Context) error {
 	if err := p.loadPlan(ctx); err != nil {
 		return err
@@ -198,15 +199,16 @@
 		}
 	}
 	p.clearLedgerEntries(ctx, in.Config)
-	// Tasks that were listed after the lease had lapsed may be a successor's.
+	// Tasks that were listed after the lease expired may be those of the next planner.
 	if !p.holdsLease() {
 		return ErrLostLease
 	}
 	return p.sendOrders(ctx, fleet.ComputeOrders(in))
 }
 
-// loadPlan reads the stored plan once after the lease was taken. If the store has
-// come back older than what is in force here, what is in force goes on.
+// loadPlan reads the stored plan once after the lease was acquired. If it is older
+// than the plan that this daemon has, as after a restore of the store, planning
+// continues from the latter.
 func (p *planner) loadPlan(ctx context.Context) error {
 	if p.loaded {
 		return nil
@@ -230,10 +232,11 @@
 		if view.Plan == nil || view.Plan.Epoch < plan.Epoch {
 			return ErrLostLease
 		}
-		p.planEpoch = plan.Epoch + 1 // the store has forgotten our epochs
+		p.planEpoch = plan.Epoch + 1 // the store has lost its leases, and counts epochs from 1 again
 	}
 	p.stored, p.plan = stored, plan
-	// A former life of this daemon has planned under the same epoch.
+	// Even under the same epoch the plan may come from an earlier process of this daemon,
+	// so the first load after acquiring the lease always fences.
 	if older || stored.Body != nil && (plan.Epoch != p.planEpoch || !p.fenced) {
 		if err := p.fence(ctx); err != nil {
 			return err
@@ -243,27 +246,27 @@
 	return nil
 }
 
-// fence writes the plan as it is, under this planner's epoch, before anything
-// else: whatever a predecessor that was paused still has in hand, a plan or a
-// drain that it has entered in a ledger, then fails its compare-and-swap.
+// fence writes the unchanged plan under this planner's epoch before anything else.
+// The compare-and-swap of a paused predecessor then fails, so that it can write
+// neither a plan nor a drain that it has already recorded in a ledger.
 func (p *planner) fence(ctx context.Context) error {
 	p.plan.Epoch = p.planEpoch
 	return p.writePlan(ctx, p.plan)
 }
 
-// restoreConfig puts the configuration in force back into a store that has
-// come back with an older one.
+// restoreConfig writes this daemon's configuration to the store if the store has an
+// older one.
 func (p *planner) restoreConfig(ctx context.Context) error {
 	if !p.node.state.isStoreBehind() {
 		return nil
 	}
 	err := p.node.cfg.Documents.Update(ctx, tw.ConfigKey, func(body json.RawMessage) (any, error) {
-		ours, _ := p.node.state.documents()
-		if storedRevision(body) >= storedRevision(ours) {
+		local, _ := p.node.state.documents()
+		if storedRevision(body) >= storedRevision(local) {
 			return nil, nil
 		}
-		p.log.Warn("store is behind: configuration put back", zap.Uint64("revision", uint64(storedRevision(ours))))
-		return ours, nil
+		p.log.Warn("store has an older configuration: restoring it", zap.Uint64("revision", uint64(storedRevision(local))))
+		return local, nil
 	})
 	if err == nil {
 		p.node.state.observeStoredRevision(p.node.state.currentRevision())
@@ -271,8 +274,8 @@
 	return err
 }
 
-// writePlan puts a plan into the store, if the lease still holds, and tells the
-// hall at once.
+// writePlan writes a plan to the store, if the lease is still valid, and updates the
+// local state, from which it is sent to the other daemons.
 func (p *planner) writePlan(ctx context.Context, plan tw.Plan) error {
 	if !p.holdsLease() {
 		return ErrLostLease
@@ -290,15 +293,15 @@
 	return err
 }
 
-// pending tells whether the plan waits for acknowledgements or for tasks.
+// pending reports whether the plan waits for acknowledgements or tasks.
 func (p *planner) pending() bool {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
 		if a.State == tw.InstanceDraining || a.State == tw.InstanceJoining {
 			return true
 		}
-		for _, at := range a.Jobs {
-			if at.State == tw.PlacementStarting || at.State == tw.PlacementStopping {
+		for _, placement := range a.Jobs {
+			if placement.State == tw.PlacementStarting || placement.State == tw.PlacementStopping {
 				return true
 			}
 		}
@@ -306,7 +309,8 @@
 	return false
 }
 
-// sendOrders tells the platform. What fails is told again in the next pass.
+// sendOrders sends the orders to the platform. Those that fail are repeated in the
+// next pass.
 func (p *planner) sendOrders(ctx context.Context, orders fleet.Orders) error {
 	workers := p.node.cfg.Workers
 	var failed error
--- a/control/planner_look.go
+++ b/control/planner_look.go
@@ -11,14 +11,16 @@
 	"github.com/tamarindworks/tamarindworks/fleet"
 )
 
-// readyToPlan tells whether this daemon knows enough to plan.
+// readyToPlan reports whether this daemon is registered and has a configuration and
+// an instance list.
 func (n *Node) readyToPlan() bool {
 	view := n.state.view()
 	_, listed := n.state.instances()
 	return view.Registered && view.Config != nil && listed
 }
 
-// gatherInput gathers what a decision is made from.
+// gatherInput builds the input of a decision. It returns false if there is no
+// configuration or instance list yet.
 func (p *planner) gatherInput(ctx context.Context) (fleet.Input, bool, error) {
 	n := p.node
 	view := n.state.view()
@@ -52,8 +54,8 @@
 	return in, true, err
 }
 
-// pollStatus asks for what is costly: the tasks, and, at rest, the daemons'
-// reports. While something is pending, roster asks for these.
+// pollStatus does the costly polls: the tasks, and, while nothing is pending, the
+// daemons' reports. While something is pending, pollRoster polls the reports.
 func (p *planner) pollStatus(ctx context.Context) {
 	tasks, err := p.node.cfg.Workers.Tasks(ctx, p.node.cfg.Self.Hall)
 	p.tasks, p.tasksKnown = tasks, err == nil
@@ -67,7 +69,7 @@
 	p.node.syncWith(ctx, addresses, true)
 }
 
-// pollRoster reads the hall's roster and asks each daemon on it how far it is.
+// pollRoster reads the hall's roster and polls the report of each daemon on it.
 func (p *planner) pollRoster(ctx context.Context) ([]fleet.Member, error) {
 	n := p.node
 	stored, err := n.cfg.Documents.Read(ctx, tw.RosterKey(n.cfg.Self.Hall))
@@ -94,8 +96,8 @@
 	return out, nil
 }
 
-// withUnregistered adds the daemons that are heard of late to those of the roster:
-// the store may have come back with a roster from before they registered.
+// withUnregistered returns the roster's daemons and the live ones that are not in it:
+// the store may have been restored to a roster from before they registered.
 func (p *planner) withUnregistered(roster tw.Roster) []tw.RosterMember {
 	all := slices.Clone(roster.Members)
 	for _, m := range p.node.hallMembers() {
@@ -106,17 +108,17 @@
 	return all
 }
 
-// memberStatus is what is known of a registered daemon; one that was not heard in
-// this life has acknowledged nothing.
+// memberStatus returns what a registered daemon last reported. Without a report from
+// its current incarnation, it counts as having acknowledged nothing.
 func (p *planner) memberStatus(m tw.RosterMember) fleet.Member {
 	out := fleet.Member{ID: m.ID, InFlight: map[fleet.InstanceJob]int{}}
 	report := p.node.report()
 	if m.ID != p.node.cfg.Self.ID {
-		heard, ok := p.node.members.get(m.ID, m.Incarnation)
-		if !ok || heard.Report == nil {
+		state, ok := p.node.members.get(m.ID, m.Incarnation)
+		if !ok || state.Report == nil {
 			return out
 		}
-		report = heard.Report
+		report = state.Report
 	}
 	out.Acked = report.Acked
 	for _, l := range report.Loads {
@@ -125,8 +127,8 @@
 	return out
 }
 
-// removeAbsent takes daemons out of the roster whose instance the platform no
-// longer lists and that nobody has heard for long.
+// removeAbsent removes daemons from the roster whose instance has been unlisted, and
+// which have been silent themselves, for absenceTimeout.
 func (p *planner) removeAbsent(ctx context.Context, roster tw.Roster) {
 	list, ok := p.node.state.instances()
 	if !ok {
@@ -136,9 +138,9 @@
 		if !p.absences.absentTooLong(m, list) || !p.node.members.silentFor(m.ID, absenceTimeout) {
 			continue
 		}
-		p.log.Info("daemon is gone with its instance", zap.String("daemon", string(m.ID)))
+		p.log.Info("removing daemon from the roster: its instance is no longer listed", zap.String("daemon", string(m.ID)))
 		err := p.node.updateRoster(ctx, func(r tw.Roster) (tw.Roster, bool) {
-			return r.Without(m.ID), slices.Contains(r.Members, m) // a new life may have come meanwhile
+			return r.Without(m.ID), slices.Contains(r.Members, m) // a new incarnation may have registered meanwhile
 		})
 		if err != nil {
 			return
@@ -146,7 +148,7 @@
 	}
 }
 
-// aggregateReports adds up what the hall's daemons report.
+// aggregateReports adds up the loads that the hall's daemons report.
 func (p *planner) aggregateReports() (map[tw.InstanceID]fleet.Health, map[tw.JobID]float64) {
 	health := map[tw.InstanceID]fleet.Health{}
 	inFlight := map[tw.JobID]float64{}
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -15,7 +15,7 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// slowWorkers lists the tasks late, and notes what it is told to stop.
+// slowWorkers delays task listings, and records the tasks that are stopped.
 type slowWorkers struct {
 	tw.Workers
 	mu      sync.Mutex
@@ -44,8 +44,9 @@
 	return w.Workers.Stop(ctx, id)
 }
 
-// TestPlannerAfterLeaseExpiry: a planner that is cut off from the store, and whose look at
-// the tasks outlasts its lease, sees those of its successor; it must not stop them.
+// TestPlannerAfterLeaseExpiry checks that a planner does not stop its successor's tasks.
+// It gets them in a task listing that returns only after its lease has expired, while
+// it cannot reach the store.
 func TestPlannerAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -66,8 +67,8 @@
 		defer two.Close()
 		time.Sleep(30 * time.Second)
 
-		workers.setDelay(40 * time.Second) // as in a process that is paused
-		time.Sleep(10 * time.Second)       // until it looks
+		workers.setDelay(40 * time.Second) // like a process that is paused
+		time.Sleep(10 * time.Second)       // until it lists the tasks
 		store.setUnavailable(true)
 		list.unavailable.Store(true)
 		b.network.setIsolated("d1", true)
@@ -85,7 +86,7 @@
 	})
 }
 
-var _ = Describe("a planner whose lease has lapsed", func() {
+var _ = Describe("a planner whose lease has expired", func() {
 	It("leaves its successor's drains in the ledgers", func() {
 		b := newTestBed()
 		n, _ := b.node("d1", b.platform)
--- a/control/register.go
+++ b/control/register.go
@@ -9,8 +9,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// registerLoop puts this daemon into its hall's roster, then reads the plan,
-// and looks now and then whether it is still there.
+// registerLoop adds this daemon to its hall's roster, then reads the plan, and checks
+// from time to time that it is still in the roster.
 func (n *Node) registerLoop(ctx context.Context) {
 	for {
 		wait := n.cfg.Intervals.Roster
@@ -24,8 +24,8 @@
 	}
 }
 
-// register makes sure that the roster has this life of the daemon. A daemon
-// that was taken out starts over as if it were new.
+// register adds this incarnation of the daemon to the roster if it is missing. A
+// daemon that was removed from the roster starts over as if it were new.
 func (n *Node) register(ctx context.Context) error {
 	added := false
 	err := n.updateRoster(ctx, func(roster tw.Roster) (tw.Roster, bool) {
@@ -35,12 +35,12 @@
 				n.addRosterMember(m)
 				continue
 			}
-			life := tw.Incarnation(n.incarnation.Load())
-			if m.Incarnation == life {
+			incarnation := tw.Incarnation(n.incarnation.Load())
+			if m.Incarnation == incarnation {
 				return roster, false
 			}
-			if m.Incarnation > life {
-				// The wall clock, which incarnations start from, went back.
+			if m.Incarnation > incarnation {
+				// Incarnations start from the wall clock, which has gone back.
 				n.incarnation.Store(uint64(m.Incarnation) + 1)
 			}
 		}
@@ -84,17 +84,18 @@
 	}
 }
 
-// unregister takes this daemon out of the roster, for a planned stop.
+// unregister removes this daemon from the roster, for a planned stop.
 func (n *Node) unregister(ctx context.Context) {
 	err := n.updateRoster(ctx, func(roster tw.Roster) (tw.Roster, bool) {
 		return roster.Without(n.cfg.Self.ID), true
 	})
 	if err != nil {
-		n.log.Warn("cannot leave the roster", zap.Error(err))
+		n.log.Warn("cannot remove this daemon from the roster", zap.Error(err))
 	}
 }
 
-// updateRoster changes the hall's roster; change returns false for no change.
+// updateRoster updates the hall's roster in the store. change returns false if there
+// is nothing to write.
 func (n *Node) updateRoster(ctx context.Context, change func(tw.Roster) (tw.Roster, bool)) error {
 	return n.cfg.Documents.Update(ctx, tw.RosterKey(n.cfg.Self.Hall), func(body json.RawMessage) (any, error) {
 		var roster tw.Roster
--- a/control/rosters.go
+++ b/control/rosters.go
@@ -10,8 +10,9 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// addRosterMember notes a registered daemon that was not heard yet, so that the
-// next heartbeat may reach it. It does not count as live before it answers.
+// addRosterMember adds a registered daemon without a heartbeat to the member table,
+// so that the next heartbeat may be sent to it. It counts as live only once it
+// responds.
 func (n *Node) addRosterMember(m tw.RosterMember) {
 	var learned time.Time
 	if !n.state.view().Registered {
@@ -20,8 +21,8 @@
 	n.addUnheard(m, n.cfg.Self.Hall, learned)
 }
 
-// addUnheard notes a daemon of a roster; learned is zero if it is not to be asked for
-// claims before it is heard.
+// addUnheard adds a roster's daemon to the member table if it is not there. learned is
+// zero if it must not be sent claims before its first heartbeat.
 func (n *Node) addUnheard(m tw.RosterMember, hall tw.HallID, learned time.Time) {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
@@ -35,8 +36,8 @@
 	}
 }
 
-// discoverHalls reads the rosters of halls of which no daemon is known, own
-// hall included, so that the halls find each other.
+// discoverHalls reads the rosters of halls, including its own, of which no other
+// daemon is known.
 func (n *Node) discoverHalls(ctx context.Context) {
 	view := n.state.view()
 	if view.Config == nil {
--- a/control/status.go
+++ b/control/status.go
@@ -4,7 +4,7 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// Status is what a daemon knows, for operators.
+// Status is a daemon's state as shown to operators.
 type Status struct {
 	Self       tw.DaemonID  `json:"self"`
 	Hall       tw.HallID    `json:"hall"`
@@ -16,7 +16,7 @@
 	Members    []MemberInfo `json:"members"`
 }
 
-// MemberInfo is a live daemon, as this one has heard of it.
+// MemberInfo describes a live daemon according to its last heartbeat.
 type MemberInfo struct {
 	ID       tw.DaemonID `json:"id"`
 	Hall     tw.HallID   `json:"hall"`
@@ -25,7 +25,7 @@
 	Jobs     []tw.JobID  `json:"jobs,omitempty"`
 }
 
-// Status tells what the node knows now.
+// Status returns the node's current state.
 func (n *Node) Status() Status {
 	view := n.state.view()
 	s := Status{
--- a/control/suite_test.go
+++ b/control/suite_test.go
@@ -38,7 +38,7 @@
 id = "s"
 `
 
-// network joins nodes in memory; it can be cut.
+// network connects nodes in memory and can isolate them.
 type network struct {
 	mu       sync.Mutex
 	nodes    map[string]tw.PeerHandler
@@ -49,8 +49,8 @@
 	return &network{nodes: map[string]tw.PeerHandler{}, isolated: map[string]bool{}}
 }
 
-// lookup finds a node; a node that is cut off neither hears nor is heard. Nodes
-// have their ids for addresses.
+// lookup returns the handler at an address, unless either side is isolated. The
+// address of a node is its ID.
 func (n *network) lookup(from tw.DaemonID, address string) (tw.PeerHandler, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,10 +70,10 @@
 	n.nodes[address] = handler
 }
 
-func (n *network) setIsolated(address string, cut bool) {
+func (n *network) setIsolated(address string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.isolated[address] = cut
+	n.isolated[address] = isolated
 }
 
 // Sync implements tw.Peers.
@@ -94,7 +94,7 @@
 	return handler.HandleClaim(claim), nil
 }
 
-// recordingDispatcher is a dispatcher that notes the views it was given.
+// recordingDispatcher is a dispatcher that records the last view installed.
 type recordingDispatcher struct {
 	mu    sync.Mutex
 	view  tw.View
@@ -129,14 +129,14 @@
 	return r.view
 }
 
-// testBed is one or more nodes over a stand-in platform, in memory.
+// testBed has one or more nodes on an in-memory network and stand-in platform.
 type testBed struct {
 	platform  *standin.Platform
-	list      tw.InstanceList // the platform's, as the nodes reach it
-	workers   tw.Workers      // likewise
+	list      tw.InstanceList // the platform's instance list, or a wrapper that the nodes use
+	workers   tw.Workers      // the platform's workers, or a wrapper that the nodes use
 	network   *network
 	operator  *Operator
-	log       *zap.Logger // of the nodes; nil for none
+	log       *zap.Logger // logger of the nodes; nil for none
 	intervals Intervals
 }
 
@@ -163,7 +163,7 @@
 	return platform.DocumentsConfig{Store: store, Clock: tw.SystemClock{}, CallsPerSecond: 10_000, Burst: 1000}.New()
 }
 
-// fastIntervals is a pace for tests: what waits, waits little.
+// fastIntervals are short intervals for tests in real time.
 var fastIntervals = Intervals{
 	Sync:        20 * time.Millisecond,
 	List:        20 * time.Millisecond,
@@ -177,15 +177,15 @@
 	PeerTimeout: time.Second,
 }
 
-// node starts a daemon's control over a store, for the time of a spec.
+// node starts a node that uses a store, and closes it at the end of the spec.
 func (b *testBed) node(id tw.DaemonID, store tw.Store) (*Node, *recordingDispatcher) {
 	n, r := b.start(id, 1, store)
 	DeferCleanup(n.Close)
 	return n, r
 }
 
-// start starts a life of a daemon's control over a store.
-func (b *testBed) start(id tw.DaemonID, life tw.Incarnation, store tw.Store) (*Node, *recordingDispatcher) {
+// start starts a node with an incarnation, which uses a store.
+func (b *testBed) start(id tw.DaemonID, incarnation tw.Incarnation, store tw.Store) (*Node, *recordingDispatcher) {
 	r := &recordingDispatcher{}
 	n := Config{
 		Self: tw.Member{
@@ -194,7 +194,7 @@
 			Instance:    tw.InstanceID(id),
 			Address:     string(id),
 			Gateway:     "gateway of " + string(id),
-			Incarnation: life,
+			Incarnation: incarnation,
 		},
 		Documents:     b.documents(store),
 		Instances:     b.list,
@@ -241,13 +241,13 @@
 	return ""
 }
 
-// pendingState is that of a placement that is on its way, or "".
+// pendingState returns the state of a placement that is not running yet, or "".
 func (b *testBed) pendingState() tw.PlacementState {
 	plan := b.plan()
 	for i := range plan.Instances {
-		for _, at := range plan.Instances[i].Jobs {
-			if at.State != tw.PlacementRunning {
-				return at.State
+		for _, placement := range plan.Instances[i].Jobs {
+			if placement.State != tw.PlacementRunning {
+				return placement.State
 			}
 		}
 	}
--- a/control/sync.go
+++ b/control/sync.go
@@ -12,25 +12,29 @@
 )
 
 const (
-	// eagerDiscoveryRounds is how long a new daemon looks for others in each round;
-	// after that it does so in one of lookOneIn.
+	// eagerDiscoveryRounds is the number of rounds after the start in which a daemon
+	// always reads the rosters of halls without a known daemon. After that it does so
+	// in one of discoveryOneIn rounds on average.
 	eagerDiscoveryRounds = 10
 	discoveryOneIn       = 4
-	// syncFanout is how many daemons of the hall get each heartbeat.
+	// syncFanout is the number of daemons of the hall that each heartbeat goes to.
 	syncFanout = 2
-	// remoteSyncOneIn is in how many rounds a daemon of another hall gets one.
+	// remoteSyncOneIn is the mean number of rounds per heartbeat to a daemon of another
+	// hall.
 	remoteSyncOneIn = 4
-	// silentHallOneIn is in how many rounds a hall that is not heard is tried.
+	// silentHallOneIn is the inverse of the probability with which a known daemon of a
+	// hall without live daemons is picked in a round.
 	silentHallOneIn = 2
-	// jobsOneIn is in how many messages within the hall the jobs are told;
-	// between halls they always are.
+	// jobsOneIn is the mean number of messages within the hall per message that lists
+	// the sender's jobs. Messages to other halls always list them.
 	jobsOneIn = 8
-	// maxGossipHall and gossipRemote bound the daemons that a message tells of.
+	// maxGossipHall and maxGossipRemote limit the heartbeats of other daemons that a
+	// message passes on, from the sender's hall and from other halls.
 	maxGossipHall   = 4
 	maxGossipRemote = 1
 )
 
-// syncLoop sends heartbeats to a few daemons of the hall each time.
+// syncLoop sends heartbeats to a few random daemons of the hall in each round.
 func (n *Node) syncLoop(ctx context.Context) {
 	for n.sleep(ctx, n.jitter(n.cfg.Intervals.Sync)) {
 		n.beat.Add(1)
@@ -38,9 +42,9 @@
 	}
 }
 
-// remoteLoop finds the daemons of other halls and sends one of them a
-// heartbeat now and then. It is a duty of its own, so that a hall that is cut
-// off does not hold up the heartbeats within this one.
+// remoteLoop discovers the daemons of other halls and sends heartbeats to one of them
+// in some rounds. It is separate from syncLoop so that a hall that cannot be reached
+// does not delay the heartbeats within this one.
 func (n *Node) remoteLoop(ctx context.Context) {
 	for round := 0; n.sleep(ctx, n.jitter(n.cfg.Intervals.Sync)); round++ {
 		if round < eagerDiscoveryRounds || n.oneIn(discoveryOneIn) {
@@ -50,7 +54,7 @@
 	}
 }
 
-// pickHallPeers chooses whom of the hall to tell this time.
+// pickHallPeers returns the addresses in the hall for the next heartbeat.
 func (n *Node) pickHallPeers() []string {
 	hall := n.withoutSelf(n.knownMembers(func(m tw.Member) bool { return m.Hall == n.cfg.Self.Hall }))
 	if len(hall) == 0 {
@@ -64,18 +68,19 @@
 	return out
 }
 
-// pickRemotePeers chooses a daemon of another hall now and then.
+// pickRemotePeers returns the address of a daemon of another hall, or none in most
+// rounds.
 func (n *Node) pickRemotePeers() []string {
 	remote := n.knownMembers(func(m tw.Member) bool { return m.Hall != n.cfg.Self.Hall })
 	n.shuffle(remote)
-	heard := map[tw.HallID]bool{n.cfg.Self.Hall: true}
+	liveHalls := map[tw.HallID]bool{n.cfg.Self.Hall: true}
 	for _, m := range n.remoteMembers() {
-		heard[m.Hall] = true
+		liveHalls[m.Hall] = true
 	}
 	for _, m := range remote {
-		// A hall that is not known goes first, but not always: it may be
-		// cut off for long, and the others must not be forgotten for it.
-		if !heard[m.Hall] && n.oneIn(silentHallOneIn) {
+		// A hall without live daemons goes first, but not in every round: it may
+		// be unreachable for long, and the other halls still need heartbeats.
+		if !liveHalls[m.Hall] && n.oneIn(silentHallOneIn) {
 			return []string{m.Address}
 		}
 	}
@@ -85,14 +90,14 @@
 	return []string{remote[0].Address}
 }
 
-// knownMembers lists the daemons ever heard of, also those that are silent now: a
-// cut must be noticed to end.
-func (n *Node) knownMembers(keep func(tw.Member) bool) []tw.Member {
+// knownMembers returns all daemons in the table, including silent ones, which must be
+// tried to notice the end of a network partition.
+func (n *Node) knownMembers(filter func(tw.Member) bool) []tw.Member {
 	n.members.mu.Lock()
 	defer n.members.mu.Unlock()
 	var out []tw.Member
 	for _, m := range n.members.table {
-		if keep(m.Member) {
+		if filter(m.Member) {
 			out = append(out, m.Member)
 		}
 	}
@@ -109,7 +114,7 @@
 	return out
 }
 
-// syncWith exchanges heartbeats with several daemons at the same time.
+// syncWith exchanges heartbeats with several daemons concurrently.
 func (n *Node) syncWith(ctx context.Context, addresses []string, wantReport bool) {
 	if len(addresses) == 0 {
 		return
@@ -143,7 +148,7 @@
 
 // HandleSync implements tw.PeerHandler.
 func (n *Node) HandleSync(req tw.SyncRequest) tw.SyncResponse {
-	if req.Self.ID != "" { // an operator's command has no id
+	if req.Self.ID != "" { // operator commands have no ID
 		n.updateMembers(req.Self, req.Others)
 	}
 	resp := tw.SyncResponse{Self: n.self(), Others: n.gossip()}
@@ -186,8 +191,8 @@
 	}
 }
 
-// jobsFor lists the jobs, if it is time to tell them to the daemon at an
-// address.
+// jobsFor returns this daemon's jobs if a message to an address is to list them: always
+// for other halls, sometimes within the hall.
 func (n *Node) jobsFor(address string) []tw.JobID {
 	remote := n.knownMembers(func(m tw.Member) bool { return m.Address == address && m.Hall != n.cfg.Self.Hall })
 	if len(remote) > 0 || n.oneIn(jobsOneIn) {
@@ -196,8 +201,8 @@
 	return nil
 }
 
-// gossip passes on what this daemon heard of others last, without their
-// reports and jobs, which each hears from them directly.
+// gossip returns the latest heartbeats of other daemons, without reports and jobs,
+// which daemons send only directly.
 func (n *Node) gossip() []tw.Member {
 	own := n.cfg.Self.Hall
 	hall := n.members.mostRecent(maxGossipHall, func(m tw.Member) bool { return m.Hall == own && m.ID != n.cfg.Self.ID })
--- a/control/watch.go
+++ b/control/watch.go
@@ -10,21 +10,22 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// configLoop follows the configuration in the store.
+// configLoop watches the configuration in the store.
 func (n *Node) configLoop(ctx context.Context) {
 	n.watchKey(ctx, tw.ConfigKey, func(body json.RawMessage) {
-		took, err := n.state.updateConfig(body)
+		updated, err := n.state.updateConfig(body)
 		n.state.observeStoredRevision(storedRevision(body))
 		switch {
 		case err != nil:
 			n.log.Error("stored configuration is unreadable", zap.Error(err))
-		case took:
+		case updated:
 			n.log.Info("configuration in force", zap.Uint64("revision", uint64(n.state.currentRevision())))
 		}
 	})
 }
 
-// storedRevision is 0 for a document that cannot be read.
+// storedRevision returns the revision of a configuration document, or 0 if it cannot be
+// parsed.
 func storedRevision(body json.RawMessage) tw.Revision {
 	var accepted tw.AcceptedConfig
 	if err := json.Unmarshal(body, &accepted); err != nil {
@@ -33,8 +34,7 @@
 	return accepted.Revision
 }
 
-// planLoop follows the hall's plan in the store, from the moment that this
-// daemon is registered.
+// planLoop watches the hall's plan in the store.
 func (n *Node) planLoop(ctx context.Context) {
 	n.watchKey(ctx, tw.PlanKey(n.cfg.Self.Hall), func(body json.RawMessage) {
 		if _, err := n.state.updatePlan(body); err != nil {
@@ -43,7 +43,7 @@
 	})
 }
 
-// watchKey watches a key for ever and passes each new value on.
+// watchKey watches a key until ctx ends and passes each new value to take.
 func (n *Node) watchKey(ctx context.Context, key tw.Key, take func(json.RawMessage)) {
 	var seen tw.Version
 	for ctx.Err() == nil {
--- a/fleet/actions.go
+++ b/fleet/actions.go
@@ -5,22 +5,24 @@
 )
 
 type (
-	// Orders is what to tell the platform after a plan was written.
+	// Orders are the calls to make to the platform after a plan was written.
 	Orders struct {
 		Start  []tw.Task
 		Stop   []tw.TaskID
 		Reboot []Reboot
 	}
 
-	// Reboot asks for the maintenance of an instance.
+	// Reboot orders a reboot of an instance. Boots is the boot count on which
+	// the order is based, so that a repeated order reboots it only once.
 	Reboot struct {
 		Instance tw.InstanceID
 		Boots    uint64
 	}
 )
 
-// ComputeOrders compares a written plan with the platform's tasks. in.Plan must be
-// in the store already: an order must never run ahead of its fence.
+// ComputeOrders compares a written plan with the platform's tasks. in.Plan must
+// already be in the store: an order that is sent before its plan is written would
+// not be fenced against other planners.
 func ComputeOrders(in Input) Orders {
 	var orders Orders
 	running := map[tw.TaskID]bool{}
@@ -30,12 +32,12 @@
 	keep := map[tw.TaskID]bool{}
 	for i := range in.Plan.Instances {
 		a := &in.Plan.Instances[i]
-		for _, at := range a.Jobs {
-			id := tw.NewTaskID(at.Job, a.Instance, at.Placed)
-			wanted := a.Active() && (at.State == tw.PlacementStarting || at.State == tw.PlacementRunning)
-			keep[id] = wanted || !in.mayStop(a, &at)
+		for _, placement := range a.Jobs {
+			id := tw.NewTaskID(placement.Job, a.Instance, placement.Placed)
+			wanted := a.Active() && (placement.State == tw.PlacementStarting || placement.State == tw.PlacementRunning)
+			keep[id] = wanted || !in.mayStop(a, &placement)
 			if wanted && !running[id] {
-				orders.Start = append(orders.Start, tw.Task{ID: id, Job: at.Job, Instance: a.Instance})
+				orders.Start = append(orders.Start, tw.Task{ID: id, Job: placement.Job, Instance: a.Instance})
 			}
 		}
 		if a.State == tw.InstanceOut && a.Wave != "" || a.State == tw.InstanceQuarantined {
@@ -50,13 +52,13 @@
 	return orders
 }
 
-// mayStop tells whether nobody can have work in a task any more.
-func (in *Input) mayStop(a *tw.Assignment, at *tw.Placement) bool {
+// mayStop reports whether no request can be running in a task any more.
+func (in *Input) mayStop(a *tw.Assignment, placement *tw.Placement) bool {
 	switch {
 	case a.State == tw.InstanceDraining:
 		return in.released(a.Instance, "", a.Generation)
-	case at.State == tw.PlacementStopping:
-		return in.released(a.Instance, at.Job, at.Generation)
+	case placement.State == tw.PlacementStopping:
+		return in.released(a.Instance, placement.Job, placement.Generation)
 	}
 	return true
 }
--- a/fleet/allowances_test.go
+++ b/fleet/allowances_test.go
@@ -31,7 +31,7 @@
 	rows := map[string]row{
 		"all available":               {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3), "h2": running("h2", 3)}, budget: 1, want: 1},
 		"a hall that cannot be read":  {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3)}, budget: 2, want: 0},
-		"a loss uses the budget up":   {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3), "h2": running("h2", 2)}, budget: 1, want: 0},
+		"a loss uses up the budget":   {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3), "h2": running("h2", 2)}, budget: 1, want: 0},
 		"another drain in the ledger": {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 3), "h2": running("h2", 3)}, ledger: tw.ServiceDisruptions{Disruptions: []tw.Disruption{{Instance: "h2w000"}}}, budget: 1, want: 0},
 		"more than wanted":            {plans: map[tw.HallID]tw.Plan{"h1": running("h1", 4), "h2": running("h2", 3)}, budget: 1, want: 2},
 	}
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -4,20 +4,20 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// BudgetInput is what the store says when a planner asks how much more may be
-// disrupted. Ledgers must have been read before Plans, and be written by
-// compare-and-swap on the version read, so that two planners never both count
-// on the same slack.
+// BudgetInput is the stored state from which a planner computes how much more it
+// may disrupt. Ledgers must be read before Plans, and be written by
+// compare-and-swap on the version read, so that two planners never spend the
+// same part of a budget.
 type BudgetInput struct {
 	Config  *tw.FleetConfig
 	Ledgers map[tw.ServiceID]tw.ServiceDisruptions
-	// Plans are those of the halls that can be vouched for: readable, and
-	// with a planner that holds its lease. Other halls count as unavailable.
+	// Plans has the plans that are readable and whose hall has a planner with a
+	// valid lease. All other halls count as unavailable.
 	Plans map[tw.HallID]tw.Plan
 }
 
-// Allowances says how many replicas of each service planned work may take:
-// those available, less those wanted, plus the budget.
+// Allowances returns how many replicas of each service planned work may take
+// down: the available ones, minus the wanted ones, plus MaxUnavailable.
 func Allowances(in BudgetInput) map[tw.ServiceID]int {
 	wanted := map[tw.ServiceID]int{}
 	available := map[tw.ServiceID]int{}
@@ -30,8 +30,8 @@
 		}
 	}
 	for _, hall := range in.Config.Halls {
-		plan, vouched := in.Plans[hall]
-		if vouched {
+		plan, trusted := in.Plans[hall]
+		if trusted {
 			in.addHallReplicas(&plan, wanted, available)
 		}
 	}
@@ -43,20 +43,21 @@
 	return out
 }
 
-// addHallReplicas adds a hall's running replicas. Jobs that can never run there are not
-// missed; those set aside for a loss or for failing are.
+// addHallReplicas adds a hall's running replicas to available. Jobs for which the
+// hall has no pool or no instance that is large enough are not wanted there; jobs
+// that are unplaced for another reason, such as a loss or failures, still are.
 func (in *BudgetInput) addHallReplicas(plan *tw.Plan, wanted, available map[tw.ServiceID]int) {
 	for _, s := range plan.Unplaced {
-		never := s.Reason.Code == tw.ReasonNoPool || s.Reason.Code == tw.ReasonTooLarge
-		if job := in.Config.Job(s.Job); job != nil && never {
+		cannotRun := s.Reason.Code == tw.ReasonNoPool || s.Reason.Code == tw.ReasonTooLarge
+		if job := in.Config.Job(s.Job); job != nil && cannotRun {
 			wanted[job.Service] -= job.Replicas
 		}
 	}
 	for i := range plan.Instances {
 		a := &plan.Instances[i]
-		for _, at := range a.Jobs {
-			job := in.Config.Job(at.Job)
-			if job != nil && a.Serves(at.Job) && !in.Ledgers[job.Service].Has(a.Instance) {
+		for _, placement := range a.Jobs {
+			job := in.Config.Job(placement.Job)
+			if job != nil && a.Serves(placement.Job) && !in.Ledgers[job.Service].Has(a.Instance) {
 				available[job.Service]++
 			}
 		}
--- a/fleet/decide.go
+++ b/fleet/decide.go
@@ -12,21 +12,21 @@
 type pass struct {
 	in        Input
 	plan      tw.Plan
-	gen       tw.Generation // what the plan will have if anything changes
+	gen       tw.Generation // generation of the plan if anything changes
 	listed    map[tw.InstanceID]tw.Instance
 	tasks     map[tw.TaskID]tw.Task
-	taskCount map[tw.InstanceID]int // tasks by instance
+	taskCount map[tw.InstanceID]int // number of tasks by instance
 	allowance map[tw.ServiceID]int
 	pools     []*poolNeed
-	toDrain   map[tw.InstanceID]tw.Reason // will leave their pool when allowed
+	toDrain   map[tw.InstanceID]tw.Reason // instances to move out of their pool once the budgets allow
 	jobs      map[tw.JobID]*tw.Job
 	jobPool   map[tw.JobID]*tw.Pool
-	// matchingPools has the pools whose selector takes an instance.
+	// matchingPools has, by instance, the pools whose selector matches it.
 	matchingPools map[tw.InstanceID]map[tw.PoolID]bool
 	out           Output
 }
 
-// Decide makes the next plan. The same input always gives the same output.
+// Decide computes the next plan. It is deterministic.
 func Decide(in Input) Output {
 	p := newPass(in)
 	p.observeInstances()
@@ -74,7 +74,8 @@
 	return p
 }
 
-// indexConfig matches every selector once; they are what takes the time.
+// indexConfig matches every selector once per pass, as matching selectors
+// dominates the time of a pass.
 func (p *pass) indexConfig() {
 	config := p.in.Config
 	for i := range config.Jobs {
@@ -94,7 +95,7 @@
 	}
 }
 
-// finish stamps the plan if anything in it changed.
+// finish gives the plan a new generation if anything in it has changed.
 func (p *pass) finish() Output {
 	slices.SortFunc(p.plan.Instances, func(a, b tw.Assignment) int { return cmp.Compare(a.Instance, b.Instance) })
 	p.plan.Revision = p.in.Revision
@@ -108,21 +109,22 @@
 	return p.out
 }
 
-// setState moves an instance to a state.
+// setState changes the state of an instance and records the reason.
 func (p *pass) setState(a *tw.Assignment, state tw.InstanceState, code tw.ReasonCode, detail string) {
 	a.State = state
 	a.Generation = p.gen
 	a.Reason = tw.Reason{Code: code, Detail: detail}
 }
 
-// startDrain begins a handover; next is where the instance goes, or "".
+// startDrain starts the handover of an instance; next is the pool it moves to, or
+// "" for none.
 func (p *pass) startDrain(a *tw.Assignment, next tw.PoolID, reason tw.Reason) {
 	a.NextPool = next
 	p.setState(a, tw.InstanceDraining, reason.Code, reason.Detail)
 }
 
-// setPlacementState moves a placement to a state.
-func (p *pass) setPlacementState(at *tw.Placement, state tw.PlacementState) {
-	at.State = state
-	at.Generation = p.gen
+// setPlacementState changes the state of a placement.
+func (p *pass) setPlacementState(placement *tw.Placement, state tw.PlacementState) {
+	placement.State = state
+	placement.Generation = p.gen
 }
--- a/fleet/decide_test.go
+++ b/fleet/decide_test.go
@@ -10,8 +10,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// scenario is one thing that happens to a hall of 12 instances, two pools with
-// three replicas each, that has settled.
+// scenario is an event in a stable hall of 12 instances with two pools of three
+// replicas each, and a check of the result.
 type scenario struct {
 	event func(h *fakeHall)
 	check func(h *fakeHall)
@@ -42,7 +42,7 @@
 		},
 		check: func(h *fakeHall) { Expect(h.state("w000")).To(Equal(tw.InstanceSpare)) },
 	},
-	"the list loses an instance for a moment: it drains before it is used again": {
+	"an instance is missing from the list for a moment: it drains before it is used again": {
 		event: func(h *fakeHall) {
 			h.paused["d1"] = true
 			lost := *h.find("w000")
@@ -76,7 +76,7 @@
 		},
 		check: func(h *fakeHall) { Expect(h.serving("jp0")).To(ContainElement(tw.InstanceID("w000"))) },
 	},
-	"a job that fits nowhere is set aside and holds nothing up": {
+	"a job that fits nowhere is unplaced and does not delay others": {
 		event: func(h *fakeHall) {
 			c := pools(2, 3)
 			c.Jobs = append([]tw.Job{{ID: "huge", Service: "sp0", Labels: map[string]string{"pool": "p0"}, Replicas: 1, Cores: 64}}, c.Jobs...)
@@ -88,7 +88,7 @@
 			Expect(h.serving("jp0")).To(HaveLen(4))
 		},
 	},
-	"a job that no pool takes is set aside": {
+	"a job that matches no pool is unplaced": {
 		event: func(h *fakeHall) {
 			c := pools(2, 3)
 			c.Jobs = append(c.Jobs, tw.Job{ID: "stray", Service: "sp0", Replicas: 1, Cores: 1})
@@ -96,7 +96,7 @@
 		},
 		check: func(h *fakeHall) { Expect(h.unplacedReason("stray")).To(Equal(tw.ReasonNoPool)) },
 	},
-	"a job that fails wherever it starts is set aside after three tries": {
+	"a job that fails on three instances is unplaced": {
 		event: func(h *fakeHall) {
 			for _, in := range h.in.Instances {
 				h.failsTasks[in.ID] = true
@@ -109,11 +109,11 @@
 			Expect(h.unplacedReason("bad")).To(Equal(tw.ReasonFailing))
 			Expect(h.serving("jp0")).To(HaveLen(3))
 			for _, a := range h.in.Plan.Instances {
-				Expect(a.State).NotTo(Equal(tw.InstanceQuarantined), "%s is not to blame", a.Instance)
+				Expect(a.State).NotTo(Equal(tw.InstanceQuarantined), "%s must not be quarantined", a.Instance)
 			}
 		},
 	},
-	"a worker that fails every task is quarantined, and used no more": {
+	"a worker that fails every task is quarantined and no longer used": {
 		event: func(h *fakeHall) {
 			h.failsTasks["w006"] = true
 			h.failsTasks["w007"] = true
@@ -127,7 +127,7 @@
 			Expect(h.serving("jp1")).NotTo(ContainElement(tw.InstanceID("w006")))
 		},
 	},
-	"a worker that fails every request is quarantined if others do not": {
+	"a worker that fails every request is quarantined if others succeed": {
 		event: func(h *fakeHall) {
 			first := h.serving("jp0")[0]
 			h.in.Health = map[tw.InstanceID]Health{first: {Failed: 9}}
@@ -137,7 +137,7 @@
 		},
 		check: func(h *fakeHall) { Expect(h.serving("jp0")).To(HaveLen(3)) },
 	},
-	"all workers of a job fail: it is not the workers": {
+	"all workers of a job fail: none is quarantined": {
 		event: func(h *fakeHall) {
 			h.in.Health = map[tw.InstanceID]Health{}
 			for _, id := range h.serving("jp0") {
@@ -146,7 +146,7 @@
 		},
 		check: func(h *fakeHall) { Expect(h.serving("jp0")).To(HaveLen(3)) },
 	},
-	"a pool is taken away: its instances become spares": {
+	"a pool is removed: its instances become spares": {
 		event: func(h *fakeHall) { h.configure(pools(1, 3)) },
 		check: func(h *fakeHall) {
 			Expect(h.serving("jp1")).To(BeEmpty())
@@ -166,7 +166,7 @@
 			Expect(h.state("w000")).To(Equal(tw.InstanceSpare))
 		},
 	},
-	"measured use is above the declared size: the pool grows": {
+	"the measured load is above the declared size: the pool grows": {
 		event: func(h *fakeHall) { h.in.BusySlots = map[tw.JobID]float64{"jp0": 27} },
 		check: func(h *fakeHall) {
 			n := 0
@@ -175,7 +175,7 @@
 					n++
 				}
 			}
-			Expect(n).To(Equal(5)) // 27 busy of 8 slots each, at most 0.7 full
+			Expect(n).To(Equal(5)) // 27 busy slots / (8 slots per instance * 0.7)
 		},
 	},
 	"a wave maintains every instance once": {
@@ -191,7 +191,7 @@
 			}
 		},
 	},
-	"a wave that is over is forgotten": {
+	"a wave that is no longer configured is removed from the plan": {
 		event: func(h *fakeHall) {
 			c := pools(2, 3)
 			c.Waves = []tw.Wave{{ID: "w", Instances: selector("kind=general"), MaxConcurrent: 4}}
@@ -233,27 +233,27 @@
 		})
 	}
 
-	It("releases nothing in the pass that drains it, whoever is in the roster", func() {
+	It("does not release an instance in the pass that drains it, even without members", func() {
 		h := newFakeHall(pools(2, 3), 12)
 		h.runUntilStable()
 		h.removeInstances(hasID("w000"))
-		h.in.Members = nil // as at rest: the roster is read once something is on its way
+		h.in.Members = nil // the planner reads the roster only while a handover is pending
 		out := Decide(h.in)
 		a := out.Plan.Find("w000")
 		Expect(a).NotTo(BeNil())
 		Expect(a.State).To(Equal(tw.InstanceDraining))
 	})
 
-	It("gives an instance that comes back to no pool while tasks of its former one run there", func() {
+	It("assigns a returning instance to no pool while tasks of its former pool run on it", func() {
 		h := newFakeHall(pools(2, 3), 6)
 		h.runUntilStable()
 		id := h.serving("jp0")[0]
 		back := *h.find(id)
-		h.in.Instances = slices.DeleteFunc(h.in.Instances, hasID(id)) // the list lacks it; its task runs on
+		h.in.Instances = slices.DeleteFunc(h.in.Instances, hasID(id)) // unlisted, but its task keeps running
 		h.ignoresStop[id] = true
 		h.runUntilStable()
 		Expect(h.state(id)).To(BeEmpty())
-		c := pools(2, 4) // pool p1 lacks an instance
+		c := pools(2, 4) // pool p1 is short of an instance
 		c.Jobs[0].Replicas = 2
 		h.configure(c)
 		h.runUntilStable()
@@ -266,7 +266,7 @@
 		Expect(h.state(id)).To(Equal(tw.InstanceServing))
 	})
 
-	It("keeps the budget and the bound on moves through a wave", func() {
+	It("keeps the budget and the limit on moves during a wave", func() {
 		h := newFakeHall(pools(5, 10), 60)
 		h.runUntilStable()
 		c := pools(5, 10)
@@ -291,7 +291,7 @@
 		Fail("the wave does not end")
 	})
 
-	It("spreads pools over racks, and leaves the spares spread", func() {
+	It("spreads pools and the remaining spares over racks", func() {
 		h := newFakeHall(pools(5, 3), 20)
 		h.runUntilStable()
 		active, spare := map[tw.RackID]int{}, map[tw.RackID]int{}
@@ -325,7 +325,7 @@
 		}
 	})
 
-	It("uses no budget for a wave while a spare will be back", func() {
+	It("uses no budget for a wave while one of its instances will be back as a spare", func() {
 		h := newFakeHall(pools(2, 2), 5)
 		h.runUntilStable()
 		c := pools(2, 2)
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,5 +1,6 @@
-// Package fleet decides which instance of a data hall is in which pool, which
-// jobs it carries, when it may leave, and how many spares are needed. It does
-// no input or output and starts no goroutine: Decide turns what is known into
-// the next plan, Actions turns a written plan into orders to the platform.
+// Package fleet assigns the instances of a data hall to pools, places jobs on
+// them, decides when an instance may leave its pool, and computes the number of
+// spares needed. It does no I/O and starts no goroutines: Decide computes the next
+// plan from its input, ComputeOrders turns a written plan into orders to the
+// platform.
 package fleet
--- a/fleet/hall_test.go
+++ b/fleet/hall_test.go
@@ -19,19 +19,19 @@
 	RunSpecs(t, "fleet decisions", suite, reporter)
 }
 
-// fakeHall is a data hall in which every order is carried out at once, and every
-// daemon that is not paused acknowledges at once.
+// fakeHall is a data hall that executes every order at once, with daemons that
+// acknowledge every plan at once unless they are paused.
 type fakeHall struct {
 	in          Input
 	tasks       map[tw.TaskID]tw.Task
 	paused      map[tw.DaemonID]bool
-	failsTasks  map[tw.InstanceID]bool // tasks that start there fail
-	ignoresStop map[tw.InstanceID]bool // orders to stop do not reach it
+	failsTasks  map[tw.InstanceID]bool // instances on which every new task fails
+	ignoresStop map[tw.InstanceID]bool // instances that ignore orders to stop
 	acked       map[tw.DaemonID]tw.Generation
 	starts      int // placements started
 }
 
-// newFakeHall has racks of four instances and two daemons.
+// newFakeHall creates a hall with racks of rackSize instances and two daemons.
 func newFakeHall(config *tw.FleetConfig, instances int) *fakeHall {
 	h := &fakeHall{
 		tasks:       map[tw.TaskID]tw.Task{},
@@ -65,7 +65,7 @@
 
 func instance(i int) tw.InstanceID { return tw.InstanceID(fmt.Sprintf("w%03d", i)) }
 
-// pools makes a configuration of n pools with one job each.
+// pools returns a configuration of n pools with one job each.
 func pools(n, replicas int) *tw.FleetConfig {
 	c := &tw.FleetConfig{Halls: []tw.HallID{"h1"}}
 	for i := range n {
@@ -100,8 +100,8 @@
 	h.in.Revision++
 }
 
-// pass decides once, with the budget as the ledgers would allow, and carries
-// the orders out.
+// pass decides once, with an allowance computed from the plan, and executes the
+// orders.
 func (h *fakeHall) pass() Output {
 	h.refreshInput()
 	h.in.Allowance = Allowances(BudgetInput{Config: h.in.Config, Plans: map[tw.HallID]tw.Plan{"h1": h.in.Plan}})
@@ -112,7 +112,7 @@
 	return out
 }
 
-// refreshInput lets the daemons acknowledge, and lists the tasks.
+// refreshInput lets the daemons acknowledge the plan and lists the tasks.
 func (h *fakeHall) refreshInput() {
 	h.in.Members = nil
 	for _, id := range slices.Sorted(maps.Keys(h.acked)) {
@@ -147,15 +147,15 @@
 	}
 }
 
-// runUntilStable passes until nothing changes any more, and returns how many passes
-// changed something. An order takes effect one pass later.
+// runUntilStable runs passes until two in a row change nothing, as an order takes
+// effect one pass later. It returns the number of passes that changed the plan.
 func (h *fakeHall) runUntilStable() int {
-	changes, quiet := 0, 0
+	changes, unchanged := 0, 0
 	for range 1000 {
 		if h.pass().Changed {
 			changes++
-			quiet = 0
-		} else if quiet++; quiet == 2 {
+			unchanged = 0
+		} else if unchanged++; unchanged == 2 {
 			return changes
 		}
 	}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// removeInstances removes instances, with their tasks.
+// removeInstances removes the selected instances and their tasks.
 func (h *fakeHall) removeInstances(gone func(tw.Instance) bool) {
 	h.in.Instances = slices.DeleteFunc(h.in.Instances, func(in tw.Instance) bool {
 		if !gone(in) {
@@ -182,7 +182,7 @@
 	})
 }
 
-// serving lists the instances that run a job for requests.
+// serving returns the instances that serve requests for a job.
 func (h *fakeHall) serving(job tw.JobID) []tw.InstanceID {
 	var out []tw.InstanceID
 	for i := range h.in.Plan.Instances {
--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -6,19 +6,19 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// advanceHandovers takes each instance and placement one step further on its
-// way out, if everybody that could still send to it has let go.
+// advanceHandovers moves each instance and placement that is being drained to
+// its next state, once no daemon can still send requests to it.
 func (p *pass) advanceHandovers() {
-	kept := p.plan.Instances[:0]
+	remaining := p.plan.Instances[:0]
 	for _, a := range p.plan.Instances {
 		if p.advance(&a) {
-			kept = append(kept, a)
+			remaining = append(remaining, a)
 		}
 	}
-	p.plan.Instances = kept
+	p.plan.Instances = remaining
 }
 
-// advance returns false if the instance leaves the plan.
+// advance returns false if the instance is to be removed from the plan.
 func (p *pass) advance(a *tw.Assignment) bool {
 	switch a.State {
 	case tw.InstanceDraining:
@@ -47,7 +47,8 @@
 	return true
 }
 
-// completeDrain is the one write that gives a drained instance its next pool.
+// completeDrain ends a drain and assigns the instance to its next pool, both in
+// one write of the plan.
 func (p *pass) completeDrain(a *tw.Assignment) {
 	in := p.listed[a.Instance]
 	detail := string(a.Reason.Code)
@@ -72,11 +73,12 @@
 	}
 }
 
-// maxQuarantines is how often an instance comes back from quarantine.
+// maxQuarantines is the number of quarantines at which an instance stays out for
+// good.
 const maxQuarantines = 2
 
-// advanceOut takes back an instance that was rebooted, or that the platform
-// wanted back and has left to us after all.
+// advanceOut makes an instance a spare again after its reboot, or after the
+// platform has cancelled taking it back.
 func (p *pass) advanceOut(a *tw.Assignment) {
 	in := p.listed[a.Instance]
 	if in.Phase != tw.PhaseLive {
@@ -96,26 +98,28 @@
 	p.setState(a, tw.InstanceSpare, tw.ReasonMaintained, "")
 }
 
-// advanceStopping takes away placements that nobody uses any more.
+// advanceStopping removes stopping placements that have no task and that no
+// daemon uses any more.
 func (p *pass) advanceStopping(a *tw.Assignment) {
 	if !p.in.TasksKnown {
 		return
 	}
-	a.Jobs = slices.DeleteFunc(a.Jobs, func(at tw.Placement) bool {
-		if at.State != tw.PlacementStopping {
+	a.Jobs = slices.DeleteFunc(a.Jobs, func(placement tw.Placement) bool {
+		if placement.State != tw.PlacementStopping {
 			return false
 		}
-		_, runs := p.tasks[tw.NewTaskID(at.Job, a.Instance, at.Placed)]
-		return !runs && p.in.released(a.Instance, at.Job, at.Generation)
+		_, runs := p.tasks[tw.NewTaskID(placement.Job, a.Instance, placement.Placed)]
+		return !runs && p.in.released(a.Instance, placement.Job, placement.Generation)
 	})
 }
 
-// released tells whether every registered daemon has acknowledged a
-// generation and has nothing left in flight on the instance; an empty job
-// stands for all jobs.
+// released reports whether every registered daemon has acknowledged a generation
+// and has no requests in flight for the job on the instance; an empty job means
+// all jobs.
 func (in *Input) released(id tw.InstanceID, job tw.JobID, gen tw.Generation) bool {
-	// Nobody has read a plan that is not written yet, and at rest Members are not
-	// even asked: an instance that the list lost was freed at once, under its work.
+	// No daemon has read a plan that is not written yet. At rest Members is empty,
+	// so without this check an instance that is missing from the list would be
+	// released at once, with requests still in flight.
 	if gen > in.Plan.Generation {
 		return false
 	}
@@ -123,8 +127,8 @@
 		if m.Acked < gen {
 			return false
 		}
-		for held, n := range m.InFlight {
-			if n > 0 && held.Instance == id && (job == "" || held.Job == job) {
+		for key, n := range m.InFlight {
+			if n > 0 && key.Instance == id && (job == "" || key.Job == job) {
 				return false
 			}
 		}
--- a/fleet/jobs.go
+++ b/fleet/jobs.go
@@ -7,8 +7,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// placeJobs puts each job on as many instances of its pool as it wants,
-// keeping what stands, and stops what is no longer wanted.
+// placeJobs places each job on as many instances of its pool as it has replicas,
+// keeping existing placements, and stops placements that are no longer wanted.
 func (p *pass) placeJobs() {
 	if p.in.Revision != p.in.Plan.Revision {
 		p.clearFailures()
@@ -16,7 +16,7 @@
 	for _, n := range p.pools {
 		members := p.poolInstances(n.pool.ID)
 		jobs := slices.Clone(n.jobs)
-		// Large jobs first, so that small ones don't crowd them out.
+		// Large jobs go first, as small ones would fragment the free capacity.
 		slices.SortStableFunc(jobs, func(a, b *tw.Job) int { return cmp.Compare(b.Cores, a.Cores) })
 		for _, job := range jobs {
 			p.placeJob(job, members)
@@ -25,12 +25,12 @@
 	p.stopUnwanted()
 }
 
-// clearFailures gives failed placements another try under a new
+// clearFailures removes failed placements, so that they are retried under a new
 // configuration.
 func (p *pass) clearFailures() {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		a.Jobs = slices.DeleteFunc(a.Jobs, func(at tw.Placement) bool { return at.State == tw.PlacementFailed })
+		a.Jobs = slices.DeleteFunc(a.Jobs, func(placement tw.Placement) bool { return placement.State == tw.PlacementFailed })
 	}
 }
 
@@ -46,14 +46,14 @@
 }
 
 func (p *pass) placeJob(job *tw.Job, members []*tw.Assignment) {
-	have := 0
+	replicas := 0
 	for _, a := range members {
-		at := a.Placement(job.ID)
-		if at != nil && (at.State == tw.PlacementRunning || at.State == tw.PlacementStarting) && p.toDrain[a.Instance].Code == "" {
-			have++
+		placement := a.Placement(job.ID)
+		if placement != nil && (placement.State == tw.PlacementRunning || placement.State == tw.PlacementStarting) && p.toDrain[a.Instance].Code == "" {
+			replicas++
 		}
 	}
-	for ; have < job.Replicas; have++ {
+	for ; replicas < job.Replicas; replicas++ {
 		a := p.chooseInstance(job, members)
 		if a == nil {
 			return
@@ -65,13 +65,14 @@
 			Generation: p.gen,
 		})
 	}
-	p.stopExcess(job, members, have)
+	p.stopExcess(job, members, replicas)
 }
 
-// chooseInstance is the member with the most cores left that lacks the job.
+// chooseInstance returns the instance with the most free cores that has room for
+// the job and does not have it yet, or nil.
 func (p *pass) chooseInstance(job *tw.Job, members []*tw.Assignment) *tw.Assignment {
 	var best *tw.Assignment
-	var most tw.Cores
+	var mostFree tw.Cores
 	for _, a := range members {
 		if a.Placement(job.ID) != nil || p.toDrain[a.Instance].Code != "" {
 			continue
@@ -80,19 +81,20 @@
 		if cores < job.Cores || memory < job.Memory {
 			continue
 		}
-		if best == nil || cores > most {
-			best, most = a, cores
+		if best == nil || cores > mostFree {
+			best, mostFree = a, cores
 		}
 	}
 	return best
 }
 
-// freeCapacity is what the declared sizes leave free on an instance.
+// freeCapacity returns an instance's capacity minus the declared sizes of its
+// jobs.
 func (p *pass) freeCapacity(a *tw.Assignment) (tw.Cores, tw.Megabytes) {
 	in := p.listed[a.Instance]
 	cores, memory := in.Cores, in.Memory
-	for _, at := range a.Jobs {
-		if job := p.jobs[at.Job]; job != nil && at.State != tw.PlacementFailed {
+	for _, placement := range a.Jobs {
+		if job := p.jobs[placement.Job]; job != nil && placement.State != tw.PlacementFailed {
 			cores -= job.Cores
 			memory -= job.Memory
 		}
@@ -100,24 +102,25 @@
 	return cores, memory
 }
 
-// stopExcess stops the replicas that are too many, those not yet running first.
-func (p *pass) stopExcess(job *tw.Job, members []*tw.Assignment, have int) {
+// stopExcess stops surplus replicas, those not yet running first.
+func (p *pass) stopExcess(job *tw.Job, members []*tw.Assignment, replicas int) {
 	for _, state := range []tw.PlacementState{tw.PlacementStarting, tw.PlacementRunning} {
 		for _, a := range slices.Backward(members) {
-			at := a.Placement(job.ID)
-			if have <= job.Replicas {
+			placement := a.Placement(job.ID)
+			if replicas <= job.Replicas {
 				return
 			}
-			if at != nil && at.State == state && p.toDrain[a.Instance].Code == "" {
-				p.setPlacementState(at, tw.PlacementStopping)
-				have--
+			if placement != nil && placement.State == state && p.toDrain[a.Instance].Code == "" {
+				p.setPlacementState(placement, tw.PlacementStopping)
+				replicas--
 			}
 		}
 	}
 }
 
-// stopUnwanted stops placements whose job is gone, or has moved to another
-// pool and runs there in full: the new replicas come before the old go.
+// stopUnwanted stops placements whose job was removed, or was moved to another
+// pool and has all its replicas running there: the new replicas must run before
+// the old ones stop.
 func (p *pass) stopUnwanted() {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
@@ -125,20 +128,20 @@
 			continue
 		}
 		for j := range a.Jobs {
-			at := &a.Jobs[j]
-			if at.State != tw.PlacementStopping && p.unwanted(a, at) {
-				p.setPlacementState(at, tw.PlacementStopping)
+			placement := &a.Jobs[j]
+			if placement.State != tw.PlacementStopping && p.unwanted(a, placement) {
+				p.setPlacementState(placement, tw.PlacementStopping)
 			}
 		}
 	}
 }
 
-func (p *pass) unwanted(a *tw.Assignment, at *tw.Placement) bool {
-	job := p.jobs[at.Job]
+func (p *pass) unwanted(a *tw.Assignment, placement *tw.Placement) bool {
+	job := p.jobs[placement.Job]
 	if job == nil || !job.In(p.in.Hall) {
 		return true
 	}
-	pool := p.jobPool[at.Job]
+	pool := p.jobPool[placement.Job]
 	if pool == nil || pool.ID == a.Pool {
 		return pool == nil
 	}
--- a/fleet/ledger_property_test.go
+++ b/fleet/ledger_property_test.go
@@ -9,9 +9,9 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// ledgerSim is one service in three halls. Each hall's planner goes through
-// the steps of a drain; any planner may do its next step at any time, or be
-// paused and replaced between two of them.
+// ledgerSim simulates one service in three halls. Each hall's planner repeats the
+// steps of a planned drain. Steps of different planners interleave at random, and a
+// planner may be paused and replaced between two steps.
 type ledgerSim struct {
 	config   *tw.FleetConfig
 	plans    map[tw.HallID]tw.Plan
@@ -22,7 +22,7 @@
 	paused   []*ledgerPlanner
 }
 
-// ledgerPlanner is how far one planner has come.
+// ledgerPlanner is the progress of one planner.
 type ledgerPlanner struct {
 	hall          tw.HallID
 	stage         ledgerStage
@@ -30,7 +30,7 @@
 	ledgerVersion int
 	planVersion   int
 	plans         map[tw.HallID]tw.Plan
-	pick          tw.InstanceID
+	instance      tw.InstanceID
 }
 
 type ledgerStage int
@@ -75,7 +75,7 @@
 
 func (w *ledgerSim) advance(t *rapid.T) { w.step(t, w.drawPlanner(t)) }
 
-// stepPaused lets a paused planner, whose lease has gone, do its next step.
+// stepPaused runs the next step of a paused planner, whose lease has expired.
 func (w *ledgerSim) stepPaused(t *rapid.T) {
 	if len(w.paused) > 0 {
 		w.step(t, rapid.SampledFrom(w.paused).Draw(t, "paused"))
@@ -105,8 +105,8 @@
 	}
 }
 
-// recordDrain puts a drain into the ledger, if the allowance and the
-// compare-and-swap let it.
+// recordDrain adds a drain to the ledger, if the allowance permits it and the
+// compare-and-swap succeeds.
 func (w *ledgerSim) recordDrain(p *ledgerPlanner) {
 	p.stage = readingLedger
 	allowed := Allowances(BudgetInput{Config: w.config, Plans: p.plans, Ledgers: map[tw.ServiceID]tw.ServiceDisruptions{"sp0": p.ledger}})
@@ -116,13 +116,14 @@
 		if a.Serves("jp0") && allowed["sp0"] > 0 && w.version == p.ledgerVersion {
 			w.ledger = w.ledger.With(tw.Disruption{Instance: a.Instance, Hall: p.hall})
 			w.version++
-			p.pick, p.stage = a.Instance, writingPlan
+			p.instance, p.stage = a.Instance, writingPlan
 			return
 		}
 	}
 }
 
-// write drains in the plan, if nobody has written it since it was read.
+// write starts the drain in the plan, if the plan has not been written since it was
+// read, and checks the budget.
 func (w *ledgerSim) write(t *rapid.T, p *ledgerPlanner) {
 	p.stage = readingLedger
 	if w.versions[p.hall] != p.planVersion {
@@ -130,7 +131,7 @@
 	}
 	plan := w.plans[p.hall]
 	plan = plan.Clone()
-	plan.Find(p.pick).State = tw.InstanceDraining
+	plan.Find(p.instance).State = tw.InstanceDraining
 	w.plans[p.hall] = plan
 	w.versions[p.hall]++
 	running := 0
@@ -142,11 +143,12 @@
 		}
 	}
 	if least := ledgerReplicas*len(ledgerHalls) - w.config.Services[0].MaxUnavailable; running < least {
-		t.Fatalf("a drain of %s leaves %d replicas of at least %d", p.pick, running, least)
+		t.Fatalf("a drain of %s leaves %d replicas of at least %d", p.instance, running, least)
 	}
 }
 
-// finishDrain ends a drain, and later the instance is back.
+// finishDrain ends the drains of a hall; when called again, the instances are back in
+// service.
 func (w *ledgerSim) finishDrain(t *rapid.T) {
 	p := w.drawPlanner(t)
 	if p.stage == writingPlan {
@@ -166,7 +168,7 @@
 	w.versions[p.hall]++
 }
 
-// clearEntries takes a hall's entries out once nothing of it drains.
+// clearEntries removes a hall's ledger entries if none of its instances is draining.
 func (w *ledgerSim) clearEntries(t *rapid.T) {
 	p := w.drawPlanner(t)
 	plan := w.plans[p.hall]
@@ -183,9 +185,8 @@
 	}
 }
 
-// takeOver pauses a planner for ever; its successor first writes the plan as it
-// is, under its own epoch, so that whatever the other one still has in hand
-// fails.
+// takeOver replaces a planner and keeps it as paused. The successor first writes the
+// unchanged plan under its own epoch, so that the plan write of the paused one fails.
 func (w *ledgerSim) takeOver(t *rapid.T) {
 	p := w.drawPlanner(t)
 	w.paused = append(w.paused, p)
@@ -193,7 +194,8 @@
 	w.versions[p.hall]++
 }
 
-// TestLedgerRandomEventOrder lets the planners of three halls use one budget.
+// TestLedgerRandomEventOrder checks that the planners of three halls together never
+// exceed a service's budget, under random interleavings.
 func TestLedgerRandomEventOrder(t *testing.T) {
 	setRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/fleet/moves.go
+++ b/fleet/moves.go
@@ -6,9 +6,9 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// markMisplaced marks the instances whose pool is gone or whose labels no
-// longer match it. They no longer count, so that fill brings their
-// replacements first; they drain when the budgets allow.
+// markMisplaced marks the instances whose pool was removed or whose labels no
+// longer match it. They no longer count as active, so that fillPools adds their
+// replacements first; they drain once the budgets allow.
 func (p *pass) markMisplaced() {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
@@ -25,7 +25,7 @@
 	}
 }
 
-// markForDrain marks an instance that will leave its pool when allowed.
+// markForDrain marks an instance to move out of its pool once the budgets allow.
 func (p *pass) markForDrain(a *tw.Assignment, reason tw.Reason) {
 	if p.toDrain[a.Instance].Code != "" {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// startPlannedDrains begins the planned moves that the budgets and the bound on
-// moves allow now.
+// startPlannedDrains drains the marked instances as far as the budgets and
+// MaxMoves allow now.
 func (p *pass) startPlannedDrains() {
 	moving := p.plannedMoves()
 	for i := range p.plan.Instances {
@@ -66,12 +66,12 @@
 	}
 }
 
-// awaitingReplacement tells whether a pool has an instance that is still joining or a
-// job that is still starting. Planned drains wait for it: the budget is for
-// when there is no replacement.
+// awaitingReplacement reports whether a pool has an instance that is still joining
+// or a job that is still starting. Planned drains wait for it, as the budget is
+// only for drains without a replacement.
 func (p *pass) awaitingReplacement(pool tw.PoolID) bool {
 	for _, a := range p.poolInstances(pool) {
-		starting := slices.ContainsFunc(a.Jobs, func(at tw.Placement) bool { return at.State == tw.PlacementStarting })
+		starting := slices.ContainsFunc(a.Jobs, func(placement tw.Placement) bool { return placement.State == tw.PlacementStarting })
 		if a.State == tw.InstanceJoining || starting {
 			return true
 		}
@@ -79,26 +79,26 @@
 	return false
 }
 
-// deductLosses takes out of the allowance what this pass itself found lost:
-// the allowance was worked out from the plan before it.
+// deductLosses subtracts the replicas that this pass has found to be lost from the
+// allowance, which was computed from the previous plan.
 func (p *pass) deductLosses() {
-	was := map[tw.ServiceID]int{}
+	delta := map[tw.ServiceID]int{}
 	for i := range p.in.Plan.Instances {
 		for service, n := range p.runningReplicas(&p.in.Plan.Instances[i]) {
-			was[service] += n
+			delta[service] += n
 		}
 	}
 	for i := range p.plan.Instances {
 		for service, n := range p.runningReplicas(&p.plan.Instances[i]) {
-			was[service] -= n
+			delta[service] -= n
 		}
 	}
-	for service, lost := range was {
+	for service, lost := range delta {
 		p.allowance[service] -= max(0, lost)
 	}
 }
 
-// plannedMoves counts the instances on a planned way out.
+// plannedMoves counts the instances in a planned drain.
 func (p *pass) plannedMoves() int {
 	n := 0
 	for i := range p.plan.Instances {
@@ -111,16 +111,17 @@
 	return n
 }
 
-// takeAllowance takes the replicas that an instance carries out of the allowance, all
-// or none of them.
+// takeAllowance subtracts the replicas running on an instance from the allowance.
+// If it is too small for any of the services, it subtracts nothing and returns
+// false.
 func (p *pass) takeAllowance(a *tw.Assignment) bool {
-	taken := p.runningReplicas(a)
-	for service, n := range taken {
+	needed := p.runningReplicas(a)
+	for service, n := range needed {
 		if p.allowance[service] < n {
 			return false
 		}
 	}
-	for service, n := range taken {
+	for service, n := range needed {
 		p.allowance[service] -= n
 	}
 	return true
@@ -129,21 +130,22 @@
 // runningReplicas counts the running replicas of each service on an instance.
 func (p *pass) runningReplicas(a *tw.Assignment) map[tw.ServiceID]int {
 	n := map[tw.ServiceID]int{}
-	for _, at := range a.Jobs {
-		if job := p.jobs[at.Job]; job != nil && a.Serves(at.Job) {
+	for _, placement := range a.Jobs {
+		if job := p.jobs[placement.Job]; job != nil && a.Serves(placement.Job) {
 			n[job.Service]++
 		}
 	}
 	return n
 }
 
-// runningServices lists whose replicas run on an instance, in the plan's order.
+// runningServices returns the services with running replicas on an instance, in the
+// plan's order.
 func (p *pass) runningServices(a *tw.Assignment) []tw.ServiceID {
 	var out []tw.ServiceID
 	seen := map[tw.ServiceID]bool{}
-	for _, at := range a.Jobs {
-		job := p.jobs[at.Job]
-		if job != nil && a.Serves(at.Job) && !seen[job.Service] {
+	for _, placement := range a.Jobs {
+		job := p.jobs[placement.Job]
+		if job != nil && a.Serves(placement.Job) && !seen[job.Service] {
 			seen[job.Service] = true
 			out = append(out, job.Service)
 		}
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -6,9 +6,9 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// observeInstances takes in the platform's list: new instances become spares,
-// leaving and lost ones drain at once. Nobody asks a budget for these, but
-// they use it up, as they no longer count as available.
+// observeInstances applies the platform's instance list: new instances become
+// spares, leaving and lost ones drain at once. Such drains need no allowance, but
+// use up the budget, as the instances no longer count as available.
 func (p *pass) observeInstances() {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
@@ -46,9 +46,9 @@
 	p.plan.Instances = append(p.plan.Instances, a)
 }
 
-// observeLost lets go of an instance that is not listed. It stays in the plan
-// as draining until every daemon has acknowledged: the list lags, and if the
-// instance comes back nobody may still send it work of its old pool.
+// observeLost drains an instance that is not listed. It stays in the plan until
+// every daemon has acknowledged the drain: the list may be out of date, and if the
+// instance comes back no daemon may still send it requests for its old pool.
 func (p *pass) observeLost(a *tw.Assignment) {
 	if a.State == tw.InstanceDraining && a.Reason.Code == tw.ReasonLost {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// observeTasks takes in what the platform says of the tasks.
+// observeTasks updates placements from the platform's task states.
 func (p *pass) observeTasks() {
 	if !p.in.TasksKnown {
 		return
@@ -78,25 +78,25 @@
 		for j := range a.Jobs {
 			p.observePlacement(a, &a.Jobs[j])
 		}
-		ready := slices.ContainsFunc(a.Jobs, func(at tw.Placement) bool { return at.State == tw.PlacementRunning })
+		ready := slices.ContainsFunc(a.Jobs, func(placement tw.Placement) bool { return placement.State == tw.PlacementRunning })
 		if a.State == tw.InstanceJoining && ready {
 			p.setState(a, tw.InstanceServing, tw.ReasonTasksRunning, a.Reason.Detail)
 		}
 	}
 }
 
-func (p *pass) observePlacement(a *tw.Assignment, at *tw.Placement) {
-	task, ok := p.tasks[tw.NewTaskID(at.Job, a.Instance, at.Placed)]
+func (p *pass) observePlacement(a *tw.Assignment, placement *tw.Placement) {
+	task, ok := p.tasks[tw.NewTaskID(placement.Job, a.Instance, placement.Placed)]
 	switch {
-	case at.State == tw.PlacementStarting && ok && task.State == tw.TaskRunning:
-		p.setPlacementState(at, tw.PlacementRunning)
-	case at.State == tw.PlacementStarting && ok && task.State == tw.TaskFailed:
-		p.setPlacementState(at, tw.PlacementFailed)
-	case at.State == tw.PlacementRunning && ok && task.State == tw.TaskFailed:
-		p.setPlacementState(at, tw.PlacementFailed)
-	case at.State == tw.PlacementRunning && !ok:
-		// The platform lost the task; a new generation makes a new task id.
-		p.setPlacementState(at, tw.PlacementStarting)
-		at.Placed = p.gen
+	case placement.State == tw.PlacementStarting && ok && task.State == tw.TaskRunning:
+		p.setPlacementState(placement, tw.PlacementRunning)
+	case placement.State == tw.PlacementStarting && ok && task.State == tw.TaskFailed:
+		p.setPlacementState(placement, tw.PlacementFailed)
+	case placement.State == tw.PlacementRunning && ok && task.State == tw.TaskFailed:
+		p.setPlacementState(placement, tw.PlacementFailed)
+	case placement.State == tw.PlacementRunning && !ok:
+		// The platform lost the task. Setting Placed gives its successor a new task ID.
+		p.setPlacementState(placement, tw.PlacementStarting)
+		placement.Placed = p.gen
 	}
 }
--- a/fleet/pools.go
+++ b/fleet/pools.go
@@ -9,25 +9,26 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// targetUtilization is how full a pool's slots may be by measured use; the rest is
-// its headroom for the loss of an instance.
+// targetUtilization is the fraction of a pool's slots that may be busy; the rest
+// is headroom for the loss of an instance.
 const targetUtilization = 0.7
 
-// poolNeed is what a pool has and lacks in this pass.
+// poolNeed is the required and the actual size of a pool in this pass.
 type poolNeed struct {
 	pool   *tw.Pool
 	jobs   []*tw.Job
-	need   int // instances wanted
-	active int // instances that count: joining or serving, and not doomed
+	need   int // instances required
+	active int // instances joining or serving and not marked for a drain
 }
 
 func (n *poolNeed) isShort() bool { return n.active < n.need }
 
-// fillRatio orders pools by how badly off they are.
+// fillRatio is the part of the required instances that the pool has. The pool with
+// the lowest ratio is filled first.
 func (n *poolNeed) fillRatio() float64 { return float64(n.active) / float64(max(n.need, 1)) }
 
-// computePoolNeeds works out for each pool its jobs and its size, and sets aside the
-// jobs that can run nowhere. They hold nothing up.
+// computePoolNeeds determines the jobs and the required size of each pool. Jobs
+// that cannot run anywhere are recorded as unplaced and don't delay the others.
 func (p *pass) computePoolNeeds() {
 	byPool := map[tw.PoolID]*poolNeed{}
 	for i := range p.in.Config.Pools {
@@ -66,7 +67,8 @@
 	p.plan.Unplaced = append(p.plan.Unplaced, tw.UnplacedJob{Job: job.ID, Reason: tw.Reason{Code: code, Detail: detail}})
 }
 
-// maxFailedInstances is on how many instances a job may fail before it is set aside.
+// maxFailedInstances is the number of instances on which a job fails, while it
+// runs on none, before it is recorded as unplaced.
 const maxFailedInstances = 3
 
 func (p *pass) unplaceableReason(job *tw.Job, pool *tw.Pool) (tw.Reason, bool) {
@@ -93,23 +95,24 @@
 	return tw.Reason{}, false
 }
 
-// placementCounts counts on how many instances a job has failed and runs.
+// placementCounts returns the number of instances on which a job has failed and
+// on which it runs.
 func (p *pass) placementCounts(job tw.JobID) (failed, runs int) {
 	for i := range p.plan.Instances {
-		at := p.plan.Instances[i].Placement(job)
+		placement := p.plan.Instances[i].Placement(job)
 		switch {
-		case at == nil:
-		case at.State == tw.PlacementFailed:
+		case placement == nil:
+		case placement.State == tw.PlacementFailed:
 			failed++
-		case at.State == tw.PlacementRunning:
+		case placement.State == tw.PlacementRunning:
 			runs++
 		}
 	}
 	return failed, runs
 }
 
-// requiredSize is how many instances a pool needs: enough for its largest number of
-// replicas, for the declared sizes together, and for the measured use.
+// requiredSize returns the number of instances a pool needs for the job with the
+// most replicas, for the sum of the declared job sizes, and for the measured load.
 func (p *pass) requiredSize(n *poolNeed) int {
 	var cores tw.Cores
 	var memory tw.Megabytes
@@ -121,36 +124,37 @@
 		memory += j.Memory * tw.Megabytes(j.Replicas)
 		busy += p.in.BusySlots[j.ID]
 	}
-	typical := p.smallestInstance(n.pool)
-	if typical.Cores > 0 {
-		need = max(need, int(math.Ceil(float64(cores/typical.Cores))))
+	smallest := p.smallestInstance(n.pool)
+	if smallest.Cores > 0 {
+		need = max(need, int(math.Ceil(float64(cores/smallest.Cores))))
 	}
-	if typical.Memory > 0 {
-		need = max(need, int((memory+typical.Memory-1)/typical.Memory))
+	if smallest.Memory > 0 {
+		need = max(need, int((memory+smallest.Memory-1)/smallest.Memory))
 	}
-	if typical.Slots > 0 {
-		need = max(need, int(math.Ceil(busy/(float64(typical.Slots)*targetUtilization))))
+	if smallest.Slots > 0 {
+		need = max(need, int(math.Ceil(busy/(float64(smallest.Slots)*targetUtilization))))
 	}
 	return need
 }
 
-// smallestInstance is the smallest instance that matches a pool, so that sizes worked
-// out from it are enough.
+// smallestInstance returns the instance with the fewest cores that matches a pool.
+// Pool sizes are based on it so that they are never too low.
 func (p *pass) smallestInstance(pool *tw.Pool) tw.Instance {
-	var least tw.Instance
+	var smallest tw.Instance
 	for _, in := range p.in.Instances {
 		if !p.matchingPools[in.ID][pool.ID] {
 			continue
 		}
-		if least.ID == "" || in.Cores < least.Cores {
-			least = in
+		if smallest.ID == "" || in.Cores < smallest.Cores {
+			smallest = in
 		}
 	}
-	return least
+	return smallest
 }
 
-// fillPools brings short pools up to size from spares, the worst off first. Nobody
-// sends to a spare, so this waits for nobody.
+// fillPools adds spares to pools below their required size, those with the lowest
+// ratio first. It needs no acknowledgements, as no daemon sends requests to a
+// spare.
 func (p *pass) fillPools() {
 	for {
 		short := p.mostShort()
@@ -160,7 +164,7 @@
 		a := p.chooseSpare(short.pool)
 		if a == nil {
 			p.takeFromSurplus(short)
-			short.need = short.active // nothing more can be done in this pass
+			short.need = short.active // no more instances for this pool in this pass
 			continue
 		}
 		a.Pool = short.pool.ID
@@ -179,10 +183,11 @@
 	return worst
 }
 
-// chooseSpare prefers healthy instances, then racks in which the pool has
-// little, then racks in which all pools have little (so that no rack's loss
-// costs much, and the spares that are left are spread), then instances that
-// few other pools could use.
+// chooseSpare returns the best spare for a pool, or nil. It prefers instances with
+// the fewest quarantines, then racks with the fewest instances of the pool, then
+// racks with the fewest active instances (so that the loss of one rack costs little,
+// and the remaining spares are spread over racks), then instances that match the
+// fewest pools.
 func (p *pass) chooseSpare(pool *tw.Pool) *tw.Assignment {
 	racks := map[tw.RackID]int{}
 	all := map[tw.RackID]int{}
@@ -195,7 +200,8 @@
 		if a.Pool == pool.ID && a.Active() {
 			racks[a.Rack]++
 		}
-		// One that the list had lost may come back with tasks of its former pool.
+		// An instance that was missing from the list may come back with tasks of
+		// its former pool still running.
 		idle := a.State == tw.InstanceSpare && p.taskCount[a.Instance] == 0
 		if idle && p.eligible(a, pool) && p.toDrain[a.Instance].Code == "" {
 			candidates = append(candidates, a)
@@ -220,14 +226,14 @@
 	return ok && in.Phase == tw.PhaseLive && p.matchingPools[in.ID][pool.ID]
 }
 
-// takeFromSurplus asks pools that have more than they need for an instance
-// that fits a short one.
+// takeFromSurplus marks instances of pools above their required size to move to a
+// pool below it.
 func (p *pass) takeFromSurplus(short *poolNeed) {
-	lacks := short.need - short.active - p.incoming(short.pool.ID)
+	missing := short.need - short.active - p.incoming(short.pool.ID)
 	for _, n := range p.pools {
 		for i := range p.plan.Instances {
 			a := &p.plan.Instances[i]
-			if lacks <= 0 || n.active <= n.need {
+			if missing <= 0 || n.active <= n.need {
 				break
 			}
 			if a.Pool != n.pool.ID || a.State != tw.InstanceServing || !p.eligible(a, short.pool) || p.toDrain[a.Instance].Code != "" {
@@ -235,12 +241,12 @@
 			}
 			p.toDrain[a.Instance] = tw.Reason{Code: tw.ReasonTaken, Detail: string(short.pool.ID)}
 			n.active--
-			lacks--
+			missing--
 		}
 	}
 }
 
-// incoming counts the instances that are draining towards a pool.
+// incoming counts the instances that are draining and will then join a pool.
 func (p *pass) incoming(pool tw.PoolID) int {
 	n := 0
 	for i := range p.plan.Instances {
--- a/fleet/property_test.go
+++ b/fleet/property_test.go
@@ -9,14 +9,16 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// TestRandomEventOrder lets pauses, crashes, losses, lost answers, racing planners and
-// operators come in any order.
+// TestRandomEventOrder checks the invariants of simHall under random sequences of
+// pauses, crashes, instance losses, lost responses, concurrent planners and
+// configuration changes.
 func TestRandomEventOrder(t *testing.T) {
 	setRapid(t)
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimHall()
 		var generation tw.Generation
-		// Common steps come more often, so that plans get somewhere.
+		// Common steps are listed twice, so that they are drawn more often and
+		// handovers make progress.
 		t.Repeat(map[string]func(*rapid.T){
 			"look": w.readInput, "look again": w.readInput,
 			"decide": w.decide, "decide again": w.decide,
@@ -42,7 +44,8 @@
 	})
 }
 
-// setRapid makes the same runs every time; change the seed to search further.
+// setRapid sets rapid's flags to fixed values unless they were given, so that every
+// run is the same. Another seed tests other sequences.
 func setRapid(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000", "rapid.steps": "200"} {
 		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
--- a/fleet/spares.go
+++ b/fleet/spares.go
@@ -6,9 +6,10 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// sparesNeeded is how many spares a hall must hold so that the loss of its
-// fullest racks can be made good: they are shared by all pools, as a rack is
-// lost once, whoever used it.
+// sparesNeeded returns the number of spares that a hall must hold to replace the
+// active instances of its fullest racks (config.Spares.Racks of them). All pools
+// share them, as a rack that fails takes down the instances of all its pools at
+// once.
 func sparesNeeded(plan *tw.Plan, config *tw.FleetConfig) int {
 	racks := map[tw.RackID]int{}
 	for i := range plan.Instances {
@@ -19,7 +20,8 @@
 	return sumOfLargest(racks, *config.Spares.Racks)
 }
 
-// SparesPerPool is the baseline: spares held by each pool for itself.
+// SparesPerPool returns the number of spares needed if each pool held its own. It
+// is the baseline that shared spares are compared with.
 func SparesPerPool(plan *tw.Plan, config *tw.FleetConfig) int {
 	byPool := map[tw.PoolID]map[tw.RackID]int{}
 	for i := range plan.Instances {
--- a/fleet/waves.go
+++ b/fleet/waves.go
@@ -6,8 +6,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// scheduleWaves marks the next instances of each maintenance wave. Losses that
-// leave a pool short pause the waves.
+// scheduleWaves selects the next instances of each maintenance wave. Waves pause
+// while any pool is below its required size.
 func (p *pass) scheduleWaves() {
 	p.pruneWaves()
 	if p.anyShort() {
@@ -18,7 +18,7 @@
 	}
 }
 
-// pruneWaves drops waves that are no longer configured.
+// pruneWaves removes waves that are no longer configured from the plan.
 func (p *pass) pruneWaves() {
 	known := map[tw.WaveID]bool{}
 	for _, w := range p.in.Config.Waves {
@@ -33,52 +33,53 @@
 	}
 }
 
-// scheduleWave sends the spares that are due out first, as they carry nothing. One
-// that serves follows when a spare can take its place; without any, the budget
-// decides, but not while an instance of the wave will be back as a spare.
+// scheduleWave takes spares out first, as they run no jobs. A serving instance
+// follows if there is a spare to replace it. Without a spare it is marked only while
+// no other instance of the wave is out, as that one will be back as a spare; the
+// budget then decides when it drains.
 func (p *pass) scheduleWave(w *tw.Wave) {
-	room := w.MaxConcurrent
+	allowed := w.MaxConcurrent
 	for i := range p.plan.Instances {
 		if p.plan.Instances[i].Wave == w.ID {
-			room--
+			allowed--
 		}
 	}
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State == tw.InstanceSpare && room > 0 && p.dueForWave(a, w) {
+		if a.State == tw.InstanceSpare && allowed > 0 && p.dueForWave(a, w) {
 			a.Wave, a.Boots = w.ID, p.listed[a.Instance].Boots
 			p.setState(a, tw.InstanceOut, tw.ReasonWave, string(w.ID))
-			room--
+			allowed--
 		}
 	}
-	away := room < w.MaxConcurrent
+	anyOut := allowed < w.MaxConcurrent
 	taken := map[tw.InstanceID]bool{}
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
-		if a.State != tw.InstanceServing || room <= 0 || !p.dueForWave(a, w) {
+		if a.State != tw.InstanceServing || allowed <= 0 || !p.dueForWave(a, w) {
 			continue
 		}
 		replacement := p.freeSpare(a.Pool, taken)
-		if replacement == nil && away {
+		if replacement == nil && anyOut {
 			continue
 		}
 		if replacement != nil {
 			taken[replacement.Instance] = true
 		}
 		p.markForDrain(a, tw.Reason{Code: tw.ReasonWave, Detail: string(w.ID)})
-		away = true
-		room--
+		anyOut = true
+		allowed--
 	}
 }
 
-// dueForWave tells whether a wave still has to maintain an instance.
+// dueForWave reports whether a wave still has to maintain an instance.
 func (p *pass) dueForWave(a *tw.Assignment, w *tw.Wave) bool {
 	in, listed := p.listed[a.Instance]
 	return listed && in.Phase == tw.PhaseLive && a.Wave == "" && !a.Maintained(w.ID) &&
 		w.Instances.Matches(p.in.Config.LabelsOf(in))
 }
 
-// freeSpare is a spare that fits a pool and is not taken, or nil.
+// freeSpare returns a spare that matches a pool and is not in taken, or nil.
 func (p *pass) freeSpare(id tw.PoolID, taken map[tw.InstanceID]bool) *tw.Assignment {
 	pool := p.in.Config.Pool(id)
 	for i := range p.plan.Instances {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// anyShort tells whether a pool has less than it needs.
+// anyShort reports whether any pool is below its required size.
 func (p *pass) anyShort() bool {
 	for _, n := range p.pools {
 		if n.isShort() {
--- a/fleet/world_test.go
+++ b/fleet/world_test.go
@@ -9,10 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// simHall is a hall in which everything may be late: planners act on what they
-// saw some time ago, daemons on the plan they last fetched, and heartbeats
-// arrive whenever they like. Its methods are the steps that may come in any
-// order; each checks what must hold.
+// simHall simulates a hall with arbitrary delays: planners act on old input, daemons
+// on the plan they last fetched, and heartbeats arrive late. Its methods that take
+// a *rapid.T are steps, which can run in any order and check the invariants.
 type simHall struct {
 	config    *tw.FleetConfig
 	revision  tw.Revision
@@ -26,19 +25,19 @@
 	requests  []simRequest
 }
 
-// simDaemon is what one daemon knows.
+// simDaemon is the state of a daemon.
 type simDaemon struct {
-	life       tw.Incarnation
-	registered bool // and has read the plan since
-	plan       tw.Plan
-	revision   tw.Revision
+	incarnation tw.Incarnation
+	registered  bool // has registered and then read the plan
+	plan        tw.Plan
+	revision    tw.Revision
 }
 
-// simPlanner is what one planner saw, and what it heard.
+// simPlanner is a planner's input and the last heartbeats it received.
 type simPlanner struct {
 	version    int
 	in         Input
-	order      *Orders
+	orders     *Orders
 	heartbeats map[tw.DaemonID]simHeartbeat
 }
 
@@ -47,12 +46,12 @@
 	member      Member
 }
 
-// simRequest is a request that runs.
+// simRequest is a request in flight.
 type simRequest struct {
-	daemon tw.DaemonID
-	life   tw.Incarnation
-	held   InstanceJob
-	pool   tw.PoolID
+	daemon      tw.DaemonID
+	incarnation tw.Incarnation
+	key         InstanceJob
+	pool        tw.PoolID
 }
 
 const (
@@ -76,7 +75,7 @@
 	}
 	for i := range simDaemonCount {
 		id := tw.DaemonID(fmt.Sprintf("d%d", i))
-		w.daemons[id] = &simDaemon{life: 1}
+		w.daemons[id] = &simDaemon{incarnation: 1}
 		w.registerDaemon(id)
 	}
 	for range 2 {
@@ -85,16 +84,16 @@
 	return w
 }
 
-// registerDaemon enters the roster, then reads the plan.
+// registerDaemon adds a daemon to the roster, then reads the plan.
 func (w *simHall) registerDaemon(id tw.DaemonID) {
 	d := w.daemons[id]
-	w.roster[id] = d.life
+	w.roster[id] = d.incarnation
 	d.registered = true
 	d.plan = w.stored.Clone()
 	d.revision = w.revision
 }
 
-// fetch brings some daemons up to the store's plan, or to another daemon's.
+// fetch updates some daemons to the plan of the store or of another daemon.
 func (w *simHall) fetch(t *rapid.T) {
 	for _, id := range slices.Sorted(maps.Keys(w.daemons)) {
 		if rapid.Bool().Draw(t, "fetches") {
@@ -114,12 +113,12 @@
 	d.revision = max(d.revision, w.revision)
 }
 
-// crash ends a daemon with its requests; its next life registers anew.
+// crash ends a daemon and its requests; its next incarnation must register again.
 func (w *simHall) crash(t *rapid.T) {
 	id := w.drawDaemon(t)
 	d := w.daemons[id]
 	w.requests = slices.DeleteFunc(w.requests, func(f simRequest) bool { return f.daemon == id })
-	*d = simDaemon{life: d.life + 1}
+	*d = simDaemon{incarnation: d.incarnation + 1}
 	if rapid.Bool().Draw(t, "back at once") {
 		w.registerDaemon(id)
 	}
@@ -132,7 +131,7 @@
 	}
 }
 
-// dispatch sends a request as a daemon's own view allows.
+// dispatch sends a request that the daemon's own plan allows.
 func (w *simHall) dispatch(t *rapid.T) {
 	id := w.drawDaemon(t)
 	d := w.daemons[id]
@@ -141,18 +140,19 @@
 	}
 	for i := range d.plan.Instances {
 		a := &d.plan.Instances[i]
-		for _, at := range a.Jobs {
-			if !a.Serves(at.Job) || !rapid.Bool().Draw(t, "send") {
+		for _, placement := range a.Jobs {
+			if !a.Serves(placement.Job) || !rapid.Bool().Draw(t, "send") {
 				continue
 			}
 			w.checkPool(t, id, a)
-			w.requests = append(w.requests, simRequest{daemon: id, life: d.life, held: InstanceJob{a.Instance, at.Job}, pool: a.Pool})
+			w.requests = append(w.requests, simRequest{daemon: id, incarnation: d.incarnation, key: InstanceJob{a.Instance, placement.Job}, pool: a.Pool})
 			return
 		}
 	}
 }
 
-// checkPool: an instance is in one pool at any moment, whoever asks.
+// checkPool fails if a daemon sends to an instance under a pool that is not its pool
+// in the stored plan.
 func (w *simHall) checkPool(t *rapid.T, id tw.DaemonID, a *tw.Assignment) {
 	now := w.stored.Find(a.Instance)
 	if now != nil && now.Pool != a.Pool {
@@ -168,8 +168,8 @@
 	}
 }
 
-// heartbeat tells a planner how far some daemons are; one may be held up by
-// not being drawn for long.
+// heartbeat delivers the heartbeats of some daemons to a planner. A daemon that is
+// not drawn for several steps counts as delayed.
 func (w *simHall) heartbeat(t *rapid.T) {
 	p := w.drawPlanner(t)
 	for _, id := range slices.Sorted(maps.Keys(w.daemons)) {
@@ -184,13 +184,13 @@
 	m := Member{ID: id, Acked: d.plan.Generation, InFlight: map[InstanceJob]int{}}
 	for _, f := range w.requests {
 		if f.daemon == id {
-			m.InFlight[f.held]++
+			m.InFlight[f.key]++
 		}
 	}
-	return simHeartbeat{incarnation: d.life, member: m}
+	return simHeartbeat{incarnation: d.incarnation, member: m}
 }
 
-// readInput is a planner reading everything: the plan, then the roster.
+// readInput lets a planner read its input: the plan, then the roster.
 func (w *simHall) readInput(t *rapid.T) {
 	p := w.drawPlanner(t)
 	p.version = w.version
@@ -210,10 +210,10 @@
 		p.in.Tasks = append(p.in.Tasks, w.tasks[id])
 	}
 	p.in.Allowance = Allowances(BudgetInput{Config: w.config, Plans: map[tw.HallID]tw.Plan{"h1": w.stored}})
-	p.order = nil
+	p.orders = nil
 }
 
-// members is the roster with what this planner heard of it.
+// members returns the roster's daemons with their last heartbeats to this planner.
 func (p *simPlanner) members(roster map[tw.DaemonID]tw.Incarnation) []Member {
 	var out []Member
 	for _, id := range slices.Sorted(maps.Keys(roster)) {
@@ -226,8 +226,8 @@
 	return out
 }
 
-// decide is a planner acting on what it saw, however long ago. The answer of
-// its write may be lost, so that it does not go on to give orders.
+// decide lets a planner decide on its last input, which may be old. The response to
+// its write may be lost; it then sends no orders.
 func (w *simHall) decide(t *rapid.T) {
 	p := w.drawPlanner(t)
 	if p.in.Config == nil {
@@ -236,7 +236,7 @@
 	out := Decide(p.in)
 	if out.Changed {
 		if p.version != w.version {
-			return // the compare-and-swap fails
+			return // the compare-and-swap would fail
 		}
 		w.checkBudget(t, p.in.Config, out)
 		w.stored = out.Plan.Clone()
@@ -250,12 +250,12 @@
 	p.in.Plan = out.Plan
 	p.in.Members = p.members(w.roster)
 	orders := ComputeOrders(p.in)
-	p.order = &orders
+	p.orders = &orders
 	p.in.Config = nil
 }
 
-// checkBudget: no planned drain takes a service below the budget of the
-// configuration that it was decided under.
+// checkBudget fails if a planned drain leaves a service with fewer replicas than
+// MaxUnavailable allows in the configuration of the decision.
 func (w *simHall) checkBudget(t *rapid.T, config *tw.FleetConfig, out Output) {
 	if len(out.Drains) == 0 {
 		return
@@ -272,8 +272,8 @@
 				after++
 			}
 		}
-		most := config.Service(job.Service).MaxUnavailable
-		if after < before && w.hasDrainOf(out, job.Service) && after < job.Replicas-most {
+		maxUnavailable := config.Service(job.Service).MaxUnavailable
+		if after < before && w.hasDrainOf(out, job.Service) && after < job.Replicas-maxUnavailable {
 			t.Fatalf("a planned drain leaves %d of %d replicas of %s", after, job.Replicas, job.ID)
 		}
 	}
@@ -283,17 +283,17 @@
 	return slices.ContainsFunc(out.Drains, func(d Drain) bool { return slices.Contains(d.Services, service) })
 }
 
-// executeOrders gives a planner's orders to the platform, however late.
+// executeOrders sends a planner's orders to the platform, possibly late.
 func (w *simHall) executeOrders(t *rapid.T) {
 	p := w.drawPlanner(t)
-	if p.order == nil {
+	if p.orders == nil {
 		return
 	}
-	for _, id := range p.order.Stop {
+	for _, id := range p.orders.Stop {
 		w.checkStop(t, id)
 		delete(w.tasks, id)
 	}
-	for _, task := range p.order.Start {
+	for _, task := range p.orders.Start {
 		if w.instances[task.Instance] == nil {
 			continue
 		}
@@ -302,27 +302,27 @@
 			w.tasks[task.ID] = task
 		}
 	}
-	for _, r := range p.order.Reboot {
+	for _, r := range p.orders.Reboot {
 		if in := w.instances[r.Instance]; in != nil && in.Boots == r.Boots {
 			in.Boots++
 		}
 	}
-	p.order = nil
+	p.orders = nil
 }
 
-// checkStop: no task that works is stopped under a request.
+// checkStop fails if a working task is stopped while a request is in flight on it.
 func (w *simHall) checkStop(t *rapid.T, id tw.TaskID) {
 	task, runs := w.tasks[id]
 	if !runs || task.State == tw.TaskFailed || w.instances[task.Instance] == nil {
 		return
 	}
 	for _, f := range w.requests {
-		a := w.stored.Find(f.held.Instance)
-		if f.held.Instance != task.Instance || f.held.Job != task.Job || a == nil {
+		a := w.stored.Find(f.key.Instance)
+		if f.key.Instance != task.Instance || f.key.Job != task.Job || a == nil {
 			continue
 		}
-		at := a.Placement(task.Job)
-		if at != nil && tw.NewTaskID(task.Job, task.Instance, at.Placed) != id {
+		placement := a.Placement(task.Job)
+		if placement != nil && tw.NewTaskID(task.Job, task.Instance, placement.Placed) != id {
 			continue // an older task of the same job
 		}
 		t.Fatalf("task %s is stopped under a request of %s", id, f.daemon)
@@ -338,15 +338,15 @@
 	}
 }
 
-// removeInstance takes an instance away with its tasks and requests.
+// removeInstance removes an instance with its tasks and requests.
 func (w *simHall) removeInstance(t *rapid.T) {
 	id := w.drawInstance(t)
 	delete(w.instances, id)
 	maps.DeleteFunc(w.tasks, func(_ tw.TaskID, task tw.Task) bool { return task.Instance == id })
-	w.requests = slices.DeleteFunc(w.requests, func(f simRequest) bool { return f.held.Instance == id })
+	w.requests = slices.DeleteFunc(w.requests, func(f simRequest) bool { return f.key.Instance == id })
 }
 
-// addInstance brings an instance back, or lists it again.
+// addInstance adds an instance if it is missing.
 func (w *simHall) addInstance(t *rapid.T) {
 	id := w.drawInstance(t)
 	if w.instances[id] == nil {
@@ -362,7 +362,7 @@
 	}
 }
 
-// configure is an operator: waves, labels, replicas, pools.
+// configure applies a random configuration of pools, replicas, waves and labels.
 func (w *simHall) configure(t *rapid.T) {
 	c := pools(rapid.IntRange(1, 2).Draw(t, "pools"), rapid.IntRange(1, 3).Draw(t, "replicas"))
 	if rapid.Bool().Draw(t, "wave") {
