--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-// bench is one gateway in front of stand-in upstreams, without control.
+// bench is one gateway in front of fake upstreams, without the control plane.
 type bench struct {
 	entry     string
 	addresses []string
@@ -45,19 +45,19 @@
 		b.addresses = append(b.addresses, u.Address())
 	}
 	b.gateway.Install(b.view())
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.close()
 		return nil, err
 	}
-	b.entry = at.Addr().String()
+	b.entry = listener.Addr().String()
 	b.server = &http.Server{Handler: b.gateway}
-	go func() { _ = b.server.Serve(at) }() // ends with close
+	go func() { _ = b.server.Serve(listener) }() // ends with close
 	time.Sleep(registerTime)
 	return b, nil
 }
 
-// registerTime is how long upstreams take to learn their jobs.
+// registerTime is how long to wait until all upstreams have registered and know their jobs.
 const registerTime = 300 * time.Millisecond
 
 func (b *bench) view() tw.View {
@@ -94,7 +94,7 @@
 
 func (b *bench) close() {
 	if b.server != nil {
-		_ = b.server.Close() // nobody is left to tell
+		_ = b.server.Close() // the bench is closing anyway
 	}
 	for _, u := range b.upstreams {
 		u.Close()
--- a/internal/experiment/claims.go
+++ b/internal/experiment/claims.go
@@ -34,8 +34,8 @@
 job = "j"
 `
 
-// Claims compares requests that callers repeat, without and with an
-// idempotency key, at three daemons of one hall of which one is killed.
+// Claims sends requests once and twice, without and with an idempotency key, to three
+// daemons of one hall. In the runs that send requests twice, one daemon is killed.
 func Claims(ctx context.Context, out io.Writer) error {
 	for _, keyed := range []bool{false, true} {
 		for _, repeat := range []int{0, 1} {
--- a/internal/experiment/control.go
+++ b/internal/experiment/control.go
@@ -21,14 +21,14 @@
 )
 
 type (
-	// hallSize is a data hall of daemons and workers.
+	// hallSize is the size of a deployment: some equal halls of daemons and workers.
 	hallSize struct {
 		daemons int
-		halls   int // all alike
+		halls   int // of equal size
 		shape
 	}
 
-	// hallRun is such a hall under way, in this process.
+	// hallRun is a running deployment of a hallSize, in this process.
 	hallRun struct {
 		size     hallSize
 		platform *standin.Platform
@@ -54,10 +54,10 @@
 	changeCount = 7
 )
 
-// Control measures what a daemon's duties cost at rest, and how long a change
-// takes to be in force, in halls of four sizes. The figures for a daemon are
-// those of this process divided by the daemons: the platform's stand-in is in
-// them, so they are upper bounds.
+// Control measures a daemon's resource use when idle and how long a configuration change
+// takes to be in force, for each of hallSizes. The figures per daemon are those of this
+// process divided by the number of daemons. They are upper bounds, since they include the
+// fake platform.
 func Control(ctx context.Context, out io.Writer) error {
 	for _, size := range hallSizes {
 		if err := size.measure(ctx, out); err != nil {
@@ -85,13 +85,13 @@
 
 func (s hallSize) start() (*hallRun, error) {
 	h := &hallRun{size: s, platform: standin.PlatformConfig{AutoRun: true}.New()}
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "experiment.start")
 	}
-	h.url = "http://" + at.Addr().String()
+	h.url = "http://" + listener.Addr().String()
 	h.server = &http.Server{Handler: h.platform.Handler()}
-	go func() { _ = h.server.Serve(meteredListener{at, &h.store}) }() // ends with close
+	go func() { _ = h.server.Serve(meteredListener{listener, &h.store}) }() // ends with close
 	for _, hall := range s.hallIDs() {
 		if err := h.startHall(hall); err != nil {
 			h.close()
@@ -152,10 +152,10 @@
 	for _, d := range h.daemons {
 		d.Kill()
 	}
-	_ = h.server.Close() // nobody is left to tell
+	_ = h.server.Close() // the run is closing anyway
 }
 
-// applyChange applies a configuration and waits until it is in force.
+// applyChange applies the next configuration and waits until all daemons have it.
 func (h *hallRun) applyChange(ctx context.Context) error {
 	accepted, err := h.operator.Apply(ctx, h.size.configTOML(h.revision), "experiment", h.revision)
 	if err != nil {
@@ -223,7 +223,8 @@
 		float64(after.Reads-calls.Reads)/seconds/halls, float64(after.Writes-calls.Writes)/seconds/halls, h.falselyDown())
 }
 
-// falselyDown counts the times that a daemon came to count as down; none was.
+// falselyDown counts how often a daemon considered a peer down. No daemon is ever stopped
+// here, so each is a false positive.
 func (h *hallRun) falselyDown() int {
 	n := 0
 	for _, d := range h.daemons {
@@ -232,8 +233,8 @@
 	return n
 }
 
-// measureChanges times changes until the last daemon has them, and until the last
-// task runs.
+// measureChanges measures how long changes take until the last daemon has them and until
+// the last task runs.
 func (h *hallRun) measureChanges(ctx context.Context, out io.Writer) error {
 	var inForce, tasks []time.Duration
 	for range changeCount {
@@ -254,11 +255,11 @@
 	return nil
 }
 
-// extraReplicas is one more replica of the first job in every other version, so that
-// each change starts or stops a task.
+// extraReplicas gives the first job one more replica in every other version, so that each
+// change starts or stops a task.
 func extraReplicas(version tw.Revision) int { return int(version % 2) }
 
-// configTOML is a configuration in TOML.
+// configTOML returns a version of the configuration in TOML.
 func (s hallSize) configTOML(version tw.Revision) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "halls = [")
--- a/internal/experiment/cost.go
+++ b/internal/experiment/cost.go
@@ -14,8 +14,8 @@
 	costRate     = 500
 )
 
-// Cost compares requests through the gateway with requests made directly to
-// the same upstream, one after the other in one run.
+// Cost compares the latency of requests through the gateway with that of requests sent
+// directly to the same upstream, in alternating runs.
 func Cost(ctx context.Context, out io.Writer) error {
 	b, err := newBench(1)
 	if err != nil {
@@ -23,14 +23,14 @@
 	}
 	defer b.close()
 	streams := []standin.Stream{{Name: "request", Method: http.MethodPost, Host: benchHost, Path: "/normal"}}
-	through := b.load(costRequests, costRate, streams)
-	direct := through
+	viaGateway := b.load(costRequests, costRate, streams)
+	direct := viaGateway
 	direct.Targets = b.addresses
 	direct.Job = benchJob
 	for _, run := range []struct {
 		name string
 		load standin.LoadConfig
-	}{{"direct", direct}, {"gateway", through}, {"direct", direct}, {"gateway", through}} {
+	}{{"direct", direct}, {"gateway", viaGateway}, {"direct", direct}, {"gateway", viaGateway}} {
 		report, err := run.load.Run(ctx)
 		if err != nil {
 			return err
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,3 +1,3 @@
-// Package experiment measures the product on the stand-ins, in one process.
-// docs/CAPACITY.md and docs/DESIGN.md give the figures and the commands.
+// Package experiment measures the system against the fakes of package standin, in one
+// process. docs/CAPACITY.md and docs/DESIGN.md list the results and the commands.
 package experiment
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -11,12 +11,11 @@
 	"github.com/tamarindworks/tamarindworks/fleet"
 )
 
-// maxMovesWorkers is the largest hall whose moves are counted; a wave over more
-// takes minutes.
+// maxMovesWorkers is the largest hall, in workers, whose moves are counted. A wave over a
+// larger one takes minutes to simulate.
 const maxMovesWorkers = 112
 
-// shapes are a hall of today's users and one at the size to come, with sizes
-// between.
+// shapes range from a hall of current deployments to one of the planned size.
 var shapes = []shape{
 	{name: "today, 1 of 3 halls", workers: 20, pools: 5, replicas: 3, rack: 4},
 	{name: "50 workers in one hall", workers: 54, pools: 5, replicas: 10, rack: 4},
@@ -25,11 +24,11 @@
 	{name: "900 workers in one hall", workers: 900, pools: 51, replicas: 17, rack: 4},
 }
 
-// event is something that makes work move.
+// event is a change that forces placements to move.
 type event struct {
 	name  string
 	apply func(m *model)
-	// minMoves is how many placements must be made anew at the least.
+	// minMoves is the least number of placements that must be made anew.
 	minMoves func(m *model) int
 }
 
@@ -40,7 +39,7 @@
 	{name: "a wave over all", apply: startWave, minMoves: func(m *model) int { return len(m.placements()) }},
 }
 
-// Fleet measures moves, spares and the time of a pass.
+// Fleet measures moves, spares and the duration of a planning pass.
 func Fleet(_ context.Context, out io.Writer) error {
 	for _, s := range shapes {
 		s.compareSpares(out)
@@ -54,7 +53,7 @@
 	return nil
 }
 
-// compareSpares compares shared spares with spares held by each pool.
+// compareSpares compares the number of shared spares with that of spares held per pool.
 func (s shape) compareSpares(out io.Writer) {
 	m := newModel(s)
 	m.passUntilStable()
@@ -63,22 +62,22 @@
 	fmt.Fprintf(out, "%-26s spares needed: shared %d, per pool %d (%.0f%%)\n", s.name, shared, perPool, 100*float64(shared)/float64(perPool))
 }
 
-// measurePassTime is the time of one decision, nothing having happened, and after
-// the loss of a rack.
+// measurePassTime measures one planning pass when nothing has changed and one after the
+// loss of a rack.
 func (s shape) measurePassTime(out io.Writer) {
 	m := newModel(s)
 	m.passUntilStable()
 	m.refreshInput()
-	rest := medianTime(func() { fleet.Decide(m.in) })
+	idle := medianTime(func() { fleet.Decide(m.in) })
 	loseRack(m)
 	m.refreshInput()
-	lost := medianTime(func() { fleet.Decide(m.in) })
-	fmt.Fprintf(out, "%-26s one pass: %v at rest, %v after the loss of a rack\n", s.name, rest, lost)
+	afterLoss := medianTime(func() { fleet.Decide(m.in) })
+	fmt.Fprintf(out, "%-26s one pass: %v at rest, %v after the loss of a rack\n", s.name, idle, afterLoss)
 }
 
 const timedRuns = 21
 
-// medianTime is the median time of a call.
+// medianTime returns the median duration of timedRuns calls.
 func medianTime(call func()) time.Duration {
 	var all []time.Duration
 	for range timedRuns {
@@ -90,8 +89,8 @@
 	return all[len(all)/2].Round(time.Microsecond)
 }
 
-// measureMoves counts the tasks that an event starts, against the least possible and
-// against making the whole assignment anew.
+// measureMoves counts the tasks that are started because of an event, compared with the
+// least possible number and with a new assignment from scratch.
 func (s shape) measureMoves(out io.Writer, e event) {
 	m := newModel(s)
 	m.passUntilStable()
@@ -99,34 +98,34 @@
 	m.starts, m.passes = 0, 0
 	e.apply(m)
 	least := e.minMoves(m)
-	worst := len(before)
-	for quiet := 0; quiet < 2; {
-		quiet++
+	fewest := len(before)
+	for unchanged := 0; unchanged < 2; {
+		unchanged++
 		if m.pass() {
-			quiet = 0
+			unchanged = 0
 		}
-		worst = min(worst, len(m.placements()))
+		fewest = min(fewest, len(m.placements()))
 	}
 	fmt.Fprintf(out, "%-26s %-22s moves: %d, least %d, from scratch %d; passes %d; fewest serving %d of %d\n",
-		s.name, e.name, m.starts, least, m.movesFromScratch(before), m.passes, worst, len(before))
+		s.name, e.name, m.starts, least, m.movesFromScratch(before), m.passes, fewest, len(before))
 }
 
-// movesFromScratch is how many placements would be made if the assignment were made
-// anew from the instances that are left.
+// movesFromScratch counts the placements that would be new if the assignment were computed
+// from scratch for the remaining instances.
 func (m *model) movesFromScratch(before map[fleet.InstanceJob]bool) int {
 	fresh := &model{in: m.in, tasks: map[tw.TaskID]tw.Task{}}
 	fresh.in.Plan = tw.Plan{}
 	fresh.passUntilStable()
 	n := 0
-	for held := range fresh.placements() {
-		if !before[held] {
+	for placement := range fresh.placements() {
+		if !before[placement] {
 			n++
 		}
 	}
 	return n
 }
 
-// firstServing is an instance that serves.
+// firstServing returns the first instance in the plan that serves.
 func firstServing(m *model) tw.InstanceID {
 	for i := range m.in.Plan.Instances {
 		if a := &m.in.Plan.Instances[i]; a.State == tw.InstanceServing {
@@ -160,11 +159,11 @@
 	m.in.Revision++
 }
 
-// lostPlacements counts what the event took away.
+// lostPlacements counts the placements on instances that the event removed or relabelled.
 func lostPlacements(m *model) int {
 	n := 0
-	for held := range m.placements() {
-		i := slices.IndexFunc(m.in.Instances, func(in tw.Instance) bool { return in.ID == held.Instance })
+	for placement := range m.placements() {
+		i := slices.IndexFunc(m.in.Instances, func(in tw.Instance) bool { return in.ID == placement.Instance })
 		if i < 0 || m.in.Config.LabelsOf(m.in.Instances[i])["kind"] != "general" {
 			n++
 		}
--- a/internal/experiment/meter.go
+++ b/internal/experiment/meter.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// meter counts the bytes of connections, both ways.
+// meter counts the bytes of connections in both directions.
 type meter struct{ bytes atomic.Int64 }
 
 type meteredConn struct {
@@ -21,21 +21,21 @@
 	meter *meter
 }
 
-// Read counts what it reads.
+// Read implements net.Conn and counts the bytes read.
 func (c meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what it writes.
+// Write implements net.Conn and counts the bytes written.
 func (c meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-// Accept meters a connection.
+// Accept implements net.Listener and meters the connection.
 func (l meteredListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return meteredConn{conn, m}, nil
 }
 
-// processCPUTime is what this process has used.
+// processCPUTime returns the CPU time used by this process.
 func processCPUTime() time.Duration {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -10,23 +10,23 @@
 	"github.com/tamarindworks/tamarindworks/fleet"
 )
 
-// model is a data hall whose orders are carried out at once and whose daemons
-// acknowledge at once, to count what decisions cost.
+// model is a data hall whose orders and acknowledgements take effect immediately. It counts
+// the task starts and passes that planning decisions cause.
 type model struct {
 	in    fleet.Input
 	tasks map[tw.TaskID]tw.Task
-	// starts counts the tasks started: each is a placement moved or made.
+	// starts counts the tasks started. Each is a new or moved placement.
 	starts int
 	passes int
 }
 
-// shape is how large a hall is.
+// shape is the size of a hall.
 type shape struct {
 	name     string
 	workers  int
 	pools    int
 	replicas int // of each pool's job
-	rack     int // workers in a rack
+	rack     int // workers per rack
 }
 
 const modelHall tw.HallID = "h1"
@@ -84,17 +84,17 @@
 func mustParseSelector(text string) tw.Selector {
 	s, err := tw.ParseSelector(text)
 	if err != nil {
-		panic(err) // the selectors of this package are constants
+		panic(err) // all selectors of this package are valid
 	}
 	return s
 }
 
-// passUntilStable passes until nothing changes.
+// passUntilStable runs planning passes until two in a row change nothing.
 func (m *model) passUntilStable() {
-	for quiet := 0; quiet < 2; {
-		quiet++
+	for unchanged := 0; unchanged < 2; {
+		unchanged++
 		if m.pass() {
-			quiet = 0
+			unchanged = 0
 		}
 	}
 }
@@ -136,15 +136,15 @@
 	}
 }
 
-// removeInstances removes the instances of a rack, or one instance.
-func (m *model) removeInstances(gone func(tw.Instance) bool) {
-	m.in.Instances = slices.DeleteFunc(m.in.Instances, gone)
+// removeInstances removes the matching instances and their tasks.
+func (m *model) removeInstances(match func(tw.Instance) bool) {
+	m.in.Instances = slices.DeleteFunc(m.in.Instances, match)
 	maps.DeleteFunc(m.tasks, func(_ tw.TaskID, t tw.Task) bool {
 		return !slices.ContainsFunc(m.in.Instances, func(in tw.Instance) bool { return in.ID == t.Instance })
 	})
 }
 
-// placements lists what runs where.
+// placements returns the set of serving placements.
 func (m *model) placements() map[fleet.InstanceJob]bool {
 	out := map[fleet.InstanceJob]bool{}
 	for i := range m.in.Plan.Instances {
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -10,8 +10,7 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-// mix is a load for the overload experiment. work is the mean time that one
-// request holds a slot.
+// mix is a mix of request streams for the overload experiment.
 type mix struct {
 	name    string
 	streams []standin.Stream
@@ -20,8 +19,8 @@
 const (
 	overloadInstances = 4
 	overloadTime      = 4 * time.Second
-	// warmupTime comes before: long requests that were taken in before the quick
-	// ones were known hold their slots for that long.
+	// warmupTime precedes the measurement. Long requests admitted before the first quick
+	// ones hold their slots for that long.
 	warmupTime = 2 * time.Second
 )
 
@@ -39,7 +38,7 @@
 	}},
 }
 
-// Overload sends each mix at a tenth of the capacity and at twice of it.
+// Overload sends each mix at a tenth of the capacity and at twice the capacity.
 func Overload(ctx context.Context, out io.Writer) error {
 	b, err := newBench(overloadInstances)
 	if err != nil {
@@ -74,7 +73,7 @@
 	return nil
 }
 
-// meanWork is the mean work of the mix.
+// meanWork returns the mean time that a request of the mix holds a slot.
 func (m mix) meanWork() time.Duration {
 	var sum time.Duration
 	n := 0
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -22,20 +22,22 @@
 )
 
 type (
-	// schedulePolicy is a way to order what waits, and whether halls count.
+	// schedulePolicy is a way to order waiting subtasks. hallAware policies let the
+	// scheduler see the workers' halls and racks.
 	schedulePolicy struct {
 		name      string
 		hallAware bool
 		urgency   func(m *demandModel, j *modelJob) schedule.Urgency
 	}
 
-	// scheduleResult is what came of all seeds of a policy at a load.
+	// scheduleResult aggregates all seeds of a policy at a load.
 	scheduleResult struct {
-		// onTime is the share of jobs that ended within their objective, waited
-		// the mean time for which a job's subtasks waited, tail that of the
-		// twentieth that waited longest.
+		// onTime is the share of jobs that ended within their objective. meanWait and
+		// tailWait are the mean and the 95th percentile, over the jobs, of the mean
+		// wait of a job's subtasks.
 		onTime float64
-		// served is the share that ended within three objectives.
+		// served is the share of jobs that ended within schedule.LateFactor times their
+		// objective.
 		served             float64
 		meanWait, tailWait time.Duration
 	}
@@ -43,7 +45,7 @@
 
 const (
 	scheduleSeeds = 40
-	// tailShare of the jobs wait longer than scheduleResult.tail.
+	// tailShare is the share of the jobs that wait longer than scheduleResult.tailWait.
 	tailShare = 0.05
 	plotSize  = 16 * vg.Centimeter
 )
@@ -62,19 +64,19 @@
 )
 
 func byUrgency(m *demandModel, j *modelJob) schedule.Urgency {
-	var rest, whole time.Duration
+	var remaining, total time.Duration
 	for i, step := range j.steps {
-		whole += step.estimate
+		total += step.estimate
 		if i >= j.currentStep {
-			rest += step.estimate
+			remaining += step.estimate
 		}
 	}
-	objective := time.Duration(modelStretch*float64(whole)) + modelTarget
-	return schedule.UrgencyOf(modelStart.Add(m.now), modelStart.Add(j.arrivedAt), objective, rest, 0)
+	objective := time.Duration(modelStretch*float64(total)) + modelTarget
+	return schedule.UrgencyOf(modelStart.Add(m.now), modelStart.Add(j.arrivedAt), objective, remaining, 0)
 }
 
-// byNewest has what can be in time go in the reverse order of arrival: with more
-// work than room, the oldest is the first that will be late.
+// byNewest serves jobs that can still meet their objective in reverse order of arrival:
+// under overload, the oldest is the first to be late.
 func byNewest(m *demandModel, j *modelJob) schedule.Urgency {
 	u := byUrgency(m, j)
 	if u.Grade == schedule.GradeOnTime {
@@ -83,13 +85,13 @@
 	return u
 }
 
-// byUrgencySmall is what owners do: by urgency, but small work sooner.
+// byUrgencySmall is the policy of pool owners: by urgency, with preference for small jobs.
 func byUrgencySmall(m *demandModel, j *modelJob) schedule.Urgency {
-	const steps = 2 // of a usual job
+	const steps = 2 // of a typical job
 	chain := steps * modelSubtask
-	usual := chain.Seconds() * modelWidth * modelCPU
+	typicalWork := chain.Seconds() * modelWidth * modelCPU
 	objective := time.Duration(modelStretch*float64(chain)) + modelTarget
-	return byUrgency(m, j).WithSizePenalty(j.workLeft()/usual, objective)
+	return byUrgency(m, j).WithSizePenalty(j.workLeft()/typicalWork, objective)
 }
 
 func byArrival(_ *demandModel, j *modelJob) schedule.Urgency {
@@ -104,8 +106,8 @@
 	return schedule.Urgency{Grade: schedule.GradeOnTime, Deadline: modelStart.Add(time.Duration(m.rand.Int64N(int64(time.Hour))))}
 }
 
-// Schedule compares policies of placement under turning demand, wrong guesses and
-// the cut of a hall, in simulated time, and plots waiting against load.
+// Schedule compares placement policies in simulated time, with demand that rotates among
+// the pools, wrong estimates and the partition of a hall. It plots wait against load.
 func Schedule(_ context.Context, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "POLICY (%d seeds)\tLOAD\tIN TIME\tSERVED\tWAITED, MEAN\tWAITED, P95\n", scheduleSeeds)
@@ -128,26 +130,27 @@
 	return nil
 }
 
-// simulatePolicy plays a policy at a load on all seeds. Jobs that have not ended when
-// a play does count as late if their objective has passed, else not at all.
+// simulatePolicy simulates a policy at a load with all seeds. Jobs that have not ended by
+// the end of a simulation count as late if their objective has passed, and are left out
+// otherwise.
 func simulatePolicy(policy schedulePolicy, load float64) scheduleResult {
-	plays := make([][]*modelJob, scheduleSeeds)
+	results := make([][]*modelJob, scheduleSeeds)
 	var wg sync.WaitGroup
-	for seed := range plays {
-		wg.Go(func() { plays[seed] = newDemandModel(uint64(seed), policy, load).simulate() })
+	for seed := range results {
+		wg.Go(func() { results[seed] = newDemandModel(uint64(seed), policy, load).simulate() })
 	}
 	wg.Wait()
 	var waits []time.Duration
-	inTime, served, all := 0, 0, 0
-	for _, jobs := range plays {
+	onTime, served, total := 0, 0, 0
+	for _, jobs := range results {
 		for _, j := range jobs {
 			late := j.endedAt == 0 || j.endedAt-j.arrivedAt > j.objective
 			if j.endedAt == 0 && simulatedTime-j.arrivedAt <= j.objective {
 				continue
 			}
-			all++
+			total++
 			if !late {
-				inTime++
+				onTime++
 			}
 			if j.endedAt != 0 && j.endedAt-j.arrivedAt <= schedule.LateFactor*j.objective {
 				served++
@@ -161,12 +164,12 @@
 		sum += wait
 	}
 	return scheduleResult{
-		onTime: float64(inTime) / float64(all), served: float64(served) / float64(all), meanWait: sum / time.Duration(len(waits)),
+		onTime: float64(onTime) / float64(total), served: float64(served) / float64(total), meanWait: sum / time.Duration(len(waits)),
 		tailWait: waits[int((1-tailShare)*float64(len(waits)))],
 	}
 }
 
-// subtasks counts those of all steps.
+// subtasks returns the number of subtasks of all steps.
 func (j *modelJob) subtasks() int {
 	n := 0
 	for _, step := range j.steps {
--- a/internal/experiment/schedule_model.go
+++ b/internal/experiment/schedule_model.go
@@ -14,9 +14,9 @@
 )
 
 type (
-	// demandModel plays turning demand on pools of machines in simulated time: the
-	// real placement and the real decisions on machines, with work, machines and a
-	// hall that is cut off made up.
+	// demandModel simulates demand that rotates among pools of machines, and the
+	// partition of a hall. It uses the real placement and the real decisions on
+	// machines; the jobs and machines are simulated.
 	demandModel struct {
 		rand      *rand.Rand
 		policy    schedulePolicy
@@ -34,7 +34,7 @@
 		tw.Machine
 		free tw.Resources
 		runs int
-		// moveEndsAt is when a move ends.
+		// moveEndsAt is when the current move ends.
 		moveEndsAt time.Duration
 	}
 
@@ -46,18 +46,19 @@
 		objective   time.Duration
 		need        tw.Resources
 		steps       []modelStep
-		currentStep int // the step that runs
+		currentStep int // index into steps
 		waiting     []tw.SubtaskID
 		running     []*modelRun
-		// totalWait is from the moment a subtask could start until it did, summed.
+		// totalWait sums, over the subtasks, the time from when each could start until
+		// it did.
 		totalWait time.Duration
 		readyAt   time.Duration
-		endedAt   time.Duration // zero if it has not
+		endedAt   time.Duration // zero until then
 	}
 
 	modelStep struct {
 		durations []time.Duration
-		// estimate is what the scheduler takes the subtasks' time for.
+		// estimate is the scheduler's estimate of the duration of each subtask.
 		estimate time.Duration
 	}
 
@@ -67,17 +68,19 @@
 	}
 )
 
-// The model's figures, near those of the users' third deployment.
+// Parameters of the model, close to those of the users' third deployment.
 const (
 	modelTick      = 50 * time.Millisecond
 	decideInterval = 100 * time.Millisecond
 	simulatedTime  = 60 * time.Second
-	// rotationPeriod is how long demand stays with one pool.
+	// rotationPeriod is how long the peak demand stays with one pool. That pool gets
+	// peakFactor times the mean demand, each other one offPeakFactor times.
 	rotationPeriod = 10 * time.Second
 	peakFactor     = 4.0
 	offPeakFactor  = 0.05
 	moveTime       = 1500 * time.Millisecond
-	// A hall is cut off: its machines work on, but nothing is heard of them.
+	// One hall is partitioned from partitionStart until partitionEnd: its machines
+	// continue to run, but send no reports.
 	partitionStart = 33 * time.Second
 	partitionEnd   = 39 * time.Second
 
@@ -87,20 +90,21 @@
 	modelRackSize     = 4
 	machineCPU        = 16000
 	machineMemory     = 32000
-	// meanLoad is the share of all machines that load 1 asks for in the mean.
+	// meanLoad is the mean share of all machines that load 1 demands.
 	meanLoad = 0.4
-	// width and subtask are the mean shape of a step.
+	// modelWidth subtasks of modelSubtask each are a typical step.
 	modelWidth   = 8
 	modelSubtask = 1700 * time.Millisecond
 	modelCPU     = 1900
 	modelStretch = 1.6
 	modelTarget  = 600 * time.Millisecond
-	// estimateSpread is the spread, as a logarithm, by which guesses are off.
+	// estimateSpread is the standard deviation of the logarithm of the estimates' error
+	// factor.
 	estimateSpread = 0.6
 	usableFill     = 0.85
 )
 
-// modelStart is the time of day at which the model begins.
+// modelStart is the simulated time at the start.
 var modelStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newDemandModel(seed uint64, policy schedulePolicy, load float64) *demandModel {
@@ -126,7 +130,7 @@
 	return m
 }
 
-// simulate plays the whole time and returns all jobs.
+// simulate runs the simulation to its end and returns all jobs.
 func (m *demandModel) simulate() []*modelJob {
 	for ; m.now < simulatedTime; m.now += modelTick {
 		m.arriveJobs()
@@ -141,19 +145,19 @@
 	return m.jobs
 }
 
-// partitioned tells whether nothing is heard of a machine.
+// partitioned reports whether a machine is partitioned now.
 func (m *demandModel) partitioned(machine *modelMachine) bool {
 	return machine.Hall == "hall-0" && m.now >= partitionStart && m.now < partitionEnd
 }
 
-// arriveJobs draws the jobs of a tick.
+// arriveJobs draws the random arrivals of a tick.
 func (m *demandModel) arriveJobs() {
 	perJob := 2 * modelWidth * modelSubtask.Seconds() * modelCPU
 	mean := m.load * meanLoad * modelMachineCount * machineCPU / perJob / modelPoolCount
-	turn := int(m.now/rotationPeriod) % modelPoolCount
+	peakPool := int(m.now/rotationPeriod) % modelPoolCount
 	for i, pool := range m.pools {
 		rate := offPeakFactor * mean
-		if i == turn {
+		if i == peakPool {
 			rate = peakFactor * mean
 		}
 		for chance := rate * modelTick.Seconds(); chance > 0; chance-- {
@@ -173,11 +177,11 @@
 	var chain time.Duration
 	for range 1 + m.rand.IntN(3) {
 		step := modelStep{}
-		usual := time.Duration(float64(modelSubtask) * m.randomFactor(0.5))
+		typical := time.Duration(float64(modelSubtask) * m.randomFactor(0.5))
 		for range max(1, int(modelWidth*m.randomFactor(0.6))) {
-			step.durations = append(step.durations, time.Duration(float64(usual)*m.randomFactor(0.15)))
+			step.durations = append(step.durations, time.Duration(float64(typical)*m.randomFactor(0.15)))
 		}
-		step.estimate = time.Duration(float64(usual) * m.randomFactor(estimateSpread))
+		step.estimate = time.Duration(float64(typical) * m.randomFactor(estimateSpread))
 		chain += slices.Max(step.durations)
 		j.steps = append(j.steps, step)
 	}
@@ -186,19 +190,20 @@
 	return j
 }
 
-// randomFactor is a random factor around one.
+// randomFactor returns a log-normal random factor with median 1.
 func (m *demandModel) randomFactor(sigma float64) float64 {
 	return math.Exp(sigma * m.rand.NormFloat64())
 }
 
-// queueStep makes the subtasks of the job's present step wait.
+// queueStep adds the subtasks of the job's current step to those waiting.
 func (j *modelJob) queueStep() {
 	for n := range j.steps[j.currentStep].durations {
 		j.waiting = append(j.waiting, tw.SubtaskID{Submission: j.id, Step: j.currentStep, Index: n})
 	}
 }
 
-// finish takes up the ends that are heard of.
+// finish processes the ends of runs on machines that are not partitioned, and starts the
+// next steps.
 func (m *demandModel) finish() {
 	for _, j := range m.jobs {
 		j.running = slices.DeleteFunc(j.running, func(r *modelRun) bool {
@@ -222,7 +227,7 @@
 	}
 }
 
-// workLeft is the work that a job has ahead of it, as far as is guessed.
+// workLeft returns the estimated remaining work of a job, in millicore-seconds.
 func (j *modelJob) workLeft() float64 {
 	work := 0.0
 	for _, step := range j.steps[j.currentStep:] {
@@ -231,7 +236,7 @@
 	return work
 }
 
-// place puts what waits in a pool on its workers.
+// place starts waiting subtasks of a pool on its workers.
 func (m *demandModel) place(pool tw.PoolID) {
 	byID := map[tw.SubmissionID]*modelJob{}
 	var groups []*schedule.Group
@@ -253,7 +258,8 @@
 	}
 }
 
-// workers are the pool's machines as the scheduler sees them.
+// workers returns a pool's usable machines as workers for the scheduler, and adds them to
+// at.
 func (m *demandModel) workers(pool tw.PoolID, at map[tw.WorkerID]*modelMachine) []*schedule.Worker {
 	var out []*schedule.Worker
 	for i, machine := range m.machines {
@@ -271,15 +277,15 @@
 	return out
 }
 
-func (m *demandModel) start(j *modelJob, id tw.SubtaskID, on *modelMachine) {
+func (m *demandModel) start(j *modelJob, id tw.SubtaskID, machine *modelMachine) {
 	j.waiting = slices.DeleteFunc(slices.Clone(j.waiting), func(w tw.SubtaskID) bool { return w == id })
-	on.free = on.free.Minus(j.need)
-	on.runs++
+	machine.free = machine.free.Minus(j.need)
+	machine.runs++
 	j.totalWait += m.now - j.readyAt
-	j.running = append(j.running, &modelRun{machine: on, endsAt: m.now + j.steps[id.Step].durations[id.Index]})
+	j.running = append(j.running, &modelRun{machine: machine, endsAt: m.now + j.steps[id.Step].durations[id.Index]})
 }
 
-// moveMachines decides on machines and carries the moves out.
+// moveMachines ends moves that are due, decides on machines and executes the new moves.
 func (m *demandModel) moveMachines() {
 	state := &maintenance.State{
 		Now: modelStart.Add(m.now), WatchedSince: modelStart.Add(-time.Hour), ListRequestedAt: modelStart.Add(m.now), ParkAfter: time.Hour,
@@ -322,10 +328,10 @@
 	if machine.State != tw.MachineUp {
 		return
 	}
-	heard := !m.partitioned(machine)
+	reachable := !m.partitioned(machine)
 	pool.Report.Workers = append(pool.Report.Workers, run.WorkerLoad{
 		Instance: machine.ID, Worker: machine.Worker, Capacity: machine.Capacity, Free: machine.free,
-		Runs: machine.runs, Known: heard, Schedulable: heard,
+		Runs: machine.runs, Known: reachable, Schedulable: reachable,
 	})
 	pool.Report.Running = pool.Report.Running.Plus(machine.Capacity.Minus(machine.free))
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -16,16 +16,17 @@
 	// CloudConfig configures a Cloud.
 	CloudConfig struct {
 		Clock tw.Clock
-		// MoveTime and MaintenanceTime are how long a machine is away.
+		// MoveTime and MaintenanceTime are how long a machine is unavailable for each
+		// kind of change.
 		MoveTime, MaintenanceTime time.Duration
-		// Latency passes before each list is read.
+		// Latency delays each List call.
 		Latency time.Duration
-		// Changed is called when a machine's worker ends, and when a new one
-		// has come.
+		// Changed is called when a machine's worker ends and when its next worker
+		// starts.
 		Changed func(machine tw.Machine)
 	}
 
-	// Cloud lists and changes machines. It implements tw.Machines.
+	// Cloud simulates the platform's machine API. It implements tw.Machines.
 	Cloud struct {
 		config CloudConfig
 
@@ -35,7 +36,7 @@
 		orders   []CloudOrder
 	}
 
-	// CloudOrder is a change that was carried out.
+	// CloudOrder records an executed machine change.
 	CloudOrder struct {
 		Machine tw.InstanceID
 		Pool    tw.PoolID
@@ -56,7 +57,7 @@
 
 var _ tw.Machines = (*Cloud)(nil)
 
-// New makes a cloud without machines.
+// New returns a Cloud without machines.
 func (c CloudConfig) New() *Cloud {
 	if c.Clock == nil {
 		c.Clock = tw.SystemClock{}
@@ -71,14 +72,14 @@
 	c.machines[m.ID] = &cloudMachine{Machine: m, wavesDone: map[int64]bool{}}
 }
 
-// SetDown makes every call fail.
+// SetDown makes every call fail while down is true.
 func (c *Cloud) SetDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
 }
 
-// Orders lists the changes that were carried out.
+// Orders returns the executed changes in order.
 func (c *Cloud) Orders() []CloudOrder {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 		select {
 		case <-c.config.Clock.After(c.config.Latency):
 		case <-ctx.Done():
-			return nil, errors.Wrap(tw.ErrUnavailable, "standin: caller has left")
+			return nil, errors.Wrap(tw.ErrUnavailable, "standin: call cancelled")
 		}
 	}
 	c.mu.Lock()
@@ -153,7 +154,8 @@
 	return nil
 }
 
-// finishChanges brings back the machines whose time away is over.
+// finishChanges brings machines whose move or maintenance has ended back up, each
+// with a new worker.
 func (c *Cloud) finishChanges() {
 	now := c.config.Clock.Now()
 	for _, m := range c.machines {
--- a/internal/standin/cloud_http.go
+++ b/internal/standin/cloud_http.go
@@ -10,7 +10,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// stateWords and machineReasons are the platform's words.
+// machineStateNames and machineRefusalNames map states and refusals to the names in
+// the platform's protocol.
 var (
 	machineStateNames = map[tw.MachineState]string{
 		tw.MachineUp: "up", tw.MachineMoving: "moving", tw.MachineMaintenance: "upkeep", tw.MachineDown: "down",
@@ -20,10 +21,10 @@
 	}
 )
 
-// machinePageSize is small, so that tests see several pages.
+// machinePageSize is small so that tests exercise paging.
 const machinePageSize = 2
 
-// Handler serves the machines by the platform's published protocol.
+// Handler serves the machines over the platform's published protocol.
 func (c *Cloud) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/machines", c.serveList)
@@ -92,7 +93,7 @@
 	return map[string]any{"cpu": r.CPU, "memMb": r.MemoryMB, "gpu": r.GPU}
 }
 
-// WorkerBody is the account of itself that a worker writes into the store.
+// WorkerBody encodes the registration entry that a worker writes to the store.
 func WorkerBody(entry tw.WorkerEntry) []byte {
 	state := "ready"
 	if entry.Draining {
@@ -103,7 +104,7 @@
 		"slots": 8, "state": state, "capacity": capacityBody(entry.Capacity), "labels": entry.Labels, "sequence": 1,
 	})
 	if err != nil {
-		panic(err) // these values cannot fail to encode
+		panic(err) // these values always encode
 	}
 	return body
 }
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,4 +1,4 @@
-// Package standin has small stand-ins for what lies outside: the platform
-// (store, instance list, tasks), upstreams, and callers. They are for
+// Package standin has in-memory fakes of the external systems: the platform (store,
+// instance list, tasks, machines), workers, upstreams and callers. They are for
 // development and tests only.
 package standin
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -9,90 +9,94 @@
 )
 
 type (
-	// Profile is how a subtask behaves on any worker.
+	// Profile describes how the runs of a subtask behave.
 	Profile struct {
 		Need     tw.Resources
 		Duration time.Duration
-		// Fails is whether each run fails at its end.
+		// Fails makes each run fail at its end.
 		Fails bool
-		// Hangs is whether each run makes no progress.
+		// Hangs makes each run report no progress and never end.
 		Hangs bool
-		// Crashes is whether each run brings its worker down soon after its start.
+		// Crashes makes each run crash its worker shortly after its start.
 		Crashes     bool
 		LongRunning bool
 		AllowCopies bool
-		// LatencySensitive users of its own, Fills takes what others leave and disturbs
-		// those that serve.
+		// LatencySensitive runs serve requests of their own and report a tail latency.
+		// Filler runs use idle capacity and raise the tail latency of those beside them.
 		LatencySensitive, Filler bool
-		Gang                     int // members; 0 for none
-		// After are subtasks that must be done before this one starts.
+		Gang                     int // members; 0 if it is not a gang
+		// After lists subtasks that must be done before this one starts.
 		After []tw.SubtaskID
-		// MaxAttempts bounds the failed runs; 0 for no bound.
+		// MaxAttempts limits the failed runs; 0 means no limit.
 		MaxAttempts int
-		// Organisation is whose work it is; its cap bounds what runs on all workers.
+		// Organisation owns the work; its cap limits the resources used on all workers.
 		Organisation tw.OrganisationID
 	}
 
 	// FleetConfig configures a Fleet.
 	FleetConfig struct {
 		Clock tw.Clock
-		// Latency passes before each answer.
+		// Latency delays each order.
 		Latency time.Duration
-		// MaxHold bounds how far an order prolongs what runs.
+		// MaxHold limits how far into the future an order can extend the deadline of the
+		// runs on a worker.
 		MaxHold time.Duration
-		// StopTime is how long a stop takes.
+		// StopTime is how long a run takes to stop.
 		StopTime time.Duration
-		// StartupTime is how long a lasting subtask takes to be at work.
+		// StartupTime is how long a long-running subtask takes to become ready.
 		StartupTime time.Duration
-		// EvacuationGrace is for how long work may be started in a hall after its evacuation
-		// was asked for.
+		// EvacuationGrace is how long after the evacuation of a hall is requested starts
+		// there are still allowed.
 		EvacuationGrace time.Duration
 	}
 
-	// Fleet is a set of workers that run subtasks by the clock. It implements
-	// tw.WorkerOrders and notes every promise that is broken.
+	// Fleet simulates workers that run subtasks. It implements tw.WorkerOrders and
+	// records every violated invariant.
 	Fleet struct {
 		config FleetConfig
 
 		mu       sync.Mutex
 		workers  map[tw.WorkerID]*SimWorker
 		profiles map[tw.SubtaskID]Profile
-		// done are the subtasks of which a run has ended so, noted those of
-		// which the caller has confirmed that end.
+		// done holds the subtasks with a run that ended as done, acked those of which a
+		// caller has acknowledged that end.
 		done, acked map[tw.SubtaskID]bool
 		failures    map[tw.SubtaskID]int
 		crashes     map[tw.SubtaskID]crashCount
-		// crashed are workers that a run has brought down since Crashed was called.
+		// crashed lists the workers that have crashed since the last TakeCrashed.
 		crashed []tw.WorkerEntry
-		// storeFaulty: the store is disturbed; disturbedAt is when it last was.
+		// storeFaulty is set while the store has injected faults; storeFaultyAt is when
+		// it last had any.
 		storeFaulty   bool
 		storeFaultyAt time.Time
 		violations    []string
 		starts        int
-		// everStarted are the submissions of which anything was ever started.
+		// everStarted holds the submissions of which any subtask was ever started.
 		everStarted map[tw.SubmissionID]bool
-		// evacuated are the halls that are to be left alone, since when.
+		// evacuated maps each evacuated hall to the start of its evacuation.
 		evacuated map[tw.HallID]time.Time
-		// caps bound what of an organisation may run on all workers together.
+		// caps limit the resources that an organisation uses on all workers together.
 		caps map[tw.OrganisationID]tw.Resources
 	}
 
-	// SimWorker is one life of a worker.
+	// SimWorker is one incarnation of a worker.
 	SimWorker struct {
 		Entry tw.WorkerEntry
-		// Silent workers answer nothing, but go on with what runs.
+		// Silent workers answer no orders, but their runs continue.
 		Silent bool
-		// LateStarts: the next n starts get no answer and wait for DoLate.
+		// LateStarts is the number of next starts that get no answer and wait for
+		// DeliverLateStarts.
 		LateStarts int
-		// FailAll: whatever starts here fails.
+		// FailAll makes every run on this worker fail.
 		FailAll bool
-		// Hang: what runs here makes no progress.
+		// Hang makes every run on this worker report no progress and never end.
 		Hang bool
-		// TailLatency is the tail latency of what serves here, Disturbance what a filler
-		// at its full pace adds to it.
+		// TailLatency is that of the latency-sensitive runs on this worker;
+		// FillerInterference is what a filler at full pace adds to it.
 		TailLatency, FillerInterference time.Duration
 
-		// previousCapacity is what it had before it shrank; that counts until roomUntil.
+		// previousCapacity is the capacity before it shrank, which counts until
+		// previousCapacityUntil.
 		previousCapacity      tw.Resources
 		previousCapacityUntil time.Time
 
@@ -101,38 +105,41 @@
 		deadline time.Time
 		runs     map[tw.SubtaskID]*simRun
 		ended    []tw.EndedSubtask
-		// restartedAfter are the ends as done after which the subtask was started once more,
-		// by sequence.
+		// restartedAfter holds the sequence numbers of ends as done after which the
+		// subtask was started again.
 		restartedAfter map[int64]bool
 		sequence       int64
-		// expiredUpTo is the last end that came before the worker's grants ran out:
-		// whoever grants may take what it was not told of for lost from then on.
+		// expiredUpTo is the sequence number of the last end before the worker's deadline
+		// passed. From then on the caller may treat ends that it has not received as
+		// lost.
 		expiredUpTo int64
-		// closedRuns is the highest run of a subtask that was stopped or ended.
+		// closedRuns is the highest run number of each subtask that was stopped or has
+		// ended; later starts must have a higher one.
 		closedRuns map[tw.SubtaskID]tw.RunNumber
 		lateOrders []tw.StartOrder
 		changed    chan struct{}
 		dead       bool
-		// connReset: it is dead, and its address refuses connections; else it is silent.
+		// connReset is set if a dead worker's address resets connections instead of
+		// giving no answer.
 		connReset bool
 	}
 
-	// crashCount is what became of the runs of a subtask that crashes its workers.
+	// crashCount counts the crashes and starts of a subtask that crashes its workers.
 	crashCount struct {
-		workers int // that have crashed under it
-		starts  int // after the last crash that its promise is about
+		workers int // crashed while it ran on them
+		starts  int // after crashLimit crashes
 	}
 
 	simRun struct {
 		run     tw.RunNumber
 		started time.Time
 		profile Profile
-		stopAt  time.Time // zero if it was not told to stop
+		stopAt  time.Time // zero if no stop was ordered
 		pace    int
 	}
 )
 
-// New makes a fleet without workers.
+// New returns a Fleet without workers.
 func (c FleetConfig) New() *Fleet {
 	if c.Clock == nil {
 		c.Clock = tw.SystemClock{}
@@ -157,20 +164,21 @@
 	return w
 }
 
-// Set changes a worker's behaviour.
+// Set changes a worker's behaviour from now on.
 func (f *Fleet) Set(id tw.WorkerID, change func(w *SimWorker)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
-	f.advance(w) // what happened before the change stays as it was
+	f.advance(w) // events before the change follow the old behaviour
 	change(w)
 }
 
-// shrinkGrace is how long starts may count on the room that a worker had before it shrank:
-// until its next account of itself, and as long as its callers may lag behind that.
+// shrinkGrace is how long starts may still rely on the capacity that a worker had before
+// it shrank: until its next store entry, plus the time by which callers may lag behind
+// that.
 const shrinkGrace = storeRecoveryTime + 1500*time.Millisecond
 
-// Resize changes what a worker has.
+// Resize changes a worker's capacity.
 func (f *Fleet) Resize(id tw.WorkerID, capacity tw.Resources) tw.WorkerEntry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,7 +190,7 @@
 	return w.Entry
 }
 
-// SetEvacuated has exactly these halls evacuated.
+// SetEvacuated replaces the set of evacuated halls.
 func (f *Fleet) SetEvacuated(halls []tw.HallID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,14 +205,14 @@
 	}
 }
 
-// SetCap bounds what of an organisation may run, from now on.
+// SetCap sets an organisation's resource cap.
 func (f *Fleet) SetCap(id tw.OrganisationID, limit tw.Resources) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.caps[id] = limit
 }
 
-// Usage is what of an organisation runs on living workers.
+// Usage returns the resources that an organisation's runs use on live workers.
 func (f *Fleet) Usage(id tw.OrganisationID) tw.Resources {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -224,7 +232,8 @@
 	return out
 }
 
-// RegisterSubmission tells how a submission's subtasks behave.
+// RegisterSubmission sets the profiles of a submission's subtasks, each derived from its
+// step and then changed by profile, if not nil.
 func (f *Fleet) RegisterSubmission(s *tw.Submission, profile func(id tw.SubtaskID, p *Profile)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -261,40 +270,40 @@
 	return p
 }
 
-// DeliverLateStarts carries out the starts that got no answer.
+// DeliverLateStarts executes the starts withheld by LateStarts.
 func (f *Fleet) DeliverLateStarts() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range f.workers {
 		for _, order := range w.lateOrders {
-			_, _ = f.start(w, order, true) // nobody waits for the answer
+			_, _ = f.start(w, order, true) // the caller has already got an ambiguous result
 		}
 		w.lateOrders = nil
 	}
 }
 
-// Violations lists the promises that were broken.
+// Violations returns the recorded violations of invariants.
 func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.violations)
 }
 
-// Starts counts the runs that began.
+// Starts returns the number of runs started.
 func (f *Fleet) Starts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// EverStarted tells whether any subtask of a submission was ever started.
+// EverStarted reports whether any subtask of a submission was ever started.
 func (f *Fleet) EverStarted(id tw.SubmissionID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.everStarted[id]
 }
 
-// Active counts the runs of a submission on living workers.
+// Active returns the number of a submission's runs on live workers.
 func (f *Fleet) Active(id tw.SubmissionID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -310,8 +319,8 @@
 	return n
 }
 
-// TailLatencyOn is the tail latency of what serves on a worker, and the highest pace,
-// in percent, of the fillers beside it.
+// TailLatencyOn returns the tail latency of the latency-sensitive runs on a worker and the
+// highest pace, in percent, of the fillers there.
 func (f *Fleet) TailLatencyOn(id tw.WorkerID) (tail time.Duration, pace int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -319,14 +328,14 @@
 	return w.tailLatency(), w.fillerPace()
 }
 
-// Running counts the runs of a subtask on living workers.
+// Running returns the number of a subtask's runs on live workers.
 func (f *Fleet) Running(id tw.SubtaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.running(id)
 }
 
-// RunningOn lists the workers on which a subtask runs.
+// RunningOn returns the workers on which a subtask runs.
 func (f *Fleet) RunningOn(id tw.SubtaskID) []tw.WorkerID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -340,7 +349,7 @@
 	return out
 }
 
-// Ready tells whether a lasting subtask runs and has been started up.
+// Ready reports whether a long-running subtask runs and has finished its startup.
 func (f *Fleet) Ready(id tw.SubtaskID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -354,7 +363,7 @@
 	return false
 }
 
-// Done tells whether a run of a subtask has ended so.
+// Done reports whether a run of a subtask has ended as done.
 func (f *Fleet) Done(id tw.SubtaskID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/fleet_crash.go
+++ b/internal/standin/fleet_crash.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// crashDelay is how long a worker lives on after the start of a subtask that
-	// brings it down.
+	// crashDelay is how long after the start of a crashing subtask its worker crashes.
 	crashDelay = 8 * time.Millisecond
-	// crashLimit and startsAfter bound the starts of such a subtask: after so many
-	// crashes it must not be started so often more.
+	// After crashLimit crashes, a subtask must be started fewer than extraStartLimit
+	// more times.
 	crashLimit      = 3
 	extraStartLimit = 3
-	// storeRecoveryTime after a disturbance of the store its callers are in touch again; only
-	// the starts of those that are count.
+	// storeRecoveryTime is how long after a store fault callers may still be out of
+	// contact with the store. Starts until then don't count towards extraStartLimit.
 	storeRecoveryTime = 3 * time.Second
 )
 
-// SetStoreFaulty tells whether the store is disturbed, which it is not at first.
-func (f *Fleet) SetStoreFaulty(is bool) {
+// SetStoreFaulty records whether the store has injected faults; initially it has none.
+func (f *Fleet) SetStoreFaulty(faulty bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if is || f.storeFaulty {
+	if faulty || f.storeFaulty {
 		f.storeFaultyAt = f.config.Clock.Now()
 	}
-	f.storeFaulty = is
+	f.storeFaulty = faulty
 }
 
-// callersInContact tells whether starts count against the bound of crashing subtasks.
+// callersInContact reports whether the callers are in contact with the store again, so
+// that starts count towards extraStartLimit.
 func (f *Fleet) callersInContact() bool {
 	return !f.storeFaulty && f.config.Clock.Now().Sub(f.storeFaultyAt) >= storeRecoveryTime
 }
 
-// scheduleCrash brings a worker down under a run that has just begun.
+// scheduleCrash crashes a worker crashDelay after the start of a run.
 func (f *Fleet) scheduleCrash(w *SimWorker, id tw.SubtaskID) {
 	count := f.crashes[id]
 	if count.workers >= crashLimit && f.callersInContact() {
@@ -53,7 +53,7 @@
 	}()
 }
 
-// crash ends a worker's life, and its connections with it.
+// crash terminates a worker and resets its connections.
 func (f *Fleet) crash(w *SimWorker) {
 	if w.dead {
 		return
@@ -71,14 +71,14 @@
 	w.terminate()
 }
 
-// Crash ends a worker's life for a reason of its own.
+// Crash crashes a worker for a reason unrelated to its runs.
 func (f *Fleet) Crash(id tw.WorkerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crash(f.workers[id])
 }
 
-// TakeCrashed lists the workers that have crashed since it was last called.
+// TakeCrashed returns the workers that have crashed since the last call.
 func (f *Fleet) TakeCrashed() []tw.WorkerEntry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,7 +87,8 @@
 	return out
 }
 
-// WorkersCrashedBy counts the workers that a subtask has brought down.
+// WorkersCrashedBy returns the number of workers that crashed while they ran a subtask that
+// crashes its workers.
 func (f *Fleet) WorkersCrashedBy(id tw.SubtaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/fleet_http.go
+++ b/internal/standin/fleet_http.go
@@ -12,7 +12,7 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// orderBody is what the platform's published protocol has in an order.
+// orderBody holds the fields of all orders in the platform's published protocol.
 type orderBody struct {
 	Task       string          `json:"task"`
 	Run        tw.RunNumber    `json:"run"`
@@ -26,12 +26,12 @@
 	Percent    int             `json:"percent"`
 }
 
-// refusalNames are the platform's words for refusals.
+// refusalNames are the names of refusals in the platform's protocol.
 var refusalNames = map[tw.RefusalReason]string{
 	tw.RefusedStaleFence: "fence", tw.RefusedStaleRun: "old", tw.RefusedDeadlinePassed: "late", tw.RefusedNoCapacity: "room", tw.RefusedTicket: "ticket",
 }
 
-// Handler serves one worker by the platform's published protocol.
+// Handler serves one worker over the platform's published protocol.
 func (f *Fleet) Handler(id tw.WorkerID) http.Handler {
 	f.mu.Lock()
 	ref := f.workers[id].Entry.Ref()
@@ -100,7 +100,8 @@
 	return map[string]any{"clockMs": report.Clock, "running": running, "ended": ended}
 }
 
-// parseTask reads a subtask's name; an odd one is nobody's subtask.
+// parseTask parses a subtask's name. An invalid name gives the zero SubtaskID, which no
+// submission has.
 func parseTask(name string) tw.SubtaskID {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/internal/standin/fleet_lives.go
+++ b/internal/standin/fleet_lives.go
@@ -2,8 +2,7 @@
 
 import tw "github.com/tamarindworks/tamarindworks"
 
-// Kill ends a worker's life with all that runs there, and with the orders that it
-// has not carried out.
+// Kill terminates a worker with all its runs and its withheld orders.
 func (f *Fleet) Kill(id tw.WorkerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -12,7 +11,7 @@
 	w.terminate()
 }
 
-// terminate ends a worker's life.
+// terminate marks a worker dead and drops its runs and withheld orders.
 func (w *SimWorker) terminate() {
 	w.dead = true
 	w.runs = map[tw.SubtaskID]*simRun{}
@@ -20,18 +19,19 @@
 	w.notifyChanged()
 }
 
-// RestartWithNewID ends a worker's life and starts the next one at the same address, as a
-// worker does that crashes and starts again. It returns the new life's entry.
+// RestartWithNewID replaces a worker by one with a new ID at the same address, as after a
+// crash and restart. It returns the new worker's entry.
 func (f *Fleet) RestartWithNewID(id, next tw.WorkerID) tw.WorkerEntry {
 	return f.replaceWorker(id, func(entry *tw.WorkerEntry) { entry.ID = next })
 }
 
-// Restart does so under the worker's own id.
-func (f *Fleet) Restart(id tw.WorkerID, born tw.WorkerStartTime) tw.WorkerEntry {
-	return f.replaceWorker(id, func(entry *tw.WorkerEntry) { entry.StartTime = born })
+// Restart replaces a worker by one with the same ID and address and a new start time. It
+// returns the new worker's entry.
+func (f *Fleet) Restart(id tw.WorkerID, startTime tw.WorkerStartTime) tw.WorkerEntry {
+	return f.replaceWorker(id, func(entry *tw.WorkerEntry) { entry.StartTime = startTime })
 }
 
-// replaceWorker ends a worker's life and starts one whose entry differs by a change.
+// replaceWorker kills a worker and adds one with its entry, modified by change.
 func (f *Fleet) replaceWorker(id tw.WorkerID, change func(entry *tw.WorkerEntry)) tw.WorkerEntry {
 	f.Kill(id)
 	f.mu.Lock()
@@ -42,7 +42,7 @@
 	return entry
 }
 
-// hasLiveWorkerAt tells whether a living worker listens at an address.
+// hasLiveWorkerAt reports whether a live worker listens at an address.
 func (f *Fleet) hasLiveWorkerAt(address string) bool {
 	for _, w := range f.workers {
 		if !w.dead && w.Entry.Address == address {
--- a/internal/standin/fleet_orders.go
+++ b/internal/standin/fleet_orders.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// fullPercent is the whole, in percent: of the pace of a lasting subtask, and
-	// of the work of any other.
+	// fullPercent is the full pace of a long-running subtask and the full progress of any
+	// other.
 	fullPercent = 100
-	// noAnswerTimeout is when the callers of a silent worker give up.
+	// noAnswerTimeout is how long callers wait for a silent worker.
 	noAnswerTimeout = time.Second
 )
 
@@ -35,14 +35,14 @@
 	return f.start(w, order, false)
 }
 
-// start carries out an order; late says that it waited at the worker.
+// start executes an order; late is set if the order was withheld by LateStarts.
 func (f *Fleet) start(w *SimWorker, order tw.StartOrder, late bool) (tw.WorkerTime, error) {
 	f.advance(w)
 	if refused := w.admit(f, order.Fence, order.Deadline); refused != nil {
 		return 0, refused
 	}
 	now := w.clock(f.config.Clock.Now())
-	if have := w.runs[order.Subtask]; have != nil && have.run == order.Run {
+	if current := w.runs[order.Subtask]; current != nil && current.run == order.Run {
 		return now, nil
 	}
 	if order.Run <= w.closedRuns[order.Subtask] || w.runs[order.Subtask] != nil {
@@ -68,7 +68,7 @@
 	return now, nil
 }
 
-// checkStart notes the promises that a start breaks.
+// checkStart records the invariants that a start violates.
 func (f *Fleet) checkStart(w *SimWorker, order tw.StartOrder, p Profile) {
 	free := w.Entry.Capacity
 	if f.config.Clock.Now().Before(w.previousCapacityUntil) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// markRestarted notes a start at the ends as done that the subtask has had: should the
-// caller confirm one of them later, it knew of work that it did twice.
+// markRestarted marks the unacknowledged ends as done of a subtask that is started again.
+// If the caller acknowledges such an end later, the work was done twice.
 func (f *Fleet) markRestarted(id tw.SubtaskID) {
 	for _, w := range f.workers {
 		for _, e := range w.ended {
@@ -179,19 +179,19 @@
 		case <-changed:
 		case <-f.config.Clock.After(next.Sub(now)):
 		case <-ctx.Done():
-			return tw.HoldReport{}, errors.Wrap(tw.ErrAmbiguous, "standin: caller has left")
+			return tw.HoldReport{}, errors.Wrap(tw.ErrAmbiguous, "standin: call cancelled")
 		}
 	}
 }
 
-// connect finds a worker, or fails as the network would. If it succeeds, the
-// lock is held.
+// connect returns the worker at a reference, or fails as the network would. If it
+// succeeds, f.mu is held.
 func (f *Fleet) connect(ctx context.Context, to tw.WorkerRef) (*SimWorker, error) {
 	if f.config.Latency > 0 {
 		select {
 		case <-f.config.Clock.After(f.config.Latency):
 		case <-ctx.Done():
-			return nil, errors.Wrap(tw.ErrAmbiguous, "standin: caller has left")
+			return nil, errors.Wrap(tw.ErrAmbiguous, "standin: call cancelled")
 		}
 	}
 	f.mu.Lock()
@@ -202,7 +202,7 @@
 	}
 	if to.Address != w.Entry.Address {
 		f.mu.Unlock()
-		return nil, errors.Wrap(tw.ErrUnavailable, "standin: nobody listens there")
+		return nil, errors.Wrap(tw.ErrUnavailable, "standin: no worker listens at this address")
 	}
 	if w.dead && f.hasLiveWorkerAt(w.Entry.Address) {
 		f.mu.Unlock()
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -11,11 +11,10 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-// A subtask is done on one worker, is started on another, and is stopped there. Only
-// then the first worker's end is confirmed. The stand-in looked for a second run at
-// that moment alone and noted nothing, so that no test saw work that had been started
-// again after it was done.
-func TestFleetNotesAStartAfterAnEndAsDone(t *testing.T) {
+// Guards against a check that looks for a second run only when an end is acknowledged. It
+// misses work restarted after it was done: a subtask is done on one worker, is started and
+// stopped on another, and only then is the first worker's end acknowledged.
+func TestFleetDetectsRestartAfterDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		fleet := standin.FleetConfig{MaxHold: 6 * time.Second, StopTime: 100 * time.Millisecond}.New()
--- a/internal/standin/fleet_worker.go
+++ b/internal/standin/fleet_worker.go
@@ -7,15 +7,16 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// clock is the worker's own clock.
+// clock returns the time on the worker's own clock.
 func (w *SimWorker) clock(now time.Time) tw.WorkerTime {
 	return tw.WorkerTime(now.Sub(w.bootedAt).Milliseconds()) + clockStart
 }
 
-// clockStart is what a worker's clock shows at its start.
+// clockStart is the reading of a worker's clock at its start.
 const clockStart tw.WorkerTime = 1000
 
-// admit checks an order's fence and takes its deadline.
+// admit checks an order's fencing token and extends the worker's deadline to the order's,
+// by MaxHold at most.
 func (w *SimWorker) admit(f *Fleet, fence tw.FencingToken, deadline tw.WorkerTime) error {
 	now := f.config.Clock.Now()
 	if fence < w.fence {
@@ -29,8 +30,8 @@
 	if until.Before(now) {
 		return &tw.OrderRefusedError{Reason: tw.RefusedDeadlinePassed, Clock: w.clock(now)}
 	}
-	if most := now.Add(f.config.MaxHold); until.After(most) {
-		until = most
+	if latest := now.Add(f.config.MaxHold); until.After(latest) {
+		until = latest
 	}
 	if until.After(w.deadline) {
 		w.deadline = until
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// advance brings a worker's runs up to the present time.
+// advance ends the runs of a worker that are due by now.
 func (f *Fleet) advance(w *SimWorker) {
 	now := f.config.Clock.Now()
 	lapsed := !w.deadline.IsZero() && now.After(w.deadline)
@@ -58,7 +59,7 @@
 	}
 }
 
-// runsByEnd lists the runs by their end, as it decides their sequence.
+// runsByEnd returns the runs sorted by end time, which gives their sequence numbers.
 func (w *SimWorker) runsByEnd() []tw.SubtaskID {
 	ids := make([]tw.SubtaskID, 0, len(w.runs))
 	for id := range w.runs {
@@ -75,7 +76,7 @@
 	return ids
 }
 
-// endOf is when and how a run ends; the zero time is never.
+// endOf returns when and how a run ends; the zero time means never.
 func (w *SimWorker) endOf(r *simRun) (time.Time, tw.EndKind) {
 	if !r.stopAt.IsZero() {
 		return r.stopAt, tw.EndStopped
@@ -103,9 +104,9 @@
 	w.notifyChanged()
 }
 
-// acknowledge drops the ends that the caller has recorded. From then on a subtask
-// that is done must not run; if its worker's grants ran out before the caller
-// could learn of the end, it may have been started again before that.
+// acknowledge drops the ends that the caller has recorded and checks that no done subtask
+// among them runs or was started again. Ends before the worker's deadline passed are
+// exempt: the caller may have restarted the subtask before it learned of the end.
 func (f *Fleet) acknowledge(w *SimWorker, seen int64) {
 	for _, e := range w.ended {
 		if e.Sequence > seen || e.Kind != tw.EndDone || f.acked[e.Subtask] {
@@ -138,12 +139,12 @@
 	return out
 }
 
-// tailLatency is the tail latency of what serves here.
+// tailLatency is that of the latency-sensitive runs on the worker.
 func (w *SimWorker) tailLatency() time.Duration {
 	return w.TailLatency + w.FillerInterference*time.Duration(w.fillerPace())/fullPercent
 }
 
-// fillerPace is the highest pace of the fillers here, in percent.
+// fillerPace is the highest pace of the fillers on the worker, in percent.
 func (w *SimWorker) fillerPace() int {
 	pace := 0
 	for _, r := range w.runs {
@@ -165,7 +166,7 @@
 	return int(fullPercent * ran / r.profile.Duration)
 }
 
-// nextChange is when a run may end next.
+// nextChange returns when a run may end next, but no later than until.
 func (w *SimWorker) nextChange(now, until time.Time) time.Time {
 	next := until
 	for _, r := range w.runs {
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -17,12 +17,11 @@
 	// KVConfig configures a KV.
 	KVConfig struct {
 		Clock tw.Clock
-		// Latency passes before each answer.
+		// Latency delays each call.
 		Latency time.Duration
 	}
 
-	// KV is an in-memory metadata store. It implements tw.KV, and fails on
-	// demand.
+	// KV is an in-memory metadata store with injectable faults. It implements tw.KV.
 	KV struct {
 		config KVConfig
 
@@ -30,7 +29,7 @@
 		revision tw.KVRevision
 		items    map[tw.Key]tw.KVItem
 		history  []tw.KVEvent
-		// compactedRevision is the last revision that is not in the history any more.
+		// compactedRevision is the last revision that was dropped from the history.
 		compactedRevision tw.KVRevision
 		leases            map[tw.KVLeaseID]time.Time
 		nextLease         tw.KVLeaseID
@@ -40,17 +39,19 @@
 		calls             int
 	}
 
-	// KVFaults are what a KV does wrong from now on.
+	// KVFaults are the faults that a KV injects.
 	KVFaults struct {
-		// Down refuses every call.
+		// Down makes every call fail with tw.ErrUnavailable.
 		Down bool `json:"down"`
-		// RateLimited refuses every call for its rate.
+		// RateLimited makes every call fail with tw.ErrRateLimited.
 		RateLimited bool `json:"limited"`
-		// LoseAnswers of the next n writes are lost after taking effect.
+		// LoseAnswers is the number of next writes whose answers are lost after they
+		// take effect.
 		LoseAnswers int `json:"lose_answers"`
-		// LateWrites: the next n writes get no answer and wait for DoLate.
+		// LateWrites is the number of next writes that get no answer and wait for
+		// ApplyLateWrites.
 		LateWrites int `json:"late_writes"`
-		// MuteWatches hear nothing of changes, and say so with no error.
+		// MuteWatches makes watches return no events and no error.
 		MuteWatches bool `json:"mute_watches"`
 		// Slow is added to the latency of each call.
 		Slow time.Duration `json:"slow"`
@@ -59,7 +60,7 @@
 
 var _ tw.KV = (*KV)(nil)
 
-// New makes an empty store.
+// New returns an empty store.
 func (c KVConfig) New() *KV {
 	if c.Clock == nil {
 		c.Clock = tw.SystemClock{}
@@ -77,17 +78,17 @@
 	k.faults = f
 }
 
-// ApplyLateWrites carries out the writes that got no answer, if their conditions hold.
+// ApplyLateWrites applies the writes withheld by LateWrites whose conditions hold.
 func (k *KV) ApplyLateWrites() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, txn := range k.lateTxns {
-		_, _ = k.apply(txn) // nobody waits for the answer
+		_, _ = k.apply(txn) // the caller has already got an ambiguous result
 	}
 	k.lateTxns = nil
 }
 
-// CompactHistory makes watches from earlier revisions fail.
+// CompactHistory drops the history, so that watches from earlier revisions fail.
 func (k *KV) CompactHistory() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -96,7 +97,7 @@
 	k.notifyChanged()
 }
 
-// RevokeLeases ends all leases before their time.
+// RevokeLeases ends all leases early.
 func (k *KV) RevokeLeases() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// Calls counts the calls so far.
+// Calls returns the number of calls so far.
 func (k *KV) Calls() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -180,7 +181,7 @@
 		case <-deadline:
 			return nil, at, nil
 		case <-ctx.Done():
-			return nil, 0, errors.Wrap(tw.ErrAmbiguous, "standin: watch")
+			return nil, 0, errors.Wrap(tw.ErrAmbiguous, "standin: watch cancelled")
 		}
 	}
 }
@@ -218,7 +219,7 @@
 	return k.nextLease, ttl, nil
 }
 
-// Renew implements tw.KV. A lease counts anew with its first length.
+// Renew implements tw.KV. A renewed lease lasts renewedTTL from now.
 func (k *KV) Renew(ctx context.Context, lease tw.KVLeaseID) error {
 	if err := k.begin(ctx); err != nil {
 		return err
@@ -231,7 +232,7 @@
 	return nil
 }
 
-// renewedTTL is what a renewed lease gets, however long it was first.
+// renewedTTL is the TTL of a renewed lease, regardless of the TTL that it was granted with.
 const renewedTTL = 1500 * time.Millisecond
 
 // Revoke implements tw.KV.
@@ -244,8 +245,8 @@
 	return nil
 }
 
-// begin waits for the latency, ends the leases that are over and checks the
-// faults. If it succeeds, the lock is held.
+// begin waits for the latency, expires leases and applies the faults. If it succeeds, k.mu
+// is held.
 func (k *KV) begin(ctx context.Context) error {
 	k.mu.Lock()
 	latency := k.config.Latency + k.faults.Slow
@@ -254,7 +255,7 @@
 		select {
 		case <-k.config.Clock.After(latency):
 		case <-ctx.Done():
-			return errors.Wrap(tw.ErrAmbiguous, "standin: caller has left")
+			return errors.Wrap(tw.ErrAmbiguous, "standin: call cancelled")
 		}
 	}
 	k.mu.Lock()
@@ -268,10 +269,10 @@
 	switch {
 	case k.faults.Down:
 		k.mu.Unlock()
-		return errors.Wrap(tw.ErrUnavailable, "standin: down")
+		return errors.Wrap(tw.ErrUnavailable, "standin: store is down")
 	case k.faults.RateLimited:
 		k.mu.Unlock()
-		return errors.Wrap(tw.ErrRateLimited, "standin: limited")
+		return errors.Wrap(tw.ErrRateLimited, "standin: store is rate limited")
 	}
 	return nil
 }
--- a/internal/standin/kv_http.go
+++ b/internal/standin/kv_http.go
@@ -11,8 +11,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// The bodies of the platform's published store protocol, written down here a
-// second time on purpose: the stand-in checks the adapter.
+// The message bodies of the platform's published store protocol. They deliberately
+// duplicate those of the adapter, so that the fake checks it.
 type (
 	kvMessage struct {
 		Key      tw.Key        `json:"tlsKey"`
@@ -37,11 +37,11 @@
 	}
 )
 
-// kvPageSize bounds a page, far below the platform's 500, so that tests see
-// several.
+// kvPageSize is the number of items in a page, far below the platform's 500, so that tests
+// exercise paging.
 const kvPageSize = 3
 
-// Handler serves the store by the platform's published protocol.
+// Handler serves the store over the platform's published protocol.
 func (k *KV) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/kv-key", k.serveKey)
@@ -90,13 +90,13 @@
 	if writeError(w, err) {
 		return
 	}
-	list := []kvMessage{}
+	messages := []kvMessage{}
 	for _, e := range events {
 		message := messageOf(e.Item)
 		message.Gone = e.Removed
-		list = append(list, message)
+		messages = append(messages, message)
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"events": list, "at": at})
+	writeJSON(w, http.StatusOK, map[string]any{"events": messages, "at": at})
 }
 
 func (k *KV) serveTxn(w http.ResponseWriter, r *http.Request) {
@@ -153,8 +153,8 @@
 	return kvMessage{Key: item.Key, Value: item.Value, Revision: item.Revision, Lease: item.Lease}
 }
 
-// writeError answers with the status of an error; false if there is none. An
-// unclear outcome is a connection that ends without an answer.
+// writeError writes the response for an error and reports whether there was one. An
+// ambiguous error closes the connection without a response.
 func writeError(w http.ResponseWriter, err error) bool {
 	var conflict *tw.KVConflictError
 	switch {
@@ -183,5 +183,5 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -22,24 +22,24 @@
 )
 
 type (
-	// LoadConfig configures a bounded stream of requests.
+	// LoadConfig configures a load of a fixed number of requests.
 	LoadConfig struct {
-		Targets  []string // gateway addresses, in place of the balancer
+		Targets  []string // gateway addresses, used in turn in place of a load balancer
 		Streams  []Stream
-		Requests int     // in all
-		Warmup   int     // of these, the first are left out of latency and work
-		Rate     float64 // a second; open loop
+		Requests int     // in total
+		Warmup   int     // the number of first requests excluded from latency and work
+		Rate     float64 // requests per second, open loop
 		Timeout  time.Duration
-		// CollectRuns tells the upstreams' own records once the stream has ended.
+		// CollectRuns returns the upstreams' own records after the load has ended.
 		CollectRuns func() (Runs, error)
-		// Job is for a load that goes to an upstream directly.
+		// Job is set for a load sent directly to an upstream.
 		Job tw.JobID
-		// Repeat sends each request this many more times under the same id,
-		// and key if it has one, to whichever entry comes next.
+		// Repeat is how many more times each request is sent with the same ID, and
+		// with the same key if it has one, each time to the next target.
 		Repeat int
 	}
 
-	// Stream is one kind of request in the mix.
+	// Stream is one kind of request in the load.
 	Stream struct {
 		Name   string
 		Method string
@@ -49,15 +49,15 @@
 		Team   tw.TeamID
 		Work   time.Duration
 		Keyed  bool // sends an Idempotency-Key
-		Share  int  // of the mix
+		Share  int  // weight in the mix
 	}
 
-	// loadRun is a stream under way.
+	// loadRun is a load in progress.
 	loadRun struct {
 		LoadConfig
 		client     *http.Client
 		nextTarget atomic.Uint64
-		// measuring is true from the end of the warm-up to the last request.
+		// measuring is true from the end of the warm-up until the last request is sent.
 		measuring atomic.Bool
 
 		mu       sync.Mutex
@@ -65,19 +65,19 @@
 		outcomes map[string]callerOutcome
 	}
 
-	// callerOutcome is what the caller of one request was told.
+	// callerOutcome is what the responses to one request said, over all its repeats.
 	callerOutcome struct {
 		answered      bool
-		notRun        bool // every answer it got said so
+		notRun        bool // every attempt was not sent or refused as not run
 		keyed         bool
-		nonIdempotent bool // may not be repeated
+		nonIdempotent bool // POST, must not run twice
 	}
 )
 
-// errIncompleteLoad is a load that asks for nothing.
-var errIncompleteLoad = errors.New("standin: load needs entries, streams and a rate")
+// errIncompleteLoad reports a LoadConfig without targets, streams or a rate.
+var errIncompleteLoad = errors.New("standin: load needs targets, streams and a rate")
 
-// Run sends the stream and counts what became of it.
+// Run sends the load and reports its outcomes.
 func (c LoadConfig) Run(ctx context.Context) (Report, error) {
 	if len(c.Targets) == 0 || len(c.Streams) == 0 || c.Rate <= 0 {
 		return Report{}, errIncompleteLoad
@@ -100,7 +100,8 @@
 	return l.report, nil
 }
 
-// sendAll keeps to the rate whatever the answers do.
+// sendAll sends the requests at the configured rate without waiting for responses, and
+// returns when all have ended.
 func (l *loadRun) sendAll(ctx context.Context, start time.Time) {
 	var sent sync.WaitGroup
 	defer sent.Wait()
@@ -121,7 +122,7 @@
 	}
 }
 
-// mix lays the streams out by their shares.
+// mix repeats each stream according to its share.
 func (l *loadRun) mix() []Stream {
 	var out []Stream
 	for _, s := range l.Streams {
@@ -132,7 +133,7 @@
 	return out
 }
 
-// sendOne sends a request, and its repeats under the same key.
+// sendOne sends a request and its repeats with the same ID.
 func (l *loadRun) sendOne(ctx context.Context, s Stream, timed bool) {
 	id := rand.Text()
 	f := callerOutcome{notRun: true, keyed: s.Keyed, nonIdempotent: s.Method == http.MethodPost}
@@ -176,11 +177,11 @@
 	}
 }
 
-// errNotSent is a request that reached no entry at all.
-var errNotSent = errors.New("standin: no entry took the connection")
+// errNotSent reports that every target refused the connection.
+var errNotSent = errors.New("standin: no target accepted the connection")
 
-// do sends to the next entry, and on to another if the connection is refused,
-// as the balancer does.
+// do sends a request to the next target, and to another one if the connection is refused,
+// as a load balancer does.
 func (l *loadRun) do(ctx context.Context, s Stream, id, payload string) (*http.Response, []byte, error) {
 	for range l.Targets {
 		entry := l.Targets[l.nextTarget.Add(1)%uint64(len(l.Targets))]
@@ -203,7 +204,7 @@
 }
 
 func (l *loadRun) request(ctx context.Context, s Stream, entry, id, payload string) (*http.Request, error) {
-	// Not a *strings.Reader: the client would set GetBody and repeat.
+	// Hide the *strings.Reader: for one, net/http sets GetBody and may retry the request.
 	body := io.NopCloser(io.MultiReader(strings.NewReader(payload)))
 	req, err := http.NewRequestWithContext(ctx, s.Method, fmt.Sprintf("http://%s%s", entry, s.Path), body)
 	if err != nil {
@@ -229,7 +230,7 @@
 	return req, nil
 }
 
-// reconcile compares what the callers were told with what the upstreams did.
+// reconcile compares the responses that callers got with the runs that upstreams recorded.
 func (l *loadRun) reconcile(runs Runs) {
 	for id, f := range l.outcomes {
 		n := runs[id]
@@ -254,7 +255,7 @@
 	return answer.Request == id && answer.Digest == hex.EncodeToString(sum[:])
 }
 
-// newHistogram takes latencies from 1 microsecond to 10 minutes.
+// newHistogram returns a histogram of latencies from 1 microsecond to 10 minutes.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, (10 * time.Minute).Microseconds(), 3)
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,19 +11,19 @@
 )
 
 type (
-	// PlatformConfig configures a stand-in platform.
+	// PlatformConfig configures a Platform.
 	PlatformConfig struct {
 		Clock tw.Clock
-		// AutoRun lets tasks run as soon as they are started, without an
-		// upstream that takes them.
+		// AutoRun makes tasks run as soon as they are started, without an upstream
+		// that reports and picks them up.
 		AutoRun bool
-		// SilenceTimeout is how long an upstream may be silent before it is no
-		// longer listed. 0 means for ever.
+		// SilenceTimeout is how long after its last report an upstream stays listed.
+		// 0 means forever.
 		SilenceTimeout time.Duration
 	}
 
-	// Platform is an in-memory platform. It implements tw.Store,
-	// tw.InstanceList and tw.Workers, and fails on demand.
+	// Platform is an in-memory platform with injectable faults. It implements
+	// tw.Store, tw.InstanceList and tw.Workers.
 	Platform struct {
 		config PlatformConfig
 
@@ -41,12 +41,12 @@
 		calls          Calls
 	}
 
-	// Faults are what a platform does wrong from now on.
+	// Faults are the faults that a platform injects.
 	Faults struct {
-		Down        bool        `json:"down"`         // the store answers nothing
-		Delay       tw.Duration `json:"delay"`        // before each answer of the store
-		LoseAnswers int         `json:"lose_answers"` // of the next n writes, after taking effect
-		StaleList   bool        `json:"stale_list"`   // the instance list stands still
+		Down        bool        `json:"down"`         // every call to the store fails
+		Delay       tw.Duration `json:"delay"`        // of each call to the store
+		LoseAnswers int         `json:"lose_answers"` // the next n writes take effect, but get no answer
+		StaleList   bool        `json:"stale_list"`   // the instance list does not change
 		FailTasksOn []string    `json:"fail_tasks_on"`
 	}
 
@@ -68,7 +68,7 @@
 	_ tw.Workers      = (*Platform)(nil)
 )
 
-// New makes an empty platform.
+// New returns an empty platform.
 func (c PlatformConfig) New() *Platform {
 	if c.Clock == nil {
 		c.Clock = tw.SystemClock{}
@@ -99,21 +99,22 @@
 	p.notifyChanged()
 }
 
-// Faults tells the faults in force.
+// Faults returns the current faults.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// Calls tells how often the store was called.
+// Calls returns the number of calls to the store.
 func (p *Platform) Calls() Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// Restore puts a value back as it was, as a store does that comes back older.
+// Restore overwrites a key with an earlier item, as after a store is restored from a
+// backup.
 func (p *Platform) Restore(key tw.Key, item tw.Item) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,7 +226,7 @@
 	return l.Lease, nil
 }
 
-// beginCall counts a call to the store and fails it if the store is down.
+// beginCall counts a call to the store, delays it, and fails it if the store is down.
 func (p *Platform) beginCall(ctx context.Context, writes bool) error {
 	p.mu.Lock()
 	if writes {
@@ -248,7 +249,8 @@
 	return nil
 }
 
-// loseAnswer loses the answer of a write that has taken effect, if it should.
+// loseAnswer returns tw.ErrAmbiguous if the answer of a write that has taken effect is to
+// be lost.
 func (p *Platform) loseAnswer() error {
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
--- a/internal/standin/platform_http.go
+++ b/internal/standin/platform_http.go
@@ -14,7 +14,7 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// Paths that only the stand-in has.
+// Paths that only this fake serves.
 const (
 	PathFaults   = "/standin/faults"   // GET, PUT
 	PathRegister = "/standin/register" // POST
@@ -22,7 +22,7 @@
 	PathCalls    = "/standin/calls"    // GET
 )
 
-// Handler serves the platform's protocol.
+// Handler serves the platform's protocol and the fake's own paths.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.PathValue, p.getValue)
@@ -59,7 +59,7 @@
 		http.Error(w, "bad base", http.StatusBadRequest)
 		return
 	}
-	// The call goes on when its caller has gone: that is what a lost answer is.
+	// The write continues if the client disconnects, which loses only the answer.
 	ctx := context.WithoutCancel(r.Context())
 	version, err := p.Put(ctx, tw.Key(r.URL.Query().Get("key")), value, tw.Version(base))
 	writeResponse(w, platform.ValueMessage{Version: version}, err)
@@ -95,7 +95,7 @@
 }
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
-	seen, _ := strconv.ParseUint(r.FormValue("seen"), 10, 64) // absent means none
+	seen, _ := strconv.ParseUint(r.FormValue("seen"), 10, 64) // 0 if absent
 	snapshot, err := p.List(r.Context(), tw.HallID(r.FormValue("hall")), seen)
 	writeResponse(w, snapshot, err)
 }
@@ -152,8 +152,8 @@
 	writeResponse(w, p.Calls(), nil)
 }
 
-// writeResponse writes v, or the status that stands for err. A lost answer is a
-// connection that ends without one.
+// writeResponse writes v, or the status code for err. An ambiguous error closes the
+// connection without a response.
 func writeResponse(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
--- a/internal/standin/platform_instances.go
+++ b/internal/standin/platform_instances.go
@@ -22,14 +22,14 @@
 	p.version++
 }
 
-// Instance is an instance of the list; its id is empty if there is none.
+// Instance returns a listed instance, or the zero Instance if it is not listed.
 func (p *Platform) Instance(id tw.InstanceID) tw.Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.instances[id]
 }
 
-// SetPhase marks an instance live or leaving.
+// SetPhase sets an instance's phase, such as live or leaving.
 func (p *Platform) SetPhase(id tw.InstanceID, phase tw.InstancePhase) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,15 +40,15 @@
 	}
 }
 
-// RemoveInstance loses an instance with all its tasks.
+// RemoveInstance removes an instance and ends all its tasks.
 func (p *Platform) RemoveInstance(id tw.InstanceID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.remove(id)
 }
 
-// Register is an upstream's report that it lives; it returns the jobs that it
-// has to run. A phase set by an operator is kept.
+// Register handles an upstream's heartbeat and returns the jobs that it has to run. A
+// phase set by SetPhase is kept.
 func (p *Platform) Register(in tw.Instance) []tw.JobID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// Reboot implements tw.Workers. It ends the instance's tasks at once.
+// Reboot implements tw.Workers. It ends the instance's tasks immediately.
 func (p *Platform) Reboot(_ context.Context, id tw.InstanceID, boots uint64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// startTasks starts the tasks of an instance and lists what it runs.
+// startTasks starts an instance's pending tasks and returns the jobs that it runs.
 func (p *Platform) startTasks(id tw.InstanceID) []tw.JobID {
 	jobs := []tw.JobID{}
 	for key, t := range p.tasks {
@@ -159,7 +159,7 @@
 	return tw.TaskRunning
 }
 
-// dropSilent loses the upstreams that have not reported.
+// dropSilent removes upstreams that have not reported within SilenceTimeout.
 func (p *Platform) dropSilent() {
 	if p.config.SilenceTimeout == 0 {
 		return
--- a/internal/standin/recorder.go
+++ b/internal/standin/recorder.go
@@ -15,20 +15,19 @@
 )
 
 type (
-	// Recorder notes each run of a request before its work begins, so that
-	// doubled and lost runs are counted at the source, also for an upstream
-	// that is killed.
+	// Recorder records each run of a request before its work begins, so that
+	// duplicate and lost runs are counted even if the upstream is killed.
 	Recorder struct {
 		mu   sync.Mutex
-		out  io.Writer // nil: memory only
+		out  io.Writer // nil to keep the records in memory only
 		runs Runs
 	}
 
-	// Runs counts the runs by request id.
+	// Runs maps request IDs to their numbers of runs.
 	Runs map[string]int
 )
 
-// NewRecorder makes a recorder that also appends lines to out, if not nil.
+// NewRecorder returns a recorder that also writes a line per run to out, if not nil.
 func NewRecorder(out io.Writer) *Recorder { return &Recorder{out: out, runs: Runs{}} }
 
 // Record records a run.
@@ -43,7 +42,7 @@
 	return err
 }
 
-// Runs copies what was recorded.
+// Runs returns a copy of the recorded counts.
 func (r *Recorder) Runs() Runs {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +53,8 @@
 	return out
 }
 
-// ReadRuns adds up record files, whole lines only.
+// ReadRuns sums the runs in record files. It skips a line that is cut off within its
+// request ID.
 func ReadRuns(paths []string) (Runs, error) {
 	out := Runs{}
 	for _, path := range paths {
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -15,29 +15,30 @@
 )
 
 type (
-	// Report is what became of a stream of requests.
+	// Report holds the outcomes of a load.
 	Report struct {
 		Sent     int
 		Answered int
 		Refused  map[string]int // by reason
-		NotRun   int            // refusals that said so
-		Unknown  int            // refusals that could not tell
-		Cut      int            // no whole answer
-		Wrong    int            // answers that were not the request's own
-		// Lost: answered, but no upstream has run it. Doubled: may not be
-		// repeated, but was run twice. FalseNotRun: told not run, but was.
+		NotRun   int            // refusals with outcome not-run
+		Unknown  int            // refusals with any other outcome
+		Cut      int            // no complete response
+		Wrong    int            // answers whose request ID or body digest is not the request's
+		// Lost counts requests that were answered but that no upstream ran, Doubled
+		// non-idempotent requests that ran more than once, and FalseNotRun requests
+		// that were refused as not run but ran.
 		Lost        int
 		Doubled     int
 		FalseNotRun int
 		Took        time.Duration
-		// Worked is the work answered from the end of the warm-up until the
-		// last request was sent.
+		// Worked is the total work of the requests answered from the end of the
+		// warm-up until the last request was sent.
 		Worked   time.Duration
 		answers  map[string]*hdrhistogram.Histogram // by stream
 		refusals *hdrhistogram.Histogram
 	}
 
-	// Percentiles are latencies.
+	// Percentiles summarizes a latency distribution.
 	Percentiles struct {
 		P50 time.Duration `json:"p50"`
 		P99 time.Duration `json:"p99"`
@@ -54,10 +55,10 @@
 	}
 }
 
-// Violations counts what must never happen.
+// Violations counts the outcomes that must never occur.
 func (r *Report) Violations() int { return r.Lost + r.Doubled + r.FalseNotRun + r.Wrong }
 
-// Latency is that of a stream's answers.
+// Latency returns the latency of a stream's answers.
 func (r *Report) Latency(stream string) Percentiles {
 	if h := r.answers[stream]; h != nil {
 		return percentiles(h)
@@ -65,7 +66,7 @@
 	return Percentiles{}
 }
 
-// Line is the report in one line.
+// Line formats the counts in one line.
 func (r *Report) Line() string {
 	refused := 0
 	for _, n := range r.Refused {
@@ -75,7 +76,7 @@
 		r.Sent, r.Answered, refused, r.NotRun, r.Unknown, r.Cut, r.Wrong, r.FalseNotRun, r.Lost, r.Doubled)
 }
 
-// String is the report in full.
+// String formats the whole report.
 func (r *Report) String() string {
 	var out strings.Builder
 	for _, stream := range sortedKeys(r.answers) {
@@ -92,7 +93,7 @@
 	return out.String()
 }
 
-// JSON is the report for programs.
+// JSON encodes the report with the latency of each stream.
 func (r *Report) JSON() ([]byte, error) {
 	type plain Report
 	latency := map[string]Percentiles{}
@@ -112,14 +113,14 @@
 	} else {
 		r.Unknown++
 	}
-	_ = r.refusals.RecordValue(took.Microseconds()) // out of range is off the scale
+	_ = r.refusals.RecordValue(took.Microseconds()) // values out of range are dropped
 }
 
 func (r *Report) addAnswer(s Stream, took time.Duration) {
 	if r.answers[s.Name] == nil {
 		r.answers[s.Name] = newHistogram()
 	}
-	_ = r.answers[s.Name].RecordValue(took.Microseconds()) // out of range is off the scale
+	_ = r.answers[s.Name].RecordValue(took.Microseconds()) // values out of range are dropped
 }
 
 func percentiles(h *hdrhistogram.Histogram) Percentiles {
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -20,18 +20,18 @@
 )
 
 type (
-	// UpstreamConfig configures a stand-in upstream.
+	// UpstreamConfig configures an Upstream.
 	UpstreamConfig struct {
 		Instance tw.Instance // Address is filled in
-		Listen   string      // IP:port; port 0 lets the kernel choose
+		Listen   string      // IP:port; the kernel chooses a free port for 0
 		Recorder *Recorder
-		Work     time.Duration // of a request that asks for nothing else
+		Work     time.Duration // of a request without HeaderWork
 		// Register reports to the platform and returns the jobs to run.
 		Register func(ctx context.Context, in tw.Instance) ([]tw.JobID, error)
 	}
 
-	// Upstream is a stand-in worker: it runs requests for the jobs that the
-	// platform gave it, in its slots, and refuses others as not run.
+	// Upstream is a fake upstream. It runs requests for the jobs that the platform
+	// assigned to it, one per slot, and refuses others as not run.
 	Upstream struct {
 		config  UpstreamConfig
 		server  *http.Server
@@ -47,25 +47,25 @@
 		Request  string        `json:"request"`
 		Instance tw.InstanceID `json:"instance"`
 		Job      tw.JobID      `json:"job"`
-		Digest   string        `json:"digest"` // of the request's body
+		Digest   string        `json:"digest"` // hex SHA-256 of the request's body
 	}
 )
 
-// What a caller can ask of a stand-in upstream.
+// Headers that control how an Upstream answers a request.
 const (
-	HeaderWork = "Standin-Work" // how long to work: "20ms"
-	HeaderSize = "Standin-Size" // bytes of padding in the answer
+	HeaderWork = "Standin-Work" // duration of the work, such as "20ms"
+	HeaderSize = "Standin-Size" // bytes of padding after the answer
 )
 
 const registerInterval = 100 * time.Millisecond
 
-// New starts an upstream; Close ends it.
+// New starts an upstream; Close stops it.
 func (c UpstreamConfig) New() (*Upstream, error) {
-	at, err := net.Listen("tcp", c.Listen)
+	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, err
 	}
-	c.Instance.Address = at.Addr().String()
+	c.Instance.Address = listener.Addr().String()
 	c.Instance.Role = tw.RoleWorker
 	if c.Recorder == nil {
 		c.Recorder = NewRecorder(nil)
@@ -75,25 +75,25 @@
 	u.server = &http.Server{Handler: u}
 	ctx, cancel := context.WithCancel(context.Background())
 	u.cancel = cancel
-	u.wg.Go(func() { _ = u.server.Serve(at) }) // ends with Close
+	u.wg.Go(func() { _ = u.server.Serve(listener) }) // ends with Close
 	u.wg.Go(func() { u.register(ctx) })
 	return u, nil
 }
 
-// Address is where the upstream listens.
+// Address returns the address that the upstream listens on.
 func (u *Upstream) Address() string { return u.config.Instance.Address }
 
-// SetFailing makes the upstream answer everything with status 500.
+// SetFailing makes the upstream answer every request with status 500.
 func (u *Upstream) SetFailing(on bool) { u.failing.Store(on) }
 
-// Close ends the upstream at once, as a lost instance does.
+// Close stops the upstream immediately, as if its instance were lost.
 func (u *Upstream) Close() {
 	u.cancel()
-	_ = u.server.Close() // nobody is left to tell
+	_ = u.server.Close() // the upstream is stopping anyway
 	u.wg.Wait()
 }
 
-// register reports to the platform until ctx ends.
+// register reports to the platform periodically until ctx ends.
 func (u *Upstream) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		if jobs, err := u.config.Register(ctx, u.config.Instance); err == nil {
@@ -145,7 +145,7 @@
 	}
 	time.Sleep(u.workTime(r))
 	sum := sha256.Sum256(body)
-	size, _ := strconv.Atoi(r.Header.Get(HeaderSize)) // absent means none
+	size, _ := strconv.Atoi(r.Header.Get(HeaderSize)) // 0 if absent
 	answer := UpstreamAnswer{
 		Request:  r.Header.Get(gateway.HeaderRequest),
 		Instance: u.config.Instance.ID,
@@ -153,7 +153,7 @@
 		Digest:   hex.EncodeToString(sum[:]),
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(answer) // the caller may have disconnected
 	_, _ = w.Write(bytes.Repeat([]byte(" "), size))
 }
 
@@ -169,7 +169,7 @@
 	http.Error(w, "this job does not run here", http.StatusMisdirectedRequest)
 }
 
-// RegisterHTTP reports to a stand-in platform over HTTP.
+// RegisterHTTP returns a Register function that reports to a Platform over HTTP.
 func RegisterHTTP(url string) func(ctx context.Context, in tw.Instance) ([]tw.JobID, error) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	return func(ctx context.Context, in tw.Instance) ([]tw.JobID, error) {
@@ -187,7 +187,7 @@
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
-			return nil, fmt.Errorf("standin.RegisterOver: status %d", resp.StatusCode)
+			return nil, fmt.Errorf("standin.RegisterHTTP: status %d", resp.StatusCode)
 		}
 		var jobs []tw.JobID
 		return jobs, json.NewDecoder(resp.Body).Decode(&jobs)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -2,8 +2,8 @@
 
 import tw "github.com/tamarindworks/tamarindworks"
 
-// WorkerInstance is an instance as both users have them: 16 cores, 32 GB, 8 slots and
-// 64 connections.
+// WorkerInstance returns a live worker instance of the size that users run: 16 cores,
+// 32 GB, 8 slots and 64 connections.
 func WorkerInstance(hall tw.HallID, rack tw.RackID, id tw.InstanceID, labels map[string]string) tw.Instance {
 	return tw.Instance{
 		ID:          id,
