--- a/e2e/commands_test.go
+++ b/e2e/commands_test.go
@@ -10,42 +10,42 @@
 	. "github.com/onsi/gomega"
 )
 
-// command is one use of a program that needs no fleet.
+// command is one invocation of a program that needs no running fleet, and its expected result.
 type command struct {
 	program    string
-	content    string // written as "file.toml"
+	content    string // written to a temporary file that replaces the argument "file.toml"
 	args       []string
 	wantCode   int
 	wantOutput []string
 }
 
 var commands = map[string]command{
-	"tamarindd with bad settings": {
+	"tamarindd with invalid settings": {
 		program: "tamarindd", args: []string{"--settings", "file.toml"},
 		content:  "id = \"x\"\nhalls = 1\n[listen]\ngateway = \"host\"\n",
 		wantCode: 2, wantOutput: []string{"line 2: halls: is not a known key", "line 4: listen.gateway", "hall: is missing", "platform.url"},
 	},
 	"tamarindd without settings": {program: "tamarindd", wantCode: 1, wantOutput: []string{"--settings"}},
-	"config check of a bad file": {
+	"config check of an invalid file": {
 		program: "tamarind", args: []string{"config", "check", "file.toml"},
 		content:  "halls = [\"h\"]\n[[pools]]\nid = \"p\"\nsize = 3\njobs = \"a\"\n[[jobs]]\nid = \"j\"\nservice = \"s\"\n",
 		wantCode: 2, wantOutput: []string{"line 4", "line 2: pools[0].instances: is missing", "line 8: jobs[0].service: there is no service \"s\""},
 	},
-	"config check of a good file": {program: "tamarind", args: []string{"config", "check", "file.toml"}, content: "halls = [\"h\"]\n", wantCode: 0, wantOutput: []string{"is good"}},
-	"config check of no file":     {program: "tamarind", args: []string{"config", "check", "none.toml"}, wantCode: 2, wantOutput: []string{"none.toml"}},
-	"status without a platform":   {program: "tamarind", args: []string{"status"}, wantCode: 2, wantOutput: []string{"--platform"}},
-	"status of a platform not there": {
+	"config check of a valid file":   {program: "tamarind", args: []string{"config", "check", "file.toml"}, content: "halls = [\"h\"]\n", wantCode: 0, wantOutput: []string{"is good"}},
+	"config check of a missing file": {program: "tamarind", args: []string{"config", "check", "none.toml"}, wantCode: 2, wantOutput: []string{"none.toml"}},
+	"status without a platform":      {program: "tamarind", args: []string{"status"}, wantCode: 2, wantOutput: []string{"--platform"}},
+	"status of an unreachable platform": {
 		program: "tamarind", args: []string{"--platform", "http://127.0.0.1:1", "--timeout", "300ms", "status"},
 		wantCode: 1, wantOutput: []string{"unavailable"},
 	},
 	"queue status without a store": {program: "tamarind", args: []string{"queue", "status"}, wantCode: 2, wantOutput: []string{"--store"}},
-	"queue status of a store not there": {
+	"queue status of an unreachable store": {
 		program: "tamarind", args: []string{"queue", "status", "--store", "127.0.0.1:1"}, wantCode: 1, wantOutput: []string{"unavailable"},
 	},
-	"queue submission with an odd id": {
+	"queue submission with an invalid id": {
 		program: "tamarind", args: []string{"queue", "submission", "12", "--store", "127.0.0.1:1"}, wantCode: 2, wantOutput: []string{"16 hex digits"},
 	},
-	"tamarindd queue with bad settings": {
+	"tamarindd queue with invalid settings": {
 		program: "tamarindd", args: []string{"queue", "--settings", "file.toml"}, content: "id = \"x\"\nhal = 1\n",
 		wantCode: 2, wantOutput: []string{"line 2: hal: is not a known key", "platform.store: is missing"},
 	},
@@ -67,8 +67,8 @@
 			}
 			out, code := run(c.program, args...)
 			Expect(code).To(Equal(c.wantCode), out)
-			for _, says := range c.wantOutput {
-				Expect(out).To(ContainSubstring(says))
+			for _, want := range c.wantOutput {
+				Expect(out).To(ContainSubstring(want))
 			}
 		})
 	}
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -19,21 +19,21 @@
 
 	It("answers every request", func() {
 		r := underLoad(f.load(300, 200), func() {})
-		expectNoFaults(r)
+		expectNoViolations(r)
 		Expect(r.Answered).To(Equal(r.Sent), r.Line())
 	})
 
-	It("cuts nothing when a daemon stops as planned", func() {
+	It("cuts no request short when a daemon is stopped gracefully", func() {
 		defer f.startDaemon("h1", "h1-e0")
 		r := underLoad(f.load(600, 200), func() {
 			Expect(f.daemons["h1-e0"].stop()).To(Equal(0))
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 		Expect(r.Cut).To(BeZero(), r.Line())
 		Expect(r.Unknown).To(BeZero(), r.Line())
 	})
 
-	It("gives no new work to a leaving instance after 3 s, and cuts nothing", func() {
+	It("sends no new requests to a leaving instance after 3 s, and cuts none short", func() {
 		leaving := f.serving("h1", "boards")[0]
 		defer f.setPhase(leaving, tw.PhaseLive)
 		var before, after int
@@ -44,39 +44,39 @@
 			time.Sleep(time.Second)
 			after = f.runCount(leaving)
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 		Expect(before).To(BeNumerically(">", 0))
 		Expect(after).To(Equal(before))
 		Expect(r.Answered).To(Equal(r.Sent), r.Line())
 	})
 
-	It("loses and doubles nothing when a worker is killed", func() {
+	It("loses and duplicates no request when an upstream is killed", func() {
 		victim := f.serving("h2", "boards")[0]
 		r := underLoad(f.load(600, 200), func() { f.upstreams[victim].kill() })
-		f.replaceUpstream(victim) // or the hall would be left without a spare
-		expectNoFaults(r)
+		f.replaceUpstream(victim) // keeps a spare instance in the hall for the next specs
+		expectNoViolations(r)
 		Expect(r.Cut).To(BeZero(), r.Line())
 	})
 
-	It("loses and doubles nothing when a worker freezes and comes back", func() {
+	It("loses and duplicates no request when an upstream is paused and resumed", func() {
 		victim := f.serving("h1", "boards")[0]
 		r := underLoad(f.load(600, 150), func() {
 			f.upstreams[victim].signal(syscall.SIGSTOP)
 			time.Sleep(2 * time.Second)
 			f.upstreams[victim].signal(syscall.SIGCONT)
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 	})
 
-	It("loses and doubles nothing when a daemon is killed and replaced", func() {
+	It("loses and duplicates no request when a daemon is killed and replaced", func() {
 		r := underLoad(f.load(600, 200), func() {
 			f.daemons["h2-e1"].kill()
 			f.startDaemon("h2", "h2-e1")
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 	})
 
-	It("moves nothing past a frozen daemon, and goes on when it thaws", func() {
+	It("does not move an instance while a daemon is paused, and continues once it is resumed", func() {
 		paused := f.daemons["h1-e1"]
 		leaving := f.serving("h1", "leases")[0]
 		defer f.setPhase(leaving, tw.PhaseLive)
@@ -97,30 +97,30 @@
 				return plan.Find(leaving).State
 			}, eventualTimeout, "50ms").Should(Equal(tw.InstanceOut))
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 	})
 
-	It("goes on serving while the store is down, and plans again after", func() {
+	It("keeps serving while the store is down", func() {
 		r := underLoad(f.load(800, 200), func() {
 			f.setFaults(standin.Faults{Down: true})
 			time.Sleep(2 * time.Second)
 			f.setFaults(standin.Faults{})
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 		Expect(r.Answered).To(Equal(r.Sent), r.Line())
 	})
 
-	It("goes on serving in a hall that is cut off from the platform, and takes the change after", func() {
+	It("keeps serving in a hall that is cut off from the platform", func() {
 		r := underLoad(f.load(800, 150), func() {
 			f.relays["h2"].setCut(true)
 			time.Sleep(2 * time.Second)
 			f.relays["h2"].setCut(false)
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 		Expect(r.Answered).To(Equal(r.Sent), r.Line())
 	})
 
-	It("runs keyed requests once that callers repeat while a daemon is killed", func() {
+	It("runs requests with an idempotency key once when callers repeat them while a daemon is killed", func() {
 		l := f.load(300, 150, standin.Stream{
 			Name: "record", Method: "POST", Host: "boards.test", Path: "/records", Work: 20 * time.Millisecond, Keyed: true,
 		})
@@ -130,18 +130,18 @@
 			f.daemons["h1-e1"].kill()
 			f.startDaemon("h1", "h1-e1")
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 		Expect(r.Refused["key-answered"]).To(BeNumerically(">", 0))
 	})
 
-	It("tells an operator who comes second of the first one's change", func() {
+	It("rejects a change based on an outdated revision and shows the conflicting difference", func() {
 		out, code := run("tamarind", "--platform", f.url, "config", "apply", "testdata/wave.toml", "--base", "0")
 		Expect(code).To(Equal(3), out)
 		Expect(out).To(ContainSubstring("+id = \"december\""))
 		Expect(out).To(ContainSubstring("revision 1"))
 	})
 
-	It("explains instances and jobs, and shows what a change would do", func() {
+	It("explains instances and jobs, and previews a configuration change", func() {
 		id := string(f.serving("h1", "boards")[0])
 		for _, c := range [][]string{
 			{"status"}, {"status", "--output", "json"}, {"explain", "instance", id},
@@ -153,7 +153,7 @@
 		}
 	})
 
-	It("maintains every instance once, within the budget", func() {
+	It("completes a maintenance wave on every instance without failing requests", func() {
 		r := underLoad(f.load(1200, 100), func() {
 			f.configure("wave.toml", 1)
 			Eventually(func(g Gomega) {
@@ -165,7 +165,7 @@
 				}
 			}, eventualTimeout, "100ms").Should(Succeed())
 		})
-		expectNoFaults(r)
+		expectNoViolations(r)
 		Expect(r.Answered).To(Equal(r.Sent), r.Line())
 	})
 })
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -21,7 +21,7 @@
 	"github.com/tamarindworks/tamarindworks/platform"
 )
 
-// fleet is two halls of separate processes.
+// fleet is a deployment of separate processes in two halls.
 type fleet struct {
 	dir       string
 	url       string
@@ -29,7 +29,7 @@
 	upstreams map[tw.InstanceID]*process
 	daemons   map[tw.DaemonID]*process
 	operator  *control.Operator
-	// relays stand between each hall's daemons and the platform.
+	// relays carry the connections of each hall's daemons to the platform.
 	relays map[tw.HallID]*relay
 }
 
@@ -39,7 +39,7 @@
 	racksPerHall     = 3
 	instancesPerRack = 2
 	daemonsPerHall   = 2
-	eventualTimeout  = "60s" // for what must come, whenever
+	eventualTimeout  = "60s" // limit for Eventually where no tighter bound is tested
 )
 
 func newFleet() *fleet {
@@ -96,7 +96,7 @@
 		"--label", "kind=general", "--records", f.records(tw.InstanceID(id)))
 }
 
-// replaceUpstream starts a worker in place of one that was killed.
+// replaceUpstream starts an upstream with the ID and place of one that was killed.
 func (f *fleet) replaceUpstream(id tw.InstanceID) {
 	GinkgoHelper()
 	var rack, i int
@@ -124,7 +124,7 @@
 	f.daemons[id] = start(string(id), false, "tamarindd", "--settings", path)
 }
 
-// configure applies a file of testdata through the command line.
+// configure applies a file of testdata with the command-line tool.
 func (f *fleet) configure(file string, base tw.Revision) {
 	GinkgoHelper()
 	out, code := run("tamarind", "--platform", f.url, "config", "apply", filepath.Join("testdata", file),
@@ -138,8 +138,8 @@
 	return plan
 }
 
-// waitServing waits until both pools serve in both halls, and all daemons act
-// on it.
+// waitServing waits until all pools serve in their halls and every daemon has acknowledged
+// the current plan.
 func (f *fleet) waitServing() {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
@@ -156,12 +156,12 @@
 			}
 		}
 		for _, gateway := range f.gateways() {
-			g.Expect(respondsOK(gateway, "maps.test")).To(BeTrue(), "%s relays", gateway)
+			g.Expect(respondsOK(gateway, "maps.test")).To(BeTrue(), "requests for maps.test at gateway %s", gateway)
 		}
 	}, eventualTimeout, "50ms").Should(Succeed())
 }
 
-// respondsOK tells whether a gateway answers requests for a host.
+// respondsOK reports whether a gateway returns status 200 for a request to a host.
 func respondsOK(gateway, host string) bool {
 	req, err := http.NewRequest(http.MethodGet, "http://"+gateway+"/", nil)
 	if err != nil {
@@ -176,7 +176,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// serving lists the instances that serve a pool with all its jobs running.
+// serving returns the instances that serve a pool and whose first job is running there.
 func (f *fleet) serving(hall tw.HallID, pool tw.PoolID) []tw.InstanceID {
 	plan := f.plan(hall)
 	var out []tw.InstanceID
@@ -189,7 +189,7 @@
 	return out
 }
 
-// gateways lists where the registered daemons take requests.
+// gateways returns the gateway addresses of all registered daemons.
 func (f *fleet) gateways() []string { return f.gatewaysOf(halls...) }
 
 func (f *fleet) gatewaysOf(halls ...tw.HallID) []string {
@@ -203,7 +203,7 @@
 	return out
 }
 
-// load is a mix of requests that may and may not be repeated.
+// load returns a request load. Its default mix has repeatable and non-repeatable requests.
 func (f *fleet) load(n int, rate float64, streams ...standin.Stream) *standin.LoadConfig {
 	if len(streams) == 0 {
 		streams = []standin.Stream{
@@ -223,8 +223,8 @@
 	}
 }
 
-// runs reads the records of all upstreams, the dead included, once those that
-// live have had time to finish.
+// runs reads the run records of all upstreams, including killed ones. It first waits so that
+// live upstreams can finish requests in flight.
 func (f *fleet) runs() (standin.Runs, error) {
 	time.Sleep(300 * time.Millisecond)
 	var paths []string
@@ -236,7 +236,7 @@
 	return standin.ReadRuns(paths)
 }
 
-// runCount counts the runs on one instance.
+// runCount returns the number of runs recorded by an instance.
 func (f *fleet) runCount(id tw.InstanceID) int {
 	content, err := os.ReadFile(f.records(id))
 	if err != nil {
@@ -245,29 +245,29 @@
 	return strings.Count(string(content), "\n")
 }
 
-// underLoad sends the load while do makes something fail.
-func underLoad(l *standin.LoadConfig, do func()) standin.Report {
+// underLoad calls inject, which injects a fault, while the load is running.
+func underLoad(l *standin.LoadConfig, inject func()) standin.Report {
 	GinkgoHelper()
 	type result struct {
 		report standin.Report
 		err    error
 	}
-	ended := make(chan result, 1)
+	results := make(chan result, 1)
 	go func() {
 		report, err := l.Run(context.Background())
-		ended <- result{report, err}
+		results <- result{report, err}
 	}()
 	time.Sleep(500 * time.Millisecond)
-	do()
-	out := <-ended
+	inject()
+	out := <-results
 	Expect(out.err).NotTo(HaveOccurred())
 	fmt.Fprintf(GinkgoWriter, "%s\n", out.report.String())
 	AddReportEntry("load", out.report.Line())
 	return out.report
 }
 
-// expectNoFaults is what must hold whatever fails.
-func expectNoFaults(r standin.Report) {
+// expectNoViolations checks the guarantees that hold under any injected fault.
+func expectNoViolations(r standin.Report) {
 	GinkgoHelper()
 	Expect(r.Violations()).To(BeZero(), r.Line())
 	Expect(r.Answered).To(BeNumerically(">", 0))
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -13,20 +13,20 @@
 	. "github.com/onsi/gomega"
 )
 
-// process is one running program.
+// process is a program started by a test.
 type process struct {
 	name string
 	cmd  *exec.Cmd
-	// address is the first line that it printed, if asked for.
+	// address is the first line of its standard output, if start was asked to read it.
 	address string
 	reaper  sync.WaitGroup
-	// exited is closed when the process has ended.
+	// exited is closed when the process has exited.
 	exited chan struct{}
 }
 
-// start runs a program; with address, it waits for the line that tells it.
-// The fleet ends it.
-func start(name string, address bool, program string, args ...string) *process {
+// start starts a program. If readAddress is set, it waits for the first line of output,
+// which holds the address. The caller must end the process.
+func start(name string, readAddress bool, program string, args ...string) *process {
 	GinkgoHelper()
 	p := &process{name: name, cmd: exec.Command(filepath.Join(bin, program), args...), exited: make(chan struct{})}
 	p.cmd.Stderr = GinkgoWriter
@@ -34,7 +34,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	Expect(p.cmd.Start()).To(Succeed())
 	lines := bufio.NewReader(stdout)
-	if address {
+	if readAddress {
 		line, err := lines.ReadString('\n')
 		Expect(err).NotTo(HaveOccurred(), name)
 		p.address = line[:len(line)-1]
@@ -42,12 +42,12 @@
 	p.reaper.Go(func() {
 		defer close(p.exited)
 		_, _ = io.Copy(GinkgoWriter, lines)
-		_ = p.cmd.Wait() // the exit code is looked at where it matters
+		_ = p.cmd.Wait() // stop returns the exit code
 	})
 	return p
 }
 
-// running tells whether the process has not ended yet.
+// running reports whether the process has not exited yet.
 func (p *process) running() bool {
 	select {
 	case <-p.exited:
@@ -58,7 +58,7 @@
 }
 
 func (p *process) signal(s os.Signal) {
-	_ = p.cmd.Process.Signal(s) // it may have ended
+	_ = p.cmd.Process.Signal(s) // the process may have exited
 }
 
 func (p *process) kill() {
@@ -66,20 +66,20 @@
 	p.reaper.Wait()
 }
 
-// stop is a planned stop; it returns the exit code.
+// stop requests a graceful shutdown with SIGTERM and returns the exit code.
 func (p *process) stop() int {
 	p.signal(syscall.SIGTERM)
 	p.reaper.Wait()
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// forceKill makes sure that the process is gone.
+// forceKill kills the process and waits for its exit, also if it is paused by SIGSTOP.
 func (p *process) forceKill() {
 	p.signal(syscall.SIGCONT)
 	p.kill()
 }
 
-// run runs a program to its end.
+// run runs a program until it exits and returns its output and exit code.
 func run(program string, args ...string) (string, int) {
 	cmd := exec.Command(filepath.Join(bin, program), args...)
 	out, _ := cmd.CombinedOutput()
--- a/e2e/proxy_test.go
+++ b/e2e/proxy_test.go
@@ -10,47 +10,46 @@
 	. "github.com/onsi/gomega"
 )
 
-// linkFault is what a proxy does to what passes.
+// linkFault is the fault that a proxy applies to its connections.
 type linkFault int
 
 const (
 	linkHealthy linkFault = iota
-	linkSlow              // each read waits for linkDelay
-	linkSilent            // nothing passes in either direction
-	linkOneWay            // requests pass, answers do not
+	linkSlow              // each read is delayed by linkDelay
+	linkSilent            // no data is forwarded in either direction
+	linkOneWay            // requests are forwarded, answers are not
 	linkReset             // connections are reset
 )
 
 const (
-	// linkDelay is how long a slow link holds each read.
+	// linkDelay is the delay of each read on a slow link.
 	linkDelay = 120 * time.Millisecond
-	// linkPollInterval is the pace at which a silenced direction looks whether it is
-	// healed.
+	// linkPollInterval is how often a blocked direction checks whether the fault has ended.
 	linkPollInterval = 20 * time.Millisecond
 )
 
 type (
-	// proxy passes TCP connections on over loopback and misbehaves on demand.
+	// proxy forwards TCP connections over loopback and injects faults.
 	proxy struct {
 		listener net.Listener
 		target   string
 
 		mu     sync.Mutex
 		fault  linkFault
-		links  map[*link]bool // those open
+		links  map[*link]bool // open links
 		closed bool
 	}
 
 	// link is one connection through a proxy.
 	link struct {
 		in, out net.Conn
-		// silent links pass nothing any more, neither bytes nor their end. Only the
-		// end of the proxy closes them.
+		// silent is set once the link forwards neither data nor the close of either side.
+		// Only closing the proxy closes such a link.
 		silent bool
 	}
 )
 
-// newProxy starts a proxy to an address; it ends with the test.
+// newProxy starts a proxy to an address. It is closed at the end of the test.
 func newProxy(target string) *proxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -62,8 +61,8 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes what the proxy does; a reset ends the present connections, but for
-// those that are silent for good.
+// set changes the fault of the proxy. linkReset resets the open connections, except those
+// silenced permanently.
 func (p *proxy) set(fault linkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,8 +77,8 @@
 	}
 }
 
-// silence makes the present connections silent for good, also once the proxy is
-// sound again; those that come later pass. It returns how many these are.
+// silence permanently silences the open connections, whatever fault is set later. New
+// connections are not affected. It returns the number of connections newly silenced.
 func (p *proxy) silence() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +102,7 @@
 	_ = p.listener.Close()
 }
 
-// reset ends both sides so that their peers see a reset.
+// reset closes both sides so that their peers see a TCP reset.
 func (l *link) reset() {
 	for _, c := range []net.Conn{l.in, l.out} {
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -113,14 +112,14 @@
 	}
 }
 
-// currentFault is what the proxy does at present.
-func (p *proxy) currentFault() (fault linkFault, ended bool) {
+// currentFault returns the fault in effect and whether the proxy is closed.
+func (p *proxy) currentFault() (fault linkFault, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault, p.closed
 }
 
-// accept serves connections until the listener closes.
+// accept accepts and forwards connections until the listener is closed.
 func (p *proxy) accept() {
 	for {
 		in, err := p.listener.Accept()
@@ -146,8 +145,8 @@
 	}
 }
 
-// forward copies one direction until either end closes; answers tells whether it
-// is the direction from the target.
+// forward copies one direction until either side closes. answers is true for the direction
+// from the target.
 func (p *proxy) forward(l *link, from, to net.Conn, answers bool) {
 	defer p.closeLink(l)
 	buffer := make([]byte, 32<<10)
@@ -168,8 +167,8 @@
 	}
 }
 
-// closeLink closes a link one of whose peers has closed it. The other one must not learn
-// that of a silent link.
+// closeLink closes both sides of a link after one peer has closed it. A silent link stays
+// open, so that the other peer does not see the close.
 func (p *proxy) closeLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,12 +186,13 @@
 	return l.silent
 }
 
-// applyFault delays what passes as the fault says; false if the proxy has ended.
+// applyFault delays or blocks one direction according to the current fault. It returns false
+// once the proxy is closed.
 func (p *proxy) applyFault(answers bool) bool {
 	for {
-		fault, ended := p.currentFault()
+		fault, closed := p.currentFault()
 		switch {
-		case ended:
+		case closed:
 			return false
 		case fault == linkSlow:
 			time.Sleep(linkDelay)
@@ -205,7 +205,7 @@
 	}
 }
 
-// roundTrip sends a byte and waits for a while for one that comes back.
+// roundTrip sends a byte and waits up to 100 ms for a byte in return.
 func roundTrip(c net.Conn) error {
 	Expect(c.SetDeadline(time.Now().Add(100 * time.Millisecond))).To(Succeed())
 	if _, err := c.Write([]byte{1}); err != nil {
@@ -216,7 +216,7 @@
 }
 
 var _ = Describe("a proxy", func() {
-	It("silences the connections of one moment for good, and no others", func() {
+	It("permanently silences the open connections and no later ones", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(l.Close)
@@ -228,7 +228,7 @@
 					return
 				}
 				served <- c
-				go func() { _, _ = io.Copy(c, c) }() // until the test ends it
+				go func() { _, _ = io.Copy(c, c) }() // ends when the test closes the connection
 			}
 		}()
 		p := newProxy(l.Addr().String())
--- a/e2e/queue_test.go
+++ b/e2e/queue_test.go
@@ -27,25 +27,25 @@
 	queueHost = "a.example"
 )
 
-// queueRig is a platform of stand-ins with three daemons as processes.
+// queueRig is a simulated platform with queue daemons as separate processes.
 type queueRig struct {
 	kv    *standin.KV
 	fleet *standin.Fleet
 	cloud *standin.Cloud
 	dir   string
-	store string // its address
-	// contracts are the parts of the platform's rules, as in the settings.
+	store string // address of the store
+	// contracts is the settings line with the platform contracts in force, or empty.
 	contracts string
 
 	mu              sync.Mutex
 	daemons         map[string]*process
-	callerAddresses map[string]string // addresses, by daemon
+	callerAddresses map[string]string // caller addresses by daemon
 }
 
-// latencies pass before the answers of the stand-ins.
+// latencies are the answer delays of the simulated store and workers.
 type latencies struct{ store, workers time.Duration }
 
-// newPlatformRig is the stand-ins, without workers and daemons.
+// newPlatformRig returns a rig without workers and daemons.
 func newPlatformRig(l latencies) *queueRig {
 	return &queueRig{
 		kv: standin.KVConfig{Latency: l.store}.New(),
@@ -71,8 +71,8 @@
 	return r
 }
 
-// configure writes the operators' configuration: one pool, a route to it, and
-// one that only this version has.
+// configure writes the operators' configuration: one pool, a route to it, and a route that
+// exists only in this version.
 func (r *queueRig) configure(version int) {
 	route := func(name, prefix string) string {
 		return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"timeoutMs":5000,"targetLatencyMs":600,"service":%q,"attempts":3,"stretch":1.6}`,
@@ -82,7 +82,7 @@
 		version, route("r", "/x/"), route("v", versionPath(version)), queuePool))
 }
 
-// versionPath is the path of the route that only a version has.
+// versionPath returns the path prefix of the route that exists only in one version.
 func versionPath(version int) string { return fmt.Sprintf("/v%d/", version) }
 
 func startServer(handler http.Handler) string {
@@ -93,7 +93,7 @@
 
 func (r *queueRig) addWorker(n int) { r.serveWorker(n, func(address string) string { return address }) }
 
-// addProxiedWorker adds a worker that daemons reach by a proxy.
+// addProxiedWorker adds a worker that daemons reach through a proxy.
 func (r *queueRig) addProxiedWorker(n int) *proxy {
 	var p *proxy
 	r.serveWorker(n, func(address string) string {
@@ -103,13 +103,13 @@
 	return p
 }
 
-// serveWorker starts a worker and lists it under the address that by makes of
-// its own.
-func (r *queueRig) serveWorker(n int, by func(address string) string) {
+// serveWorker starts a worker and lists it under the address that advertise returns for its
+// listen address.
+func (r *queueRig) serveWorker(n int, advertise func(address string) string) {
 	id := tw.WorkerID(fmt.Sprintf("w%d", n))
 	server := httptest.NewUnstartedServer(nil)
 	entry := tw.WorkerEntry{
-		ID: id, Pool: queuePool, Address: by(server.Listener.Addr().String()), Instance: tw.InstanceID(fmt.Sprintf("m%d", n)),
+		ID: id, Pool: queuePool, Address: advertise(server.Listener.Addr().String()), Instance: tw.InstanceID(fmt.Sprintf("m%d", n)),
 		Capacity: tw.Resources{CPU: 4000, MemoryMB: 8000}, Labels: []string{"a", "r1"},
 	}
 	r.fleet.Add(entry)
@@ -120,12 +120,12 @@
 	r.kv.Put(tw.Key("servers/"+string(id)), standin.WorkerBody(entry))
 }
 
-// addressCount numbers the addresses that were given out.
+// addressCount is the number of addresses allocated by freeAddress.
 var addressCount atomic.Int64
 
-// freeAddress is an address on which nothing listens. Each has an IP of the
-// loopback range of its own: a port of 127.0.0.1 may be taken by an outgoing
-// connection before the daemon listens there.
+// freeAddress returns an address on which nothing listens. Each address has a loopback IP of
+// its own, because an outgoing connection could take a port of 127.0.0.1 before the daemon
+// listens on it.
 func freeAddress() string {
 	pid := os.Getpid()
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+pid>>8%64, pid%256, 1+addressCount.Add(1)%250)
@@ -137,16 +137,16 @@
 
 func (r *queueRig) start(id, store, machines string) {
 	r.callerAddresses[id] = freeAddress()
-	text := fmt.Sprintf("id = %q\nhall = \"h\"\n[listen]\ncallers = %q\nreadiness = %q\npeers = %q\n[platform]\nstore = %q\nmachines = %q\n%s\n",
+	settings := fmt.Sprintf("id = %q\nhall = \"h\"\n[listen]\ncallers = %q\nreadiness = %q\npeers = %q\n[platform]\nstore = %q\nmachines = %q\n%s\n",
 		id, r.callerAddresses[id], freeAddress(), freeAddress(), store, machines, r.contracts)
-	Expect(os.WriteFile(r.settingsPath(id), []byte(text), 0o600)).To(Succeed())
+	Expect(os.WriteFile(r.settingsPath(id), []byte(settings), 0o600)).To(Succeed())
 	r.ensureRunning(id)
 	DeferCleanup(func() { r.daemon(id).forceKill() })
 }
 
 func (r *queueRig) settingsPath(id string) string { return filepath.Join(r.dir, id+".toml") }
 
-// ensureRunning starts a daemon's process if none of it runs.
+// ensureRunning resumes the daemon's process, or starts one if none is running.
 func (r *queueRig) ensureRunning(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,22 +157,23 @@
 	r.daemons[id] = start(id, false, "tamarindd", "queue", "--settings", r.settingsPath(id))
 }
 
-// daemon is the present process of a daemon.
+// daemon returns the current process of a daemon.
 func (r *queueRig) daemon(id string) *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.daemons[id]
 }
 
-// callerAddress is where a daemon takes the requests of callers.
+// callerAddress returns the address where a daemon accepts requests of callers.
 func (r *queueRig) callerAddress(id string) string { return r.callerAddresses[id] }
 
-// call asks a daemon without a key; zero is the status of no answer.
+// call sends a request without an API key. The status is 0 if there was no answer.
 func (r *queueRig) call(daemon, method, path, body string) (int, string) {
 	return r.callWithKey("", daemon, method, path, body)
 }
 
-// callWithKey asks a daemon with a key; empty is none.
+// callWithKey sends a request with an API key, or without one if key is empty. The status is 0
+// if there was no answer.
 func (r *queueRig) callWithKey(key, daemon, method, path, body string) (int, string) {
 	req, err := http.NewRequest(method, "http://"+r.callerAddresses[daemon]+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -189,7 +190,7 @@
 	return resp.StatusCode, string(text)
 }
 
-// submit hands work in, again and again until it is accepted.
+// submit submits work and retries until it is accepted.
 func (r *queueRig) submit(daemon, id string, steps []tw.Step) {
 	s := &tw.Submission{ID: tw.SubmissionID(id), Steps: steps, Policy: tw.RoutePolicy{Attempts: 3}}
 	r.fleet.RegisterSubmission(s, nil)
@@ -200,7 +201,7 @@
 	}, 30*time.Second, 200*time.Millisecond).Should(Equal(http.StatusOK))
 }
 
-// submissionBody is a submission of steps as callers send it.
+// submissionBody returns the request body of a submission with the given steps.
 func submissionBody(steps []tw.Step) string {
 	var rows []map[string]any
 	for _, step := range steps {
@@ -218,7 +219,7 @@
 	return text
 }
 
-// owner is the daemon that owns the pool.
+// owner returns the daemon that owns the pool, or an empty ID if there is none.
 func (r *queueRig) owner() string {
 	item, err := r.kv.Get(GinkgoT().Context(), "tw/member/owner/"+queuePool)
 	if err != nil {
@@ -235,17 +236,17 @@
 		{Count: 4, Need: tw.Resources{CPU: 1000}, Estimate: 500 * time.Millisecond, After: []int{0}},
 	}
 
-	It("run to their end though their owner is killed", func() {
+	It("complete although their owner is killed", func() {
 		r := newQueueRig(3)
 		r.submit("d1", "00000000000000a1", steps)
 		Eventually(r.fleet.Starts, 20*time.Second, 20*time.Millisecond).Should(BeNumerically(">", 0))
 		owner := r.owner()
 		r.daemons[owner].kill()
-		left := "d1"
+		survivor := "d1"
 		if owner == "d1" {
-			left = "d2"
+			survivor = "d2"
 		}
-		Eventually(func() string { return r.state(left, "00000000000000a1") }, 60*time.Second, 100*time.Millisecond).
+		Eventually(func() string { return r.state(survivor, "00000000000000a1") }, 60*time.Second, 100*time.Millisecond).
 			Should(ContainSubstring("completed"))
 		Expect(r.fleet.Violations()).To(BeEmpty())
 		Expect(r.owner()).NotTo(Equal(owner))
@@ -257,7 +258,7 @@
 		Expect(out).To(ContainSubstring(`"final": "succeeded"`))
 	})
 
-	It("are known to every daemon, and handed over by a planned stop", func() {
+	It("are visible at every daemon and handed over when their owner is stopped gracefully", func() {
 		r := newQueueRig(3)
 		r.submit("d2", "00000000000000b1", steps)
 		Eventually(r.owner, 30*time.Second, 50*time.Millisecond).ShouldNot(BeEmpty())
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -9,7 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// relay stands between a hall and the platform, and can cut them.
+// relay forwards TCP connections from a hall to the platform. It can cut them all and refuse
+// new ones.
 type relay struct {
 	address string
 	target  string
@@ -21,13 +22,13 @@
 
 func newRelay(target string) *relay {
 	GinkgoHelper()
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(at.Close)
-	r := &relay{address: at.Addr().String(), target: target, conns: map[net.Conn]bool{}}
+	DeferCleanup(listener.Close)
+	r := &relay{address: listener.Addr().String(), target: target, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
-			conn, err := at.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -57,10 +58,10 @@
 		return
 	}
 	defer out.Close()
-	var both sync.WaitGroup
-	both.Go(func() { _, _ = io.Copy(out, in); out.Close() }) // either end may go
-	both.Go(func() { _, _ = io.Copy(in, out); in.Close() })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { _, _ = io.Copy(out, in); out.Close() }) // either side may close first
+	copies.Go(func() { _, _ = io.Copy(in, out); in.Close() })
+	copies.Wait()
 }
 
 func (r *relay) add(conn net.Conn) bool {
--- a/e2e/silent_test.go
+++ b/e2e/silent_test.go
@@ -15,33 +15,35 @@
 )
 
 const (
-	// silenceWindow is how long callers are watched after connections have fallen
-	// silent, silentAgain when those that were made since do so too, silentWorkers
-	// when only those to workers do, as the store is reached again by then.
+	// silenceWindow is how long callers are observed after the first connections are
+	// silenced. The connections opened since are silenced after secondSilenceAfter, and only
+	// those to workers after workerSilenceAfter, when daemons reach the store again.
 	silenceWindow      = 5 * time.Second
 	secondSilenceAfter = time.Second
 	workerSilenceAfter = 2500 * time.Millisecond
-	// silenceCallers hand in work of one subtask each on their own connections.
+	// silenceCallers is the number of callers, each with its own connections, that submit work
+	// of one subtask.
 	silenceCallers = 4
-	// longSubmissions submissions of silentWidth subtasks run through all windows.
+	// longSubmissions is the number of submissions, of longSubmissionSubtasks subtasks each,
+	// that run through all windows.
 	longSubmissions        = 2
 	longSubmissionSubtasks = 3
-	// cancelBound is how long after the answer to a cancel something of the submission
-	// may still be started: the platform's bound.
+	// cancelBound is the platform's limit on how long after an answered cancel subtasks of the
+	// submission may still be started.
 	cancelBound = 3 * time.Second
-	// startPollInterval is how exactly starts are timed.
+	// startPollInterval is the resolution at which start times are observed.
 	startPollInterval = 2 * time.Millisecond
 )
 
 type (
-	// silenceScenario is which connections fall silent.
+	// silenceScenario selects the connections to silence.
 	silenceScenario struct {
 		name    string
 		proxies func(s *silenceTest) []*proxy
 	}
 
-	// silenceResult is when connections fell silent, and how many did then and
-	// later.
+	// silenceResult holds when a scenario began, how many connections each of its three steps
+	// silenced, and the pool's owner before and after.
 	silenceResult struct {
 		name                                 string
 		began                                time.Time
@@ -49,52 +51,52 @@
 		ownerBefore, ownerAfter              string
 	}
 
-	// acceptance is a submission that was accepted.
+	// acceptance records when an accepted submission was sent and how long the answer took.
 	acceptance struct {
 		sent time.Time
 		took time.Duration
 	}
 
-	// silenceTest is a deployment with work, some of whose connections fall
-	// silent, and what its callers and workers see.
+	// silenceTest silences connections of a deployment under load and records what its callers
+	// and workers observe.
 	silenceTest struct {
 		*soak
 
 		timesMu sync.Mutex
 		accepts []acceptance
-		// starts are when subtasks were started.
+		// starts are the observed start times of subtasks.
 		starts  []time.Time
 		cancels []*answeredCancel
 	}
 
-	// answeredCancel is a submission whose cancel was answered.
+	// answeredCancel tracks a submission whose cancel was answered.
 	answeredCancel struct {
 		id tw.SubmissionID
 		at time.Time
-		// everStarted and active are whether it had been started and how many runs of it
-		// there were when last seen.
+		// everStarted tells whether any subtask had been started, and active how many runs
+		// there were, at the last check.
 		everStarted bool
 		active      int
-		// lastStart is how long after the answer something of it was last started; zero
-		// if nothing was.
+		// lastStart is the time from the answer to the last start of a subtask; zero if
+		// there was none.
 		lastStart time.Duration
 	}
 )
 
-// silenceLatencies leave some orders and writes under way at any moment: they are
-// done and their answers do not come.
+// silenceLatencies are long enough that some orders and writes are in flight whenever
+// connections are silenced: they take effect but their answers do not arrive.
 var silenceLatencies = latencies{store: time.Millisecond, workers: 10 * time.Millisecond}
 
-// silenceScenarios come one after the other in one deployment.
+// silenceScenarios run one after the other in the same deployment.
 var silenceScenarios = []silenceScenario{
 	{"every connection", func(s *silenceTest) []*proxy { return s.proxies() }},
-	// Others may take the pool over, as they still reach the store.
+	// Another daemon may take the pool over, as the others still reach the store.
 	{"the owner's connections", func(s *silenceTest) []*proxy {
 		return append(slices.Clone(s.workerProxies), s.storeProxies[s.owner()])
 	}},
 }
 
-// run silences connections twice while callers go on.
+// run runs all scenarios while callers submit work, and then checks the guarantees.
 func (s *silenceTest) run() {
 	var watch, callers sync.WaitGroup
 	ended := make(chan struct{})
@@ -110,15 +112,15 @@
 		random := rand.New(rand.NewPCG(s.random.Uint64(), uint64(n)))
 		callers.Go(func() { s.runCaller(n, random) })
 	}
-	time.Sleep(300 * time.Millisecond) // so that all connections are in use
-	var moments []silenceResult
-	for _, c := range silenceScenarios {
-		moments = append(moments, s.runScenario(c))
+	time.Sleep(300 * time.Millisecond) // until all connections are in use
+	var results []silenceResult
+	for _, scenario := range silenceScenarios {
+		results = append(results, s.runScenario(scenario))
 	}
 	close(s.healed)
 	callers.Wait()
-	for _, m := range moments {
-		s.printResult(m)
+	for _, result := range results {
+		s.printResult(result)
 	}
 	for n := range longSubmissions {
 		s.record(s.accepted, fmt.Sprintf("f%015x", n))
@@ -127,35 +129,35 @@
 	s.checkCancels()
 }
 
-// runScenario lets connections fall silent, those made since once more, and then those to
-// the workers, and waits for the window to end.
-func (s *silenceTest) runScenario(c silenceScenario) silenceResult {
-	m := silenceResult{name: c.name, began: time.Now(), ownerBefore: s.owner()}
-	m.firstCount = silenceAll(c.proxies(s))
-	Expect(m.firstCount).To(BeNumerically(">", 0))
+// runScenario silences connections, then those opened since, then those to the workers, and
+// waits for the end of the window.
+func (s *silenceTest) runScenario(scenario silenceScenario) silenceResult {
+	result := silenceResult{name: scenario.name, began: time.Now(), ownerBefore: s.owner()}
+	result.firstCount = silenceAll(scenario.proxies(s))
+	Expect(result.firstCount).To(BeNumerically(">", 0))
 	time.Sleep(secondSilenceAfter)
-	m.secondCount = silenceAll(c.proxies(s))
-	time.Sleep(workerSilenceAfter - time.Since(m.began))
-	m.workerCount = silenceAll(s.workerProxies)
-	time.Sleep(silenceWindow - time.Since(m.began))
-	m.ownerAfter = s.owner()
-	return m
+	result.secondCount = silenceAll(scenario.proxies(s))
+	time.Sleep(workerSilenceAfter - time.Since(result.began))
+	result.workerCount = silenceAll(s.workerProxies)
+	time.Sleep(silenceWindow - time.Since(result.began))
+	result.ownerAfter = s.owner()
+	return result
 }
 
-// printResult tells what callers and workers saw in a window.
-func (s *silenceTest) printResult(m silenceResult) {
+// printResult prints what callers and workers observed during a scenario.
+func (s *silenceTest) printResult(result silenceResult) {
 	s.timesMu.Lock()
 	defer s.timesMu.Unlock()
 	var accepts []time.Duration
 	for _, a := range s.accepts {
-		if a.sent.After(m.began) && a.sent.Before(m.began.Add(silenceWindow)) {
+		if a.sent.After(result.began) && a.sent.Before(result.began.Add(silenceWindow)) {
 			accepts = append(accepts, a.took)
 		}
 	}
-	waits := nextStartDelays(s.starts, m.began)
-	GinkgoWriter.Printf("%s silent: %d, then %d, then %d to workers; owner %s, then %s; accept p50 %v p99 %v of %d; next start p50 %v p99 %v\n",
-		m.name, m.firstCount, m.secondCount, m.workerCount, m.ownerBefore, m.ownerAfter, quantile(accepts, 0.5), quantile(accepts, 0.99), len(accepts),
-		quantile(waits, 0.5), quantile(waits, 0.99))
+	delays := nextStartDelays(s.starts, result.began)
+	GinkgoWriter.Printf("%s silenced: %d, then %d, then %d to workers; owner %s, then %s; accept p50 %v p99 %v of %d; next start p50 %v p99 %v\n",
+		result.name, result.firstCount, result.secondCount, result.workerCount, result.ownerBefore, result.ownerAfter, quantile(accepts, 0.5), quantile(accepts, 0.99), len(accepts),
+		quantile(delays, 0.5), quantile(delays, 0.99))
 }
 
 func silenceAll(proxies []*proxy) int {
@@ -166,7 +168,7 @@
 	return count
 }
 
-// runCaller hands in work and cancels some of it.
+// runCaller submits work and cancels some of it until all scenarios have ended.
 func (s *silenceTest) runCaller(n int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -195,7 +197,7 @@
 	s.accepts = append(s.accepts, a)
 }
 
-// recordCancel notes a submission whose cancel has just been answered.
+// recordCancel records a submission whose cancel has just been answered.
 func (s *silenceTest) recordCancel(id tw.SubmissionID) {
 	s.timesMu.Lock()
 	defer s.timesMu.Unlock()
@@ -204,35 +206,36 @@
 	})
 }
 
-// updateCancelled notes what is started although its cancel was answered. The
-// caller holds the lock.
+// updateCancelled records starts of subtasks whose cancel was already answered. The caller
+// must hold timesMu.
 func (s *silenceTest) updateCancelled(now time.Time) {
 	for _, c := range s.cancels {
-		begun, active := s.fleet.EverStarted(c.id), s.fleet.Active(c.id)
-		if begun && !c.everStarted || active > c.active {
+		everStarted, active := s.fleet.EverStarted(c.id), s.fleet.Active(c.id)
+		if everStarted && !c.everStarted || active > c.active {
 			c.lastStart = now.Sub(c.at)
 		}
-		c.everStarted, c.active = begun, active
+		c.everStarted, c.active = everStarted, active
 	}
 }
 
-// checkCancels checks that nothing was started long after its cancel was answered.
+// checkCancels checks that no subtask was started cancelBound or later after its cancel was
+// answered.
 func (s *silenceTest) checkCancels() {
 	s.timesMu.Lock()
 	defer s.timesMu.Unlock()
 	count, longest := 0, time.Duration(0)
 	for _, c := range s.cancels {
-		Expect(c.lastStart).To(BeNumerically("<", cancelBound), "start of cancelled "+string(c.id))
+		Expect(c.lastStart).To(BeNumerically("<", cancelBound), "subtask started after the cancel of "+string(c.id))
 		if c.lastStart > 0 {
 			count++
 			longest = max(longest, c.lastStart)
 		}
 	}
-	GinkgoWriter.Printf("started after an answered cancel: %d of %d, the last %v after it\n",
+	GinkgoWriter.Printf("submissions with a start after an answered cancel: %d of %d, the latest %v after it\n",
 		count, len(s.cancels), longest.Round(time.Millisecond))
 }
 
-// watchStarts notes when subtasks are started.
+// watchStarts records when subtasks are started.
 func (s *silenceTest) watchStarts(ended <-chan struct{}) {
 	seen := 0
 	for {
@@ -255,13 +258,13 @@
 	s.updateCancelled(at)
 }
 
-// nextStartDelays is how long it is to the next start from each moment of the window
-// that began then; where none follows, to the end of the window.
+// nextStartDelays samples the window that begins at began every 10 ms and returns the time
+// from each sample to the next start, or to the end of the window if there is none.
 func nextStartDelays(starts []time.Time, began time.Time) []time.Duration {
-	const every = 10 * time.Millisecond
+	const interval = 10 * time.Millisecond
 	end := began.Add(silenceWindow)
 	var out []time.Duration
-	for at := began; at.Before(end); at = at.Add(every) {
+	for at := began; at.Before(end); at = at.Add(interval) {
 		next, _ := slices.BinarySearchFunc(starts, at, time.Time.Compare)
 		if next < len(starts) && starts[next].Before(end) {
 			out = append(out, starts[next].Sub(at))
@@ -272,7 +275,7 @@
 	return out
 }
 
-// quantile is that of a list; zero if the list is empty.
+// quantile returns the q-quantile of a list, or zero if the list is empty.
 func quantile(list []time.Duration, q float64) time.Duration {
 	if len(list) == 0 {
 		return 0
@@ -281,8 +284,8 @@
 	return sorted[int(q*float64(len(sorted)-1))].Round(time.Millisecond)
 }
 
-var _ = Describe("connections that fall silent for good", func() {
-	It("make nothing run twice, and what was answered holds", func() {
+var _ = Describe("connections that are silenced permanently", func() {
+	It("cause no duplicate run and break no answered request", func() {
 		(&silenceTest{soak: newSoak(1, newPlatformRig(silenceLatencies))}).run()
 	})
 })
--- a/e2e/soak_faults_test.go
+++ b/e2e/soak_faults_test.go
@@ -14,22 +14,24 @@
 )
 
 type (
-	// faultTarget is what a fault befalls; each kind of fault uses some of it.
+	// faultTarget holds the parameters of a fault. Each kind of fault uses some of them.
 	faultTarget struct {
 		daemon string
 		worker int
 		link   linkFault
-		count  int // of answers, writes or starts
+		count  int // number of answers, writes or starts affected
 	}
 
-	// soakFault is a kind of fault. Its begin returns what heals it.
+	// soakFault is a kind of fault. inject starts the fault and returns the function that ends
+	// it.
 	soakFault struct {
 		name   string
 		inject func(s *soak, t faultTarget) (heal func())
 	}
 )
 
-// soakFaults are the kinds of faults. Their order is part of what a seed means.
+// soakFaults are the kinds of faults. A seed selects them by index, so a change of their
+// order changes what each seed tests.
 var soakFaults = []soakFault{
 	{"pause", func(s *soak, t faultTarget) func() {
 		s.daemon(t.daemon).signal(syscall.SIGSTOP)
@@ -41,7 +43,7 @@
 	}},
 	{"stop", func(s *soak, t faultTarget) func() {
 		p := s.daemon(t.daemon)
-		p.signal(syscall.SIGCONT) // a paused process would not see the stop
+		p.signal(syscall.SIGCONT) // a paused process does not handle SIGTERM
 		p.stop()
 		return func() { s.ensureRunning(t.daemon) }
 	}},
@@ -85,31 +87,32 @@
 		for _, p := range silenced {
 			p.silence()
 		}
-		return func() {} // they stay so
+		return func() {} // silenced connections stay silent
 	}},
 }
 
-// proxies are those to the store and to the workers.
+// proxies returns the proxies to the store and to the workers.
 func (s *soak) proxies() []*proxy {
 	return slices.Concat(slices.Collect(maps.Values(s.storeProxies)), s.workerProxies)
 }
 
-// injectFault lets one fault come and, after a while, end. Faults overlap.
+// injectFault starts a random fault and ends it in the background after a random time. Faults
+// may overlap.
 func (s *soak) injectFault() {
-	// All numbers are drawn for every fault, so that a seed plays the same
-	// faults whichever of them are used.
+	// All parameters are drawn for every fault, so that a seed gives the same sequence of
+	// faults whichever parameters they use.
 	target := faultTarget{
 		daemon: fmt.Sprintf("d%d", 1+s.random.IntN(soakDaemons)), worker: s.random.IntN(soakWorkers),
 	}
-	lasts := time.Duration(300+s.random.IntN(2500)) * time.Millisecond
-	target.link = linkFault(1 + s.random.IntN(4)) // any but linkSound
+	duration := time.Duration(300+s.random.IntN(2500)) * time.Millisecond
+	target.link = linkFault(1 + s.random.IntN(4)) // any but linkHealthy
 	target.count = 1 + s.random.IntN(3)
 	fault := soakFaults[s.random.IntN(len(soakFaults))]
 	GinkgoWriter.Printf("fault: %s %s w%d link fault %d count %d for %v\n",
-		fault.name, target.daemon, target.worker, target.link, target.count, lasts)
+		fault.name, target.daemon, target.worker, target.link, target.count, duration)
 	s.activeFaults.Go(func() {
 		heal := fault.inject(s, target)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		heal()
 	})
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -20,49 +20,49 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-// Run more seeds by hand with, for example,
+// To run more seeds by hand:
 //
 //	TAMARIND_SOAK_SEEDS=1-50 go test ./e2e -timeout 60m -ginkgo.focus soak
 
-// soakSeeds are played in every run: one that is always the same, and each
-// that ever failed, with a line on the cause.
+// soakSeeds are the seeds tested in every run: a fixed one, and each seed that once failed,
+// with a line on the cause.
 var soakSeeds = []uint64{1}
 
 const (
-	// soakFaultPeriod is how long faults come, soakHeal how long the system may take
-	// afterwards until all work has ended: everything that was granted to a
-	// silent worker lapses within 6 s, twice over for a former owner's.
+	// soakFaultPeriod is how long faults are injected. soakRecoveryTimeout is the limit until
+	// all work has ended afterwards: whatever was granted to a silent worker lapses within
+	// 6 s, or 12 s if a former owner granted it.
 	soakFaultPeriod     = 6 * time.Second
 	soakRecoveryTimeout = 60 * time.Second
-	// soakDaemons that keep the queue, d1 to d3, soakWorkers of four cores each,
-	// soakCallers that hand in work.
+	// The deployment has soakDaemons queue daemons, d1 to d3, and soakWorkers workers of four
+	// cores each; soakCallers callers submit work.
 	soakDaemons = 3
 	soakWorkers = 4
 	soakCallers = 3
-	// soakMaxAttempts bounds how often a caller repeats a request.
+	// soakMaxAttempts limits how often a caller sends a request.
 	soakMaxAttempts = 40
 	// soakRequestTimeout is how long a caller waits for an answer.
 	soakRequestTimeout = 4 * time.Second
 )
 
-// soak is a deployment under faults, and what its callers were told.
+// soak is a deployment under faults, with the answers that its callers received.
 type soak struct {
 	*queueRig
 	random        *rand.Rand
-	storeProxies  map[string]*proxy // to the store, by daemon
-	workerProxies []*proxy          // to the workers
-	healed        chan struct{}     // closed once all faults are healed
-	activeFaults  sync.WaitGroup    // of faults that are not healed yet
+	storeProxies  map[string]*proxy // proxies to the store, by daemon
+	workerProxies []*proxy          // proxies to the workers
+	healed        chan struct{}     // closed once all faults have ended
+	activeFaults  sync.WaitGroup    // faults that have not ended yet
 
 	mu sync.Mutex
-	// accepted were answered 200, refused only ever 429 or 503, cancelled are
-	// those of which a cancel was confirmed, completed were shown as such.
+	// The maps hold submission IDs. accepted were answered 200, refused got no answer but 429
+	// or 503, cancelled had a cancel confirmed, completed were reported as completed.
 	accepted, refused, cancelled, completed map[string]bool
-	// violations are the promises that were broken.
+	// violations describes each violated guarantee.
 	violations []string
 
-	// versions are the newest configuration that was seen in force in a process.
-	// Only operate uses them.
+	// versions holds the newest configuration version seen in force in each process. Only
+	// runOperator uses it.
 	versions map[*process]int
 }
 
@@ -87,8 +87,8 @@
 	return s
 }
 
-// request makes a request with the time that a caller has for it. The status is
-// zero if there was no answer: it is unclear then what was done.
+// request sends a request with a caller's timeout. The status is 0 if there was no answer;
+// the request may have taken effect then.
 func (s *soak) request(client *http.Client, daemon, method, path, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), soakRequestTimeout)
 	defer cancel()
@@ -102,12 +102,12 @@
 		return 0, ""
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body) // an answer that breaks off is none that is looked at
+	text, _ := io.ReadAll(resp.Body) // a truncated answer fails where it is decoded
 	return resp.StatusCode, string(text)
 }
 
-// runCaller hands in work on connections that it keeps open, asks for it, and
-// cancels some of it, until faults have ended.
+// runCaller submits work on persistent connections, queries it, and cancels some of it, until
+// all faults have ended.
 func (s *soak) runCaller(n int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -130,7 +130,7 @@
 
 func anyDaemon(random *rand.Rand) string { return fmt.Sprintf("d%d", 1+random.IntN(soakDaemons)) }
 
-// soakSteps is work of one or two steps.
+// soakSteps returns work of one or two random steps.
 func soakSteps(random *rand.Rand) []tw.Step {
 	steps := []tw.Step{{Count: 1 + random.IntN(5), Need: tw.Resources{CPU: 1000}, Estimate: time.Duration(100+random.IntN(900)) * time.Millisecond}}
 	if random.IntN(2) == 0 {
@@ -139,11 +139,12 @@
 	return steps
 }
 
-// submitWithRetries submits until it is accepted or surely refused.
+// submitWithRetries submits work until it is accepted. After a definite refusal it may give
+// up. It reports whether the work was accepted.
 func (s *soak) submitWithRetries(client *http.Client, id string, steps []tw.Step, random *rand.Rand) bool {
 	s.fleet.RegisterSubmission(&tw.Submission{ID: tw.SubmissionID(id), Steps: steps, Policy: tw.RoutePolicy{Attempts: 3}}, nil)
 	body := submissionBody(steps)
-	unclear := false
+	mayBeAccepted := false
 	for range soakMaxAttempts {
 		status, _ := s.request(client, anyDaemon(random), "POST", "/x/"+id, body)
 		switch status {
@@ -151,25 +152,25 @@
 			s.record(s.accepted, id)
 			return true
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-			if !unclear && random.IntN(3) == 0 {
-				s.record(s.refused, id) // it gives up: the work must never run
+			if !mayBeAccepted && random.IntN(3) == 0 {
+				s.record(s.refused, id) // the caller gives up, so the work must never run
 				return false
 			}
 		default:
-			unclear = true
+			mayBeAccepted = true
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return false
 }
 
-// cancel asks for a cancel until it is confirmed, or answered with 410: no such
-// submission. It tells whether it is confirmed.
+// cancel requests a cancel until it is confirmed or answered with 410 (no such submission).
+// It reports whether the cancel was confirmed.
 func (s *soak) cancel(client *http.Client, id string, random *rand.Rand) bool {
 	for range soakMaxAttempts {
 		status, _ := s.request(client, anyDaemon(random), "DELETE", "/x/"+id, "")
 		if status == http.StatusGone {
-			s.recordViolation("%s was accepted and its cancel finds no such submission", id)
+			s.recordViolation("%s was accepted but its cancel was answered with 410", id)
 			return false
 		}
 		if status == http.StatusOK {
@@ -181,28 +182,28 @@
 	return false
 }
 
-// checkState asks for a state and holds it against what was shown before.
+// checkState queries the state of a submission and compares it with earlier answers.
 func (s *soak) checkState(client *http.Client, id string, random *rand.Rand) string {
 	status, text := s.request(client, anyDaemon(random), "GET", "/x/"+id, "")
-	var shown struct{ State string }
-	if status == http.StatusOK && json.Unmarshal([]byte(text), &shown) != nil {
+	var reply struct{ State string }
+	if status == http.StatusOK && json.Unmarshal([]byte(text), &reply) != nil {
 		s.recordViolation("unreadable state of %s: %q", id, text)
 	}
 	s.mu.Lock()
 	before, accepted := s.completed[id], s.accepted[id]
-	s.completed[id] = before || shown.State == "completed"
+	s.completed[id] = before || reply.State == "completed"
 	s.mu.Unlock()
 	switch {
-	case before && status == http.StatusOK && shown.State != "completed":
-		s.recordViolation("%s was completed and is shown as %s", id, shown.State)
+	case before && status == http.StatusOK && reply.State != "completed":
+		s.recordViolation("%s was completed but is now reported as %s", id, reply.State)
 	case accepted && status == http.StatusGone:
-		s.recordViolation("%s was accepted and is not known", id)
+		s.recordViolation("%s was accepted but is now unknown", id)
 	}
-	return shown.State
+	return reply.State
 }
 
-// runOperator writes new configurations, and looks at each daemon for the newest
-// and the one before it: a process must never go back.
+// runOperator writes new configurations and probes random daemons for the two newest
+// versions: a process must never return to an older one.
 func (s *soak) runOperator(random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -227,19 +228,19 @@
 	}
 }
 
-// recordVersion notes that a configuration is in force in a process, which must
-// not be older than one seen there before.
+// recordVersion records that a configuration is in force in a process. It must not be older
+// than one seen there before.
 func (s *soak) recordVersion(daemon string, p *process, version int) {
 	if version < s.versions[p] {
-		s.recordViolation("%s went back from configuration %d to %d", daemon, s.versions[p], version)
+		s.recordViolation("%s reverted from configuration %d to %d", daemon, s.versions[p], version)
 	}
 	s.versions[p] = max(s.versions[p], version)
 }
 
-func (s *soak) record(where map[string]bool, id string) {
+func (s *soak) record(set map[string]bool, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	where[id] = true
+	set[id] = true
 }
 
 func (s *soak) recordViolation(format string, args ...any) {
@@ -248,8 +249,8 @@
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// run lets faults come for a while, heals everything, and checks that all
-// that was accepted ends and that no promise was broken.
+// run injects faults during soakFaultPeriod, ends them all, and checks that all accepted work
+// ends and that no guarantee was violated.
 func (s *soak) run() {
 	var callers sync.WaitGroup
 	for n := range soakCallers {
@@ -269,8 +270,8 @@
 	s.checkGuarantees()
 }
 
-// checkGuarantees checks, after all faults have ended, what the callers were told
-// against what has run.
+// checkGuarantees compares the answers that callers received with the runs that took place.
+// All faults must have ended.
 func (s *soak) checkGuarantees() {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -292,7 +293,7 @@
 	Expect(s.accepted).NotTo(BeEmpty())
 }
 
-// healAll ends all faults; every daemon runs.
+// healAll ends all faults and ensures that every daemon runs.
 func (s *soak) healAll() {
 	s.kv.SetFaults(standin.KVFaults{})
 	s.kv.ApplyLateWrites()
@@ -306,7 +307,7 @@
 	}
 }
 
-// seeds are those of the environment, else those played in every run.
+// seeds returns the seeds of TAMARIND_SOAK_SEEDS (N or FIRST-LAST), or soakSeeds if it is not set.
 func seeds() []uint64 {
 	from, to, found := strings.Cut(os.Getenv("TAMARIND_SOAK_SEEDS"), "-")
 	first, err := strconv.ParseUint(from, 10, 64)
@@ -325,8 +326,8 @@
 	return out
 }
 
-var _ = Describe("soak: daemons under faults from outside", func() {
+var _ = Describe("soak: daemons under injected faults", func() {
 	for _, seed := range seeds() {
-		It(fmt.Sprintf("keep their promises, seed %d", seed), func() { newSoak(seed, newPlatformRig(latencies{})).run() })
+		It(fmt.Sprintf("keep their guarantees, seed %d", seed), func() { newSoak(seed, newPlatformRig(latencies{})).run() })
 	}
 })
--- a/e2e/suite_test.go
+++ b/e2e/suite_test.go
@@ -1,4 +1,4 @@
-// Package e2e runs the product as separate processes and makes them fail.
+// Package e2e tests the product as separate processes under injected faults.
 package e2e
 
 import (
@@ -11,13 +11,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// bin is where the programs were built.
+// bin is the directory with the programs built for the test run.
 var bin string
 
 func TestE2E(t *testing.T) {
 	RegisterFailHandler(Fail)
 	suite, reporter := GinkgoConfiguration()
-	suite.RandomSeed = 1 // the same order in every run
+	suite.RandomSeed = 1 // runs the specs in the same order every time
 	RunSpecs(t, "separate processes", suite, reporter)
 }
 
