--- a/control/planner_look.go
+++ b/control/planner_look.go
@@ -70,7 +70,7 @@
 }
 
 // pollRoster reads the hall's roster and polls the report of each daemon on it.
-func (p *planner) pollRoster(ctx context.Context) ([]fleet.Member, error) {
+func (p *planner) pollRoster(ctx context.Context) ([]fleet.MemberStatus, error) {
 	n := p.node
 	stored, err := n.cfg.Documents.Read(ctx, tw.RosterKey(n.cfg.Self.Hall))
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 	n.syncWith(ctx, addresses, true)
 	p.removeAbsent(ctx, roster)
-	out := make([]fleet.Member, 0, len(all))
+	out := make([]fleet.MemberStatus, 0, len(all))
 	for _, m := range all {
 		out = append(out, p.memberStatus(m))
 	}
@@ -110,8 +110,8 @@
 
 // memberStatus returns what a registered daemon last reported. Without a report from
 // its current incarnation, it counts as having acknowledged nothing.
-func (p *planner) memberStatus(m tw.RosterMember) fleet.Member {
-	out := fleet.Member{ID: m.ID, InFlight: map[fleet.InstanceJob]int{}}
+func (p *planner) memberStatus(m tw.RosterMember) fleet.MemberStatus {
+	out := fleet.MemberStatus{ID: m.ID, InFlight: map[fleet.InstanceJob]int{}}
 	report := p.node.report()
 	if m.ID != p.node.cfg.Self.ID {
 		state, ok := p.node.members.get(m.ID, m.Incarnation)
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -222,7 +222,7 @@
 	defer d.mu.Unlock()
 	if _, known := d.waves[wave.Number]; !known {
 		d.log.Info("wave: requested", zap.Int64("wave", wave.Number), zap.Int("machines", len(wave.Machines)),
-			zap.Duration("within", wave.NoticePeriod), zap.Int("at_once", wave.MaxConcurrent))
+			zap.Duration("within", wave.TimeLimit), zap.Int("at_once", wave.MaxConcurrent))
 	}
 	d.waves[wave.Number] = wave
 }
--- a/daemon/rescue.go
+++ b/daemon/rescue.go
@@ -98,7 +98,7 @@
 	var out []ownership
 	for pool, p := range o.owned {
 		out = append(out, ownership{
-			record: p.owner.Record(), storeOutage: p.owner.StoreOutage, overload: p.owner.Shortage,
+			record: p.owner.Record(), storeOutage: p.owner.StoreOutage, overload: p.owner.OverloadedFor,
 			close: func() { o.closeOwner(pool, p) },
 		})
 	}
@@ -152,7 +152,7 @@
 // number of earlier requests. If that daemon does not take it, the next iteration of
 // monitorOwners asks another one.
 func (o *owners) requestTakeover(record ledger.Owner, outage time.Duration, requests int) {
-	peer, found := o.d.members.TakeoverTarget(record.Pool, requests)
+	peer, found := o.d.members.ReachableSuccessor(record.Pool, requests)
 	if !found {
 		return
 	}
--- a/fleet/hall_test.go
+++ b/fleet/hall_test.go
@@ -119,7 +119,7 @@
 		if !h.paused[id] {
 			h.acked[id] = h.in.Plan.Generation
 		}
-		h.in.Members = append(h.in.Members, Member{ID: id, Acked: h.acked[id]})
+		h.in.Members = append(h.in.Members, MemberStatus{ID: id, Acked: h.acked[id]})
 	}
 	h.in.Tasks = slices.SortedFunc(maps.Values(h.tasks), func(a, b tw.Task) int {
 		return slices.Compare([]byte(a.ID), []byte(b.ID))
--- a/fleet/input.go
+++ b/fleet/input.go
@@ -21,7 +21,7 @@
 		TasksKnown bool
 		// Members are the daemons in the hall's roster, which must be read after
 		// Plan was written.
-		Members []Member
+		Members []MemberStatus
 		// Health has the recent request results by instance.
 		Health map[tw.InstanceID]Health
 		// BusySlots is the measured number of busy slots by job.
@@ -31,8 +31,8 @@
 		Allowance map[tw.ServiceID]int
 	}
 
-	// Member is a registered daemon and the content of its last report.
-	Member struct {
+	// MemberStatus is a registered daemon and the content of its last report.
+	MemberStatus struct {
 		ID tw.DaemonID
 		// Acked is 0 for a daemon that has sent no report since it registered.
 		Acked    tw.Generation
--- a/fleet/world_test.go
+++ b/fleet/world_test.go
@@ -43,7 +43,7 @@
 
 type simHeartbeat struct {
 	incarnation tw.Incarnation
-	member      Member
+	member      MemberStatus
 }
 
 // simRequest is a request in flight.
@@ -181,7 +181,7 @@
 
 func (w *simHall) heartbeatOf(id tw.DaemonID) simHeartbeat {
 	d := w.daemons[id]
-	m := Member{ID: id, Acked: d.plan.Generation, InFlight: map[InstanceJob]int{}}
+	m := MemberStatus{ID: id, Acked: d.plan.Generation, InFlight: map[InstanceJob]int{}}
 	for _, f := range w.requests {
 		if f.daemon == id {
 			m.InFlight[f.key]++
@@ -214,10 +214,10 @@
 }
 
 // members returns the roster's daemons with their last heartbeats to this planner.
-func (p *simPlanner) members(roster map[tw.DaemonID]tw.Incarnation) []Member {
-	var out []Member
+func (p *simPlanner) members(roster map[tw.DaemonID]tw.Incarnation) []MemberStatus {
+	var out []MemberStatus
 	for _, id := range slices.Sorted(maps.Keys(roster)) {
-		m := Member{ID: id}
+		m := MemberStatus{ID: id}
 		if h := p.heartbeats[id]; h.incarnation == roster[id] {
 			m = h.member
 		}
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -114,7 +114,7 @@
 }
 
 func (m *model) refreshInput() {
-	m.in.Members = []fleet.Member{{ID: "d1", Acked: m.in.Plan.Generation}}
+	m.in.Members = []fleet.MemberStatus{{ID: "d1", Acked: m.in.Plan.Generation}}
 	m.in.Tasks = slices.SortedFunc(maps.Values(m.tasks), func(a, b tw.Task) int { return cmp.Compare(a.ID, b.ID) })
 }
 
--- a/machine.go
+++ b/machine.go
@@ -26,8 +26,8 @@
 	MaintenanceWave struct {
 		Number   int64
 		Machines []InstanceID
-		// NoticePeriod is the time from the announcement of the wave to its deadline.
-		NoticePeriod time.Duration
+		// TimeLimit is the time from the announcement of the wave to its deadline.
+		TimeLimit time.Duration
 		// MaxConcurrent limits the machines that are down for the wave at the same
 		// time.
 		MaxConcurrent int
--- a/maintenance/decide.go
+++ b/maintenance/decide.go
@@ -115,7 +115,7 @@
 // behindSchedule reports whether the remaining time of a wave is too short for its remaining
 // machines at the usual pace.
 func (s *State) behindSchedule(w *Wave, waiting int) bool {
-	left := w.FirstSeen.Add(time.Duration((1 - waveTimeReserve) * float64(w.NoticePeriod))).Sub(s.Now)
+	left := w.FirstSeen.Add(time.Duration((1 - waveTimeReserve) * float64(w.TimeLimit))).Sub(s.Now)
 	rounds := math.Ceil(float64(waiting) / float64(w.MaxConcurrent))
 	return left < time.Duration(rounds)*waveRoundTime
 }
--- a/maintenance/decide_test.go
+++ b/maintenance/decide_test.go
@@ -59,7 +59,7 @@
 
 func (f fleet) wave(atOnce int, machines ...tw.InstanceID) *maintenance.Wave {
 	w := &maintenance.Wave{
-		MaintenanceWave: tw.MaintenanceWave{Number: 1, Machines: machines, NoticePeriod: time.Minute, MaxConcurrent: atOnce},
+		MaintenanceWave: tw.MaintenanceWave{Number: 1, Machines: machines, TimeLimit: time.Minute, MaxConcurrent: atOnce},
 		FirstSeen:       base, Done: map[tw.InstanceID]bool{},
 	}
 	f.Waves = append(f.Waves, w)
--- a/maintenance/manager_test.go
+++ b/maintenance/manager_test.go
@@ -88,7 +88,7 @@
 }
 
 func (o *fixture) addWave(machines ...tw.InstanceID) {
-	o.waves = append(o.waves, tw.MaintenanceWave{Number: 1, Machines: machines, NoticePeriod: 30 * time.Second, MaxConcurrent: 1})
+	o.waves = append(o.waves, tw.MaintenanceWave{Number: 1, Machines: machines, TimeLimit: 30 * time.Second, MaxConcurrent: 1})
 }
 
 func (o *fixture) status() string {
@@ -189,7 +189,7 @@
 		}
 		o.owners.mu.Unlock()
 		before := len(o.cloud.Orders())
-		o.waves = []tw.MaintenanceWave{{Number: 2, Machines: []tw.InstanceID{"m1"}, NoticePeriod: 30 * time.Second, MaxConcurrent: 1}}
+		o.waves = []tw.MaintenanceWave{{Number: 2, Machines: []tw.InstanceID{"m1"}, TimeLimit: 30 * time.Second, MaxConcurrent: 1}}
 		startedAt := time.Now()
 		b := o.startManager("b")
 		defer b.Close()
--- a/maintenance/orders_test.go
+++ b/maintenance/orders_test.go
@@ -208,7 +208,7 @@
 			return err == nil && len(orders) > 0
 		}
 		o.Eventually(recorded, 5*time.Second, 10*time.Millisecond).Should(BeTrue())
-		o.waves = append(o.waves, tw.MaintenanceWave{Number: 2, Machines: []tw.InstanceID{"m1"}, NoticePeriod: 30 * time.Second, MaxConcurrent: 1})
+		o.waves = append(o.waves, tw.MaintenanceWave{Number: 2, Machines: []tw.InstanceID{"m1"}, TimeLimit: 30 * time.Second, MaxConcurrent: 1})
 		b := o.startManager("b")
 		defer b.Close()
 		for range 100 {
--- a/member/succession.go
+++ b/member/succession.go
@@ -175,12 +175,12 @@
 	return out
 }
 
-// TakeoverTarget returns a daemon that can take over a pool when this one does not
+// ReachableSuccessor returns a daemon that can take over a pool when this one does not
 // reach the metadata store: one that answers pings and reports that it reaches
 // the store. attempt is the number of earlier requests. Each request goes to
 // another daemon, because the last one may have lost the store too without
 // having noticed it. The result is false if there is none.
-func (m *Members) TakeoverTarget(pool tw.PoolID, attempt int) (DaemonRecord, bool) {
+func (m *Members) ReachableSuccessor(pool tw.PoolID, attempt int) (DaemonRecord, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	successors := m.reachableSuccessors(pool)
--- a/member/succession_test.go
+++ b/member/succession_test.go
@@ -128,7 +128,7 @@
 			m.lastKnown[id] = DaemonRecord{Daemon: id, Incarnation: 1, Address: string(id) + ":1", Cores: cores}
 			m.pingStates[string(id)+":1"] = &pingState{quietSince: clock.Now(), storeReachable: true}
 		}
-		first, _ := m.TakeoverTarget("q", 0)
+		first, _ := m.ReachableSuccessor("q", 0)
 		g.Expect(first.Daemon).NotTo(Equal(small))
 	}
 }
@@ -154,19 +154,19 @@
 	for _, id := range []string{"a", "c"} {
 		m.pingStates[id+":1"] = &pingState{quietSince: clock.Now(), storeReachable: true}
 	}
-	first, found := m.TakeoverTarget("p", 0)
+	first, found := m.ReachableSuccessor("p", 0)
 	g.Expect(found).To(BeTrue())
-	second, _ := m.TakeoverTarget("p", 1)
+	second, _ := m.ReachableSuccessor("p", 1)
 	g.Expect(second.Daemon).NotTo(Equal(first.Daemon))
-	third, _ := m.TakeoverTarget("p", 2)
+	third, _ := m.ReachableSuccessor("p", 2)
 	g.Expect(third.Daemon).To(Equal(first.Daemon))
 	m.pingStates[first.Address].storeReachable = false
 	for attempt := range 3 {
-		next, _ := m.TakeoverTarget("p", attempt)
+		next, _ := m.ReachableSuccessor("p", attempt)
 		g.Expect(next.Daemon).To(Equal(second.Daemon))
 	}
 	m.pingStates[second.Address].failingSince = clock.Now()
-	_, found = m.TakeoverTarget("p", 0)
+	_, found = m.ReachableSuccessor("p", 0)
 	g.Expect(found).To(BeFalse())
 }
 
--- a/run/requests.go
+++ b/run/requests.go
@@ -72,9 +72,9 @@
 	})
 }
 
-// Shortage is how long the owner has had too little processor time or link bandwidth for the work
+// OverloadedFor is how long the owner has had too little processor time or link bandwidth for the work
 // that has free capacity; zero if it has enough.
-func (o *Owner) Shortage(ctx context.Context) (time.Duration, error) {
+func (o *Owner) OverloadedFor(ctx context.Context) (time.Duration, error) {
 	return query(ctx, o, func() (time.Duration, error) { return o.window.shortage(o.now), nil })
 }
 
