--- a/run/advice.go
+++ b/run/advice.go
@@ -11,9 +11,9 @@
 )
 
 type (
-	// adviser asks the advice service which workers may run a step. The service accepts one
+	// advisorClient asks the advice service which workers may run a step. The service accepts one
 	// call at a time from each daemon, so a single goroutine makes the calls.
-	adviser struct {
+	advisorClient struct {
 		o        *Owner
 		service  tw.Advisor
 		requests chan adviceRequest
@@ -29,6 +29,7 @@
 		answered map[tw.WorkerID]time.Time
 	}
 
+	// ticket permits starts of the step on one worker until it expires.
 	ticket struct {
 		text      string
 		expiresAt time.Time
@@ -53,8 +54,8 @@
 	adviceRetry = 300 * time.Millisecond
 )
 
-func newAdviser(o *Owner, service tw.Advisor) *adviser {
-	a := &adviser{o: o, service: service, requests: make(chan adviceRequest, adviceQueueSize), done: make(chan struct{})}
+func newAdvisorClient(o *Owner, service tw.Advisor) *advisorClient {
+	a := &advisorClient{o: o, service: service, requests: make(chan adviceRequest, adviceQueueSize), done: make(chan struct{})}
 	go func() {
 		defer close(a.done)
 		a.serve()
@@ -62,9 +63,9 @@
 	return a
 }
 
-func (a *adviser) close() { <-a.done }
+func (a *advisorClient) close() { <-a.done }
 
-func (a *adviser) serve() {
+func (a *advisorClient) serve() {
 	for {
 		select {
 		case <-a.o.ctx.Done():
@@ -85,7 +86,7 @@
 
 // allowed returns the workers with a valid ticket, and requests advice on further workers. known
 // is false while there are none.
-func (a *adviser) allowed(st *step) (allowed map[tw.WorkerID]bool, known bool) {
+func (a *advisorClient) allowed(st *step) (allowed map[tw.WorkerID]bool, known bool) {
 	if st.advice == nil {
 		st.advice = &stepAdvice{tickets: map[tw.WorkerID]ticket{}, answered: map[tw.WorkerID]time.Time{}}
 	}
@@ -100,8 +101,8 @@
 	return allowed, len(allowed) > 0
 }
 
-// request requests advice on the usable workers for which there is no valid answer.
-func (a *adviser) request(st *step) {
+// request asks for advice on the usable workers for which there is no valid answer.
+func (a *advisorClient) request(st *step) {
 	now := a.o.now
 	valid := st.rep.sub.Policy.Advice.Valid
 	if st.advice.inFlight || now.Sub(st.advice.requestedAt) < adviceRetry {
@@ -131,7 +132,7 @@
 	}
 }
 
-func (a *adviser) handleAnswer(request adviceRequest, sent time.Time, advice tw.Advice, err error) {
+func (a *advisorClient) handleAnswer(request adviceRequest, sent time.Time, advice tw.Advice, err error) {
 	state := request.st.advice
 	state.inFlight = false
 	if err != nil {
@@ -151,7 +152,7 @@
 }
 
 // ticket is the ticket that a start of the step on a worker must carry; empty for none.
-func (a *adviser) ticket(st *step, id tw.WorkerID) string {
+func (a *advisorClient) ticket(st *step, id tw.WorkerID) string {
 	if st.advice == nil {
 		return ""
 	}
@@ -159,7 +160,7 @@
 }
 
 // invalidate drops all advice for a step after a worker has refused one of its tickets.
-func (a *adviser) invalidate(st *step) {
+func (a *advisorClient) invalidate(st *step) {
 	if st.advice != nil {
 		clear(st.advice.tickets)
 		clear(st.advice.answered)
--- a/run/caps.go
+++ b/run/caps.go
@@ -31,7 +31,7 @@
 		done    chan struct{}
 
 		// held are the pool's shares as recorded. It is nil until they are recorded with the
-		// fence of this ownership: before that, the former owner could still change them.
+		// fence of this ownership: before that, the previous owner could still change them.
 		held map[tw.OrganisationID]ledger.ShareUnits
 		// inFlight are the target shares of the update in flight; nil if there is none. A share
 		// may already be reduced to its target there.
@@ -48,7 +48,7 @@
 		// contended reports that other pools held what the last update requested, or that it
 		// failed.
 		contended bool
-		// leftover is the usage of submissions that had ended under a former owner and whose runs
+		// leftover is the usage of submissions that had ended under a previous owner and whose runs
 		// may not have been stopped yet.
 		leftover usage
 	}
@@ -102,7 +102,7 @@
 
 func (c *caps) close() { <-c.done }
 
-// inherit counts a submission that ended under a former owner: its runs may not have been stopped
+// inherit counts a submission that ended under a previous owner: its runs may not have been stopped
 // yet.
 func (c *caps) inherit(r ledger.Record) {
 	if r.Organisation != "" {
@@ -130,7 +130,7 @@
 	}
 }
 
-// nextShares computes the pool's shares from the present record. A former owner's share is only
+// nextShares computes the pool's shares from the present record. A previous owner's share is only
 // reduced by an explicit target, as work that it started may still run.
 func (update shareUpdate) nextShares(s ledger.Shares, pool tw.PoolID) map[tw.OrganisationID]ledger.ShareUnits {
 	out := maps.Clone(s.Pools[pool].Units)
--- a/run/caps_test.go
+++ b/run/caps_test.go
@@ -34,12 +34,12 @@
 // capRig has several pools over one store, with an owner each.
 type capRig struct {
 	*rig
-	owners   map[tw.PoolID]*run.Owner
-	config   atomic.Pointer[tw.QueueConfig]
-	cap      int // of organisation red, in subtasks
-	next     int
-	accepted map[tw.SubmissionID]tw.PoolID
-	maxUsage tw.Millicores // the largest usage of organisation red
+	owners          map[tw.PoolID]*run.Owner
+	config          atomic.Pointer[tw.QueueConfig]
+	cap             int // of organisation red, in subtasks
+	submissionCount int
+	accepted        map[tw.SubmissionID]tw.PoolID
+	maxUsage        tw.Millicores // the largest usage of organisation red
 }
 
 func newCapRig(t *testing.T) *capRig {
@@ -109,8 +109,8 @@
 
 // send submits work of an organisation. It may fail while the store does.
 func (r *capRig) send(name tw.PoolID, organisation tw.OrganisationID, subtasks int, takes time.Duration) tw.SubmissionID {
-	r.next++
-	s := submission(fmt.Sprintf("%016x", r.next), subtasks)
+	r.submissionCount++
+	s := submission(fmt.Sprintf("%016x", r.submissionCount), subtasks)
 	s.Organisation, s.Policy.Pool, s.Steps[0].Estimate = organisation, name, takes
 	r.fleet.RegisterSubmission(&s, nil)
 	ctx, cancel := context.WithTimeout(r.ctx, callerTimeout)
@@ -345,7 +345,7 @@
 
 // cancelAny cancels a random submission. Runs that are being stopped count until they have ended.
 func (r *capRig) cancelAny(random *rand.Rand) {
-	id := tw.SubmissionID(fmt.Sprintf("%016x", 1+random.IntN(1+r.next)))
+	id := tw.SubmissionID(fmt.Sprintf("%016x", 1+random.IntN(1+r.submissionCount)))
 	if _, accepted := r.accepted[id]; !accepted {
 		return
 	}
--- a/run/config.go
+++ b/run/config.go
@@ -75,10 +75,10 @@
 	// refuses submissions. It is twice the 240 ms that a slow store takes.
 	writeStallTimeout = 500 * time.Millisecond
 	// endBatchDelay is the pause before the next poll of a worker, so that one report carries
-	// several ends. Polls are priced, and objectives are above 1 s.
+	// several ends. The platform charges for each poll, and objectives are above 1 s.
 	endBatchDelay = 200 * time.Millisecond
 	// lastEndBatchDelay is the same if at most fewSubtasksLeft subtasks of a step are left,
-	// as other steps wait for its end.
+	// as other steps wait for that step.
 	lastEndBatchDelay = 30 * time.Millisecond
 	fewSubtasksLeft   = 3
 	// longPollWait is how long a worker may wait for an end before it answers a poll.
--- a/run/crash.go
+++ b/run/crash.go
@@ -34,11 +34,11 @@
 	// third crash. With two, innocent work is given up far more often where many workers crash.
 	maxCrashes = 3
 	// crashDetectTime is how soon after a start an owner that is not slow learns that the worker
-	// has ended under it, unless the worker was unresponsive: 560 of 563 crashes were known by
+	// has ended under it, unless the worker was silent: 560 of 563 crashes were known by
 	// then, the others 0.52 s after the start.
 	crashDetectTime = 500 * time.Millisecond
 	// maxUncertainCrashes replaces maxCrashes if some of the crashes may have had other causes.
-	// One more start would be the third after the third crash. Crashes are uncertain if a former
+	// One more start would be the third after the third crash. Crashes are uncertain if a previous
 	// owner counted them before a start and was replaced before it recorded the outcome, if they
 	// were detected so late that the worker may have survived the subtask, or if work of other
 	// submissions may have caused the last one. With three in all cases, innocent work was given
@@ -220,7 +220,7 @@
 }
 
 // needsPrecount reports whether the next start must be counted in advance: for suspects, for
-// subtasks that a former owner may have started, and for a copy of a run whose worker may have
+// subtasks that a previous owner may have started, and for a copy of a run whose worker may have
 // ended under it. So the first start of a new submission waits for no record, and no second start
 // goes uncounted.
 func (t *task) needsPrecount() bool {
@@ -294,7 +294,7 @@
 	p.Crashes[t.id.Index] = n
 }
 
-// noteUncounted records that a former owner may have started the subtask without counting the
+// noteUncounted records that a previous owner may have started the subtask without counting the
 // start.
 func (t *task) noteUncounted() {
 	t.uncounted = true
--- a/run/duplicate_submissions_test.go
+++ b/run/duplicate_submissions_test.go
@@ -30,7 +30,7 @@
 		kv.dropWrites.Store(false)
 		r.waitForEnd(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
-	"keeps it if its message is read after the waiting attempt was refused": func(r *rig) {
+	"keeps a stored submission if its message is read after the waiting attempt was refused": func(r *rig) {
 		kv, o := r.submitStalled("s1")
 		r.storeViaInbox(submission("s1", 2))
 		time.Sleep(time.Second)
@@ -38,7 +38,7 @@
 		kv.dropWrites.Store(false)
 		r.waitForEnd(o, "s1", tw.SubmissionSucceeded, 5*time.Second)
 	},
-	"applies a cancel that arrived while it waited": func(r *rig) {
+	"applies a cancel that arrived while the submission waited": func(r *rig) {
 		kv, o := r.submitStalled("s1")
 		r.storeViaInbox(submission("s1", 2))
 		cancelled := make(chan error, 1)
@@ -112,7 +112,7 @@
 	sub   tw.Submission
 	kv    *unansweredKV
 	owner *run.Owner
-	// late are attempts of other daemons that the store has yet to execute.
+	// late are attempts of other daemons that the store has yet to apply.
 	late []tw.KVTxn
 	// results are the answers of owners, other those that other daemons got from the store.
 	results   []chan error
--- a/run/estimate.go
+++ b/run/estimate.go
@@ -139,7 +139,7 @@
 	return remaining
 }
 
-// objective is the time after its due time within which a repetition should end.
+// objective is how long after its due time a repetition should end at the latest.
 func (o *Owner) objective(rep *repetition) time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(rep.steps))
--- a/run/evacuation_test.go
+++ b/run/evacuation_test.go
@@ -91,7 +91,7 @@
 		r.Expect(r.inHall("s1", 4, "h0")).To(BeZero())
 		r.Expect(r.fleet.Starts()).To(Equal(4 + before))
 	},
-	"a copy of a stalled run isn't started there": func(r *rig, o *run.Owner) {
+	"a copy of a stalled run isn't started in the hall": func(r *rig, o *run.Owner) {
 		r.fleet.Set(workerID(2), func(w *standin.SimWorker) { w.Hang = true })
 		r.fleet.Set(workerID(3), func(w *standin.SimWorker) { w.Hang = true })
 		r.evacuate(o, "h0")
@@ -163,14 +163,14 @@
 // evacuationSeeds is the number of seeds of TestEvacuationSoak.
 const evacuationSeeds = 40
 
-// soakHalls are the halls to which the soak's machines are assigned in turn.
+// soakHalls are the halls to which the soak's machines are assigned round-robin.
 var soakHalls = []tw.HallID{"h0", "h1", "h2"}
 
 // TestEvacuationSoak runs the soak with all faults at once while one or more halls at a time are
 // evacuated, and evacuations are revoked.
 func TestEvacuationSoak(t *testing.T) {
 	for seed := range uint64(evacuationSeeds) {
-		runSoak(t, seed, allAtOnce, assignHalls, func(s *soak) { s.mayGiveUp = true })
+		runSoak(t, seed, withAllFaults, assignHalls, func(s *soak) { s.mayGiveUp = true })
 	}
 }
 
--- a/run/expiry_test.go
+++ b/run/expiry_test.go
@@ -13,8 +13,8 @@
 // for a long time, so with a clock that is 2% slow the estimate is 1.2 s ahead after a minute, and
 // the deadline of a start is too late by as much. A start that is executed at once is limited to
 // the longest hold. But one that is not answered and is executed late, 1.5 s here, runs until that
-// deadline. The owner waited 6.3 s from its decision and then started the subtask elsewhere, a
-// second too soon.
+// deadline. The owner waited 6.3 s from its decision to start it and then started the subtask
+// elsewhere, a second too soon.
 func TestExpiryWithSlowWorkerClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 2)
--- a/run/faults_test.go
+++ b/run/faults_test.go
@@ -12,16 +12,16 @@
 // store as well.
 type partitionedOrders struct {
 	tw.WorkerOrders
-	workers sync.Map // by tw.WorkerID
-	store   atomic.Bool
+	workersCutOff sync.Map // by tw.WorkerID
+	storeCutOff   atomic.Bool
 }
 
-func (c *partitionedOrders) cutOffWorker(id tw.WorkerID) { c.workers.Store(id, true) }
+func (c *partitionedOrders) cutOffWorker(id tw.WorkerID) { c.workersCutOff.Store(id, true) }
 
-func (c *partitionedOrders) cutOffStore() { c.store.Store(true) }
+func (c *partitionedOrders) cutOffStore() { c.storeCutOff.Store(true) }
 
 func (c *partitionedOrders) Hold(ctx context.Context, to tw.WorkerRef, order tw.HoldOrder) (tw.HoldReport, error) {
-	if _, lost := c.workers.Load(to.ID); lost {
+	if _, lost := c.workersCutOff.Load(to.ID); lost {
 		return tw.HoldReport{}, tw.ErrAmbiguous
 	}
 	return c.WorkerOrders.Hold(ctx, to, order)
--- a/run/long_running.go
+++ b/run/long_running.go
@@ -11,7 +11,7 @@
 // most as many of a step at a time as may be unavailable. Runs of limited duration are left to
 // end by themselves, unless their worker ends before.
 func (o *Owner) moveLongRunning() {
-	// Runs that the former owner has ordered to stop are listed as running until they have
+	// Runs that the previous owner has ordered to stop are listed as running until they have
 	// stopped.
 	if o.now.Sub(o.takeoverAt) < o.bounds.StopTime+2*shortPollWait {
 		return
--- a/run/machine_cache.go
+++ b/run/machine_cache.go
@@ -42,7 +42,7 @@
 )
 
 // minRefreshInterval is the minimum time between two reads of the list. The platform accepts some
-// tens of reads a second from all daemons together, and prices each.
+// tens of reads a second from all daemons together, and charges for each.
 const minRefreshInterval = 200 * time.Millisecond
 
 // New starts the goroutine that reads the list.
--- a/run/metrics.go
+++ b/run/metrics.go
@@ -14,7 +14,8 @@
 	pool     tw.PoolID
 	accepted *metrics.Counter
 	refused  *metrics.Counter
-	// busy counts the submissions refused because the owner was overloaded.
+	// busy counts the submissions refused because the owner was overloaded or all halls were
+	// evacuated.
 	busy  *metrics.Counter
 	polls *metrics.Counter
 	// duplicateRuns counts the runs that completed although they had been given up.
--- a/run/order_timeout.go
+++ b/run/order_timeout.go
@@ -28,7 +28,7 @@
 	// answerHalfLife is the time in which the longest answer time halves after a burst of slow
 	// answers.
 	answerHalfLife = 3 * time.Second
-	// timeoutsToRaise consecutive timeouts cannot come from one unresponsive worker: the owner is
+	// timeoutsToRaise consecutive timeouts cannot come from one silent worker: the owner is
 	// too slow for its own timeout, which is doubled. An owner whose answers took 0.5 s timed all
 	// its orders out after 0.4 s, and so never observed an answer that took longer.
 	timeoutsToRaise = 4
--- a/run/order_timeout_test.go
+++ b/run/order_timeout_test.go
@@ -37,14 +37,14 @@
 }
 
 // TestPatienceWithoutAnswers checks that an owner that is too slow for its own timeout raises
-// it, and that one unresponsive worker does not raise the timeout for the others.
+// it, and that one silent worker does not raise the timeout for the others.
 func TestPatienceWithoutAnswers(t *testing.T) {
 	cases := map[string]struct {
 		answeredBetween bool
 		want            time.Duration
 	}{
-		"all unanswered":          {want: 2 * minOrderTimeout},
-		"one unresponsive worker": {answeredBetween: true, want: minOrderTimeout},
+		"all unanswered":    {want: 2 * minOrderTimeout},
+		"one silent worker": {answeredBetween: true, want: minOrderTimeout},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -62,6 +62,8 @@
 	}
 }
 
+// TestOrderTimeoutIsBounded checks that repeated timeouts of orders never raise the timeout above
+// maxOrderTimeout.
 func TestOrderTimeoutIsBounded(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	p := &orderTimeout{}
--- a/run/owner.go
+++ b/run/owner.go
@@ -17,7 +17,7 @@
 	self            ledger.Owner
 	kv              tw.KV
 	orders          tw.WorkerOrders
-	advisor         *adviser
+	advisor         *advisorClient
 	machineCache    *MachineCache
 	clock           tw.Clock
 	log             *zap.Logger
@@ -152,7 +152,7 @@
 		o.evacuations = func() *tw.Evacuations { return &tw.Evacuations{} }
 	}
 	o.metrics = newOwnerMetrics(c.Metrics, c.Self.Pool)
-	o.advisor = newAdviser(o, c.Advisor)
+	o.advisor = newAdvisorClient(o, c.Advisor)
 	o.window = newSendWindow(now, initialWindow(c.Cores, c.Link))
 	o.writer = newWriter(o, c.Book)
 	o.caps = newCaps(o, c.QueueConfig)
--- a/run/owner_test.go
+++ b/run/owner_test.go
@@ -136,7 +136,7 @@
 		_, err := ledger.FindSubmission(r.ctx, r.kv, "s1")
 		r.Expect(err).To(MatchError(tw.ErrNotFound))
 	},
-	"stops work of a lower priority for urgent work that finds no room": func(r *rig) {
+	"stops work of a lower priority for urgent work that finds no free capacity": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		low := submission("low", 16)
--- a/run/pace.go
+++ b/run/pace.go
@@ -28,32 +28,32 @@
 // paceFillers slows the fillers on a worker while the tail latency of a subtask there is near its
 // target, and speeds them up again when it is well below.
 func (o *Owner) paceFillers(w *worker) {
-	worst := 0.0
+	worstRatio := 0.0
 	for _, r := range w.runs {
 		target := r.task.step.spec.TailTarget
 		if target == 0 || r.phase != running {
 			continue
 		}
-		worst = max(worst, float64(r.tailLatency)/float64(target))
+		worstRatio = max(worstRatio, float64(r.tailLatency)/float64(target))
 	}
 	for _, r := range w.runs {
 		if r.task.step.spec.Filler && r.phase == running && o.now.Sub(r.orderedAt) >= paceInterval {
-			o.adjustPace(w, r, worst)
+			o.adjustPace(w, r, worstRatio)
 		}
 	}
 }
 
-func (o *Owner) adjustPace(w *worker, filler *runState, worst float64) {
+func (o *Owner) adjustPace(w *worker, filler *runState, worstRatio float64) {
 	pace := max(0, filler.pace)
 	switch {
-	case worst >= 1:
+	case worstRatio >= 1:
 		pace = 0
-	case worst > tailHighWater:
+	case worstRatio > tailHighWater:
 		pace = int(paceDecreaseFactor * float64(pace))
 		if pace < minPace {
 			pace = 0
 		}
-	case worst < tailLowWater:
+	case worstRatio < tailLowWater:
 		pace = min(fullPace, pace+paceIncrease)
 	}
 	if pace == filler.pace {
@@ -62,7 +62,7 @@
 	filler.pace = pace
 	filler.orderedAt = o.now
 	o.log.Info("run: paced", zap.Stringer("subtask", filler.task.id), zap.String("worker", string(w.entry.ID)),
-		zap.Int("percent", pace), zap.Float64("worst_tail_of_target", worst))
+		zap.Int("percent", pace), zap.Float64("worst_tail_of_target", worstRatio))
 	o.sendPace(w, filler, pace)
 }
 
--- a/run/pace_test.go
+++ b/run/pace_test.go
@@ -65,15 +65,15 @@
 // latency on its worker was over the target.
 func (r *rig) longestOverTarget(watch time.Duration) time.Duration {
 	const step = 50 * time.Millisecond
-	var longest, present time.Duration
+	var longest, current time.Duration
 	for range watch / step {
 		time.Sleep(step)
 		tail, pace := r.fleet.TailLatencyOn(workerID(0))
-		present += step
+		current += step
 		if tail <= tailTarget || pace == 0 {
-			present = 0
+			current = 0
 		}
-		longest = max(longest, present)
+		longest = max(longest, current)
 	}
 	return longest
 }
--- a/run/place.go
+++ b/run/place.go
@@ -138,7 +138,7 @@
 }
 
 // maxConfirmAge is how old the last confirmed write may be for new work to be placed. After a
-// worker's capacity has shrunk, starts may rely on its former capacity for another 4.5 s: as
+// worker's capacity has shrunk, starts may rely on its previous capacity for another 4.5 s: as
 // long as a daemon may be out of contact with the store, and one status report. Starts may be
 // queued for up to maxStartAge of that.
 const maxConfirmAge = 4 * time.Second
@@ -359,7 +359,7 @@
 	return urgency.WithSizePenalty(o.typical.relativeSize(o.remainingWork(st.rep).CPU), o.typical.objective)
 }
 
-// copyAfter is how long after its start a run on an unresponsive worker may get a copy: if it has
+// copyAfter is how long after its start a run on a silent worker may get a copy: if it has
 // crashed the worker, that is known by then.
 const copyAfter = time.Second
 
--- a/run/poll.go
+++ b/run/poll.go
@@ -100,7 +100,8 @@
 	return longPollWait
 }
 
-// poll sends a hold, which asks for runs and ends and extends the deadline of the runs.
+// poll sends a hold: an order that asks the worker for its runs and ends, and extends the deadline
+// of the runs.
 func (o *Owner) poll(w *worker, wait time.Duration) {
 	o.pollSeq++
 	hold := tw.HoldOrder{Fence: o.self.Fence, AckedSequence: w.ackableEnd(), Wait: wait}
--- a/run/poll_test.go
+++ b/run/poll_test.go
@@ -34,7 +34,7 @@
 		time.Sleep(4 * time.Second) // all have ended by now
 		r.kv.SetFaults(standin.KVFaults{})
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 20*time.Second)
-		time.Sleep(2 * time.Second) // the ends are confirmed by then
+		time.Sleep(2 * time.Second) // the ends are acknowledged by then
 		r.expectNoViolations()
 		r.Expect(r.fleet.Starts()).To(Equal(count))
 	})
@@ -68,7 +68,7 @@
 		time.Sleep(100 * time.Millisecond)
 		r.submit(b, submission("s2", 1)) // other work goes on meanwhile
 		r.eventually(b, "s1", tw.SubmissionSucceeded, 20*time.Second)
-		time.Sleep(2 * time.Second) // the ends are confirmed by then
+		time.Sleep(2 * time.Second) // the ends are acknowledged by then
 		r.expectNoViolations()
 		r.Expect(r.fleet.Starts()).To(Equal(count + 1))
 	})
--- a/run/recorded_test.go
+++ b/run/recorded_test.go
@@ -27,11 +27,11 @@
 	return run.WorkerLoad{}
 }
 
-// confirmBound is the platform's time limit for noticing and confirming an end while no fault
+// maxAckDelay is the platform's time limit for noticing and acknowledging an end while no fault
 // interferes.
-const confirmBound = 3 * time.Second
+const maxAckDelay = 3 * time.Second
 
-// listedEnds returns the ends that a worker reports because they are not confirmed.
+// listedEnds returns the ends that a worker reports because they are not acknowledged.
 func (r *rig) listedEnds(o *run.Owner, n int) []tw.EndedSubtask {
 	entry := r.list[workerID(n)]
 	report, err := r.fleet.Hold(r.ctx, entry.Ref(), tw.HoldOrder{Fence: o.Record().Fence})
@@ -50,9 +50,9 @@
 
 // TestEndsOfAMovedMachine guards against losing ends that an owner has seen but not recorded,
 // which exist only in its memory and on their worker. A worker whose runs had all ended was
-// reported as empty, its machine was moved to another pool, and then the owner was replaced, which
-// had not recorded an end for 5 s. The next owner did not know of the ends and started the subtasks
-// again, seconds after they were done.
+// reported as empty, its machine was moved to another pool, and then the owner, which had not
+// recorded an end for 5 s, was replaced. The next owner did not know of the ends and started the
+// subtasks again, seconds after they were done.
 func TestEndsOfAMovedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 1)
@@ -81,9 +81,9 @@
 	})
 }
 
-// TestEndsAreConfirmedUnderLoad checks that ends are recorded and confirmed to their workers in
-// about the order of their arrival, also in a pool that always has something to record. An owner
-// that confirmed ends only when idle confirmed none. Its workers reported all of them again at
+// TestEndsAreConfirmedUnderLoad checks that ends are recorded and acknowledged to their workers
+// in about the order of their arrival, also in a pool that always has something to record. An owner
+// that acknowledged ends only when idle acknowledged none. Its workers reported all of them again at
 // each poll, which cost more of its link and processor than its starts did, and its successor
 // found 1,773 of them to handle in the first second.
 func TestEndsAreConfirmedUnderLoad(t *testing.T) {
@@ -101,20 +101,20 @@
 		}
 		// A write has 30 entries, so this store accepts 100 a second; 240 ends a second arrive.
 		r.kv.SetFaults(standin.KVFaults{Slow: 300 * time.Millisecond})
-		time.Sleep(12*time.Second - confirmBound)
-		former := make([]int64, workers)
-		for n := range former {
-			former[n] = r.lastEnd(o, n)
+		time.Sleep(12*time.Second - maxAckDelay)
+		lastBefore := make([]int64, workers)
+		for n := range lastBefore {
+			lastBefore[n] = r.lastEnd(o, n)
 		}
-		time.Sleep(confirmBound)
+		time.Sleep(maxAckDelay)
 		ended := r.fleet.Starts() - submissions
-		unconfirmed := 0
-		for n, sequence := range former {
+		unacknowledged := 0
+		for n, sequence := range lastBefore {
 			listed := r.listedEnds(o, n)
-			unconfirmed += len(listed)
+			unacknowledged += len(listed)
 			r.Expect(listed).To(HaveEach(HaveField("Sequence", BeNumerically(">", sequence))), "older than 3 s")
 		}
-		t.Log("ended", ended, "ends not confirmed", unconfirmed)
-		r.Expect(unconfirmed).To(BeNumerically("<=", ended/5), "the platform's bound: a fifth of the ends")
+		t.Log("ended", ended, "ends not acknowledged", unacknowledged)
+		r.Expect(unacknowledged).To(BeNumerically("<=", ended/5), "the platform's bound: a fifth of the ends")
 	})
 }
--- a/run/relays_test.go
+++ b/run/relays_test.go
@@ -30,18 +30,18 @@
 // withRelays returns a client that also sends orders through relays, if the owner knows its link to
 // be narrow. The links of the relays are equally narrow.
 func (r *rig) withRelays(orders tw.WorkerOrders) tw.WorkerOrders {
-	short, is := orders.(bottleneckOrders)
-	if !is || r.link == 0 {
+	short, ok := orders.(bottleneckOrders)
+	if !ok || r.link == 0 {
 		return orders
 	}
 	relays := &bottleneckRelays{bottleneck: short.bottleneck, servers: map[string]*relay.Server{}, link: r.link}
 	for n := range relayCount {
 		name := fmt.Sprintf("relay %d", n)
 		relays.names = append(relays.names, name)
-		own := short.bottleneck
-		own.out, own.in = &resource{}, &resource{}
+		relayBottleneck := short.bottleneck
+		relayBottleneck.out, relayBottleneck.in = &resource{}, &resource{}
 		relays.servers[name] = relay.ServerConfig{
-			Orders: bottleneckOrders{WorkerOrders: short.WorkerOrders, bottleneck: own}, Clock: tw.SystemClock{}, Log: zap.NewNop(), Metrics: r.metricSet,
+			Orders: bottleneckOrders{WorkerOrders: short.WorkerOrders, bottleneck: relayBottleneck}, Clock: tw.SystemClock{}, Log: zap.NewNop(), Metrics: r.metricSet,
 		}.New()
 	}
 	relayed := relay.Config{
--- a/run/report.go
+++ b/run/report.go
@@ -102,8 +102,8 @@
 	return out
 }
 
-// addWaiting adds the resources of the subtasks that could start now, except for work that ends
-// too late to count in any case.
+// addWaiting adds the resources of the subtasks that could start now, except for work that is so
+// late that the platform gives it no value any more (schedule.LateFactor).
 func (o *Owner) addWaiting(rep *repetition, out *Report) {
 	objective := o.objective(rep)
 	overdue := o.now.Sub(rep.due) > schedule.LateFactor*objective
--- a/run/requests.go
+++ b/run/requests.go
@@ -13,8 +13,8 @@
 )
 
 // errNotStored is the answer to a caller whose submission has the id of another organisation's
-// submission: the caller must not learn of that one, and sees a store that did not accept its
-// own.
+// submission: the caller must not learn of that one, and is told that the store did not
+// accept the submission.
 var errNotStored = errors.Wrap(tw.ErrUnavailable, "run: the store does not take it")
 
 // Submit stores a submission and returns when it is durable. Submitting it again is no error.
@@ -72,8 +72,8 @@
 	})
 }
 
-// OverloadedFor is how long the owner has had too little processor time or link bandwidth for the work
-// that has free capacity; zero if it has enough.
+// OverloadedFor is how long the owner has had too little processor time or link bandwidth for the
+// work that has free capacity; zero if it has enough.
 func (o *Owner) OverloadedFor(ctx context.Context) (time.Duration, error) {
 	return query(ctx, o, func() (time.Duration, error) { return o.window.shortage(o.now), nil })
 }
@@ -229,8 +229,8 @@
 	o.forwardCancel(waiting)
 }
 
-// forwardCancel applies a cancel received while a submission waited to what another attempt of it
-// has stored.
+// forwardCancel applies a cancel that was received while a submission waited to be stored to the
+// one that another attempt has stored.
 func (o *Owner) forwardCancel(waiting *submission) {
 	cancels := waiting.cancelWaiters
 	waiting.cancelWaiters = nil
@@ -249,7 +249,7 @@
 }
 
 // fetch reads a submission that another daemon has stored and adds it. It retries until the store
-// answers, and calls then when it is done, also if there is no such submission. inInbox reports
+// answers. Finally it calls the function then, also if there is no such submission. inInbox reports
 // that the submission's message is still in the inbox.
 func (o *Owner) fetch(id tw.SubmissionID, inInbox bool, then func()) {
 	go func() {
--- a/run/rig_test.go
+++ b/run/rig_test.go
@@ -255,7 +255,7 @@
 }
 
 func (c *partitionedKV) Commit(ctx context.Context, txn tw.KVTxn) (tw.KVRevision, error) {
-	if c.orders.store.Load() {
+	if c.orders.storeCutOff.Load() {
 		return 0, tw.ErrUnavailable
 	}
 	return c.KV.Commit(ctx, txn)
--- a/run/send_window.go
+++ b/run/send_window.go
@@ -29,7 +29,7 @@
 		halfUsed               bool
 		evaluatedAt, changedAt time.Time
 		// limitedAt is when work that had free capacity last waited only for starts to be
-		// answered, limitedSince when that began without a break.
+		// answered, limitedSince the beginning of the last uninterrupted period of such waiting.
 		limitedSince, limitedAt time.Time
 		// lateAt is when a start was last answered late or not at all.
 		lateAt time.Time
@@ -70,8 +70,8 @@
 	maxWindow     = 4096
 	// startsPerCore is the assumed number of starts per second and processor core. Daemons that
 	// were short of processor time sent 100 to 170 a second with 0.19 cores, 800 to 1,100 with
-	// 0.8. It is above that, as the first answers reduce an initial window that is too wide,
-	// while one that is too narrow delays every burst.
+	// 0.8. The constant is above these figures, as the first answers reduce an initial window
+	// that is too wide, while one that is too narrow delays every burst.
 	startsPerCore = 1800
 	// typicalOrderBytes is the typical size of a start order.
 	typicalOrderBytes = 730
@@ -202,7 +202,7 @@
 }
 
 // noteTimeout records that a sent start was not answered in time. Unless a single worker is
-// unresponsive, this means that more was sent than the link or the processor can carry: an owner
+// silent, this means that more was sent than the link or the processor can carry: an owner
 // that kept its window sent 500 starts in 40 s, of which hardly any was answered, and stopped
 // them all.
 func (s *sendWindow) noteTimeout(now time.Time, p *pendingStart) {
--- a/run/send_window_test.go
+++ b/run/send_window_test.go
@@ -97,7 +97,7 @@
 }
 
 // TestUnansweredStartsNarrowTheWindow checks that unanswered starts reduce the window, as they mean
-// that too many are sent unless a single worker is unresponsive, and that it is not enlarged again
+// that too many are sent unless a single worker is silent, and that it is not enlarged again
 // as long as they continue.
 func TestUnansweredStartsNarrowTheWindow(t *testing.T) {
 	g := NewWithT(t)
--- a/run/session.go
+++ b/run/session.go
@@ -27,9 +27,9 @@
 		events       chan<- func()
 		cancel       context.CancelFunc
 		done         chan struct{}
-		// unresponsive: the last order was not answered. Queued starts are not sent then, as
+		// silent: the last order was not answered. Queued starts are not sent then, as
 		// each would delay the others.
-		unresponsive atomic.Bool
+		silent atomic.Bool
 		// cancelPoll cancels the poll in flight.
 		cancelPoll atomic.Pointer[context.CancelFunc]
 	}
@@ -179,7 +179,7 @@
 // send sends an order unless it is outdated.
 func (s *session) send(ctx context.Context, w workOrder) (tw.WorkerTime, error) {
 	now := s.clock.Now()
-	outdated := w.stale != nil && (s.unresponsive.Load() || w.stale(now))
+	outdated := w.stale != nil && (s.silent.Load() || w.stale(now))
 	if outdated || !s.permit.valid(now) {
 		return 0, errNotSent
 	}
@@ -199,7 +199,7 @@
 }
 
 // noteAnswer records whether the worker has answered.
-func (s *session) noteAnswer(err error) { s.unresponsive.Store(!tw.Answered(err)) }
+func (s *session) noteAnswer(err error) { s.silent.Store(!tw.Answered(err)) }
 
 // report passes a result to the loop.
 func (s *session) report(ctx context.Context, event func()) {
--- a/run/session_test.go
+++ b/run/session_test.go
@@ -14,27 +14,29 @@
 
 // sendCases tell which orders a session sends.
 var sendCases = map[string]struct {
-	stale  bool // the order is outdated
-	silent bool // the worker did not answer the last order
-	late   bool // the owner's permit has expired
-	sent   bool
+	stale   bool // the order is outdated
+	silent  bool // the worker did not answer the last order
+	expired bool // the owner's permit has expired
+	sent    bool
 }{
 	"a fresh order":                         {sent: true},
 	"an outdated order":                     {stale: true},
 	"a start to a silent worker":            {silent: true},
-	"an order after the permit has expired": {late: true},
+	"an order after the permit has expired": {expired: true},
 }
 
+// TestSessionSend guards against orders that are sent although they are outdated or the owner may no
+// longer give orders, and against starts that are sent to a silent worker.
 func TestSessionSend(t *testing.T) {
 	for name, c := range sendCases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			p := &permit{}
-			if !c.late {
+			if !c.expired {
 				p.extend(time.Now().Add(time.Hour))
 			}
 			s := &session{clock: tw.SystemClock{}, permit: p, orderTimeout: &orderTimeout{}}
-			s.unresponsive.Store(c.silent)
+			s.silent.Store(c.silent)
 			sent := false
 			_, err := s.send(t.Context(), workOrder{
 				stale: func(time.Time) bool { return c.stale },
@@ -51,13 +53,13 @@
 	}
 }
 
-// parallelOrders takes three starts at once.
+// parallelOrders takes three starts in parallel.
 type parallelOrders struct{ tw.WorkerOrders }
 
 func (parallelOrders) MaxParallelStarts() int { return 3 }
 
-// TestSessionStartsAtOnce checks that starts overlap if the client takes several at once, and that a
-// stop waits for the starts before it.
+// TestSessionStartsAtOnce checks that starts overlap if the client takes several in
+// parallel, and that a stop waits for the starts before it.
 func TestSessionStartsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/run/shortage_test.go
+++ b/run/shortage_test.go
@@ -26,7 +26,7 @@
 	costs struct {
 		start, startAnswer time.Duration
 		hold, holdAnswer   time.Duration
-		row                time.Duration // of the answer to a hold
+		row                time.Duration // for each run or end that the answer to a hold lists
 		commit, put        time.Duration
 	}
 
@@ -151,7 +151,7 @@
 
 // loadConfig is the load on an owner with a bottleneck: a multiple of what it can send.
 type loadConfig struct {
-	times float64
+	times float64 // of bottleneck.sendable
 	// slowWorker is how long one worker takes for each order to start; zero for none.
 	slowWorker time.Duration
 	// fewUntil is for how long there are only fewWorkers; zero if all are there at once.
@@ -250,9 +250,9 @@
 // orders, each 0.7 s after it was placed. Such an owner must order only what it can send soon, and
 // accept only what it can begin in time.
 func TestShortOwner(t *testing.T) {
-	for what, newBottleneck := range bottlenecks {
+	for bottleneckName, newBottleneck := range bottlenecks {
 		for load, times := range loads {
-			t.Run(what+", "+load+" of what it can send", func(t *testing.T) {
+			t.Run(bottleneckName+", "+load+" of what it can send", func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					r := newRig(t, 0)
 					defer r.end()
@@ -273,8 +273,8 @@
 // offered more than it can send: the ends at one owner fell from 608 to 255 in 4 s as its backlog
 // grew.
 func TestShortOwnerDoesNotCollapse(t *testing.T) {
-	for what, newBottleneck := range bottlenecks {
-		t.Run(what, func(t *testing.T) {
+	for bottleneckName, newBottleneck := range bottlenecks {
+		t.Run(bottleneckName, func(t *testing.T) {
 			steady := map[float64]float64{}
 			for _, times := range []float64{1, 3} {
 				synctest.Test(t, func(t *testing.T) {
@@ -292,8 +292,8 @@
 // TestShortOwnerWithOneSlowWorker checks that a worker that is slow to answer orders neither delays
 // the orders to the others nor reduces how many starts the owner considers sendable.
 func TestShortOwnerWithOneSlowWorker(t *testing.T) {
-	for what, newBottleneck := range bottlenecks {
-		t.Run(what, func(t *testing.T) {
+	for bottleneckName, newBottleneck := range bottlenecks {
+		t.Run(bottleneckName, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRig(t, 0)
 				defer r.end()
@@ -357,7 +357,7 @@
 // 4,758 subtasks of 378 submissions at 190 starts per second in one case, 7,953 of 646 at 130 in
 // another. While there is capacity, no submission may be without a run for more than 3 s, neither
 // at the beginning nor later. One daemon's link cannot carry that, however the orders are
-// scheduled; it would take the links of other daemons.
+// scheduled, so the owner also sends orders through other daemons (withRelays).
 func TestBacklogLargerThanTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const waiting = 400
--- a/run/silent_test.go
+++ b/run/silent_test.go
@@ -15,14 +15,14 @@
 )
 
 type (
-	// orderFate is the outcome of an order on a silent connection.
-	orderFate int
+	// orderOutcome is the outcome of an order on a silent connection.
+	orderOutcome int
 
 	// silentOrders is a client whose connections to one worker go silent: neither calls in
 	// flight nor later calls on them are answered.
 	silentOrders struct {
 		tw.WorkerOrders
-		fate orderFate
+		outcome orderOutcome
 		// silenced has a channel per worker, closed when the connections to it go silent.
 		silenced map[tw.WorkerID]chan struct{}
 
@@ -52,9 +52,9 @@
 )
 
 const (
-	orderLost orderFate = iota
-	orderDone           // carried out, but the answer is lost
-	orderLate           // carried out when the test calls doLate
+	orderLost orderOutcome = iota
+	orderDone              // carried out, but the answer is lost
+	orderLate              // carried out when the test calls doLate
 )
 
 const (
@@ -65,9 +65,9 @@
 	allCalls    = 1 << 30
 )
 
-func newSilentOrders(r *rig, fate orderFate) *silentOrders {
+func newSilentOrders(r *rig, outcome orderOutcome) *silentOrders {
 	s := &silentOrders{
-		WorkerOrders: r.fleet, fate: fate, silenced: map[tw.WorkerID]chan struct{}{}, ordered: map[tw.SubtaskID]bool{},
+		WorkerOrders: r.fleet, outcome: outcome, silenced: map[tw.WorkerID]chan struct{}{}, ordered: map[tw.SubtaskID]bool{},
 		held: map[tw.WorkerID]time.Time{}, zero: map[tw.WorkerID]time.Time{}, lapses: map[tw.WorkerID]time.Time{},
 	}
 	for id := range r.list {
@@ -106,7 +106,7 @@
 		silenced = nil // the connections went silent before this call
 	default:
 	}
-	if silent && s.fate != orderDone {
+	if silent && s.outcome != orderDone {
 		<-ctx.Done()
 		return tw.ErrAmbiguous
 	}
@@ -215,7 +215,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unanswered = append(s.unanswered, order.Subtask)
-	if s.fate == orderLate {
+	if s.outcome == orderLate {
 		s.late = append(s.late, lateStart{to, order})
 	}
 }
@@ -244,8 +244,8 @@
 	return slices.Clone(s.unanswered), slices.Clone(s.early)
 }
 
-// orderFates are the possible outcomes of an order that gets no answer.
-var orderFates = map[string]orderFate{
+// orderOutcomes are the possible outcomes of an order that gets no answer.
+var orderOutcomes = map[string]orderOutcome{
 	"orders are lost": orderLost, "orders are carried out": orderDone, "orders are carried out late": orderLate,
 }
 
@@ -272,7 +272,7 @@
 	"for good: nothing is started elsewhere before the granted deadlines have passed": {
 		calls: allCalls, do: waitForLapse,
 	},
-	"for good: the same with subtasks ordered as they went silent": {
+	"for good, with subtasks ordered as they went silent: nothing is started elsewhere before the granted deadlines have passed": {
 		calls: allCalls, more: silentMore, do: waitForLapse,
 	},
 	"until they are replaced: nothing is started twice": {
@@ -308,12 +308,12 @@
 
 func TestSilentConnections(t *testing.T) {
 	for name, c := range silentCases {
-		for fateName, fate := range orderFates {
-			t.Run(name+", "+fateName, func(t *testing.T) {
+		for outcomeName, outcome := range orderOutcomes {
+			t.Run(name+", "+outcomeName, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					r := newRig(t, 4)
 					defer r.end()
-					orders := newSilentOrders(r, fate)
+					orders := newSilentOrders(r, outcome)
 					o := r.newOwnerWith("a", r.kv, orders)
 					r.submit(o, longSubmission("s1", silentFirst))
 					time.Sleep(silenceAfter)
--- a/run/soak_all_test.go
+++ b/run/soak_all_test.go
@@ -6,19 +6,19 @@
 // time or link bandwidth.
 func TestAllSoak(t *testing.T) {
 	for seed := range uint64(allSeeds) {
-		runSoak(t, seed, allAtOnce, func(s *soak) { s.mayGiveUp = true })
+		runSoak(t, seed, withAllFaults, func(s *soak) { s.mayGiveUp = true })
 	}
 }
 
-// TestAllSoakGivesNobodyUp runs seeds that gave up work under which three workers in a row had
-// ended by chance; of 1,000 seeds, 8 did. An owner that is short polls its workers late, so it does
-// not learn in time that they have survived a start for the 0.15 s that clear a subtask: the third
-// worker ended 1.27 s after the order. Each seed failed in about four runs of ten, as the order of
-// simultaneous events differs.
+// TestAllSoakGivesNobodyUp runs seeds that gave up work under which three workers in a
+// row had ended by chance; of 1,000 seeds, 8 did. An owner that is short polls its workers late,
+// so it does not learn in time that they have survived a start for the 0.15 s that clear a subtask:
+// the third worker ended 1.27 s after the order. Each seed failed in about four runs of ten, as the
+// order of simultaneous events differs.
 func TestAllSoakGivesNobodyUp(t *testing.T) {
 	for range 10 {
 		for _, seed := range []uint64{52, 217, 235, 566, 689, 691, 813, 851} {
-			runSoak(t, seed, allAtOnce)
+			runSoak(t, seed, withAllFaults)
 		}
 	}
 }
@@ -30,7 +30,7 @@
 func TestAllSoakUnlucky(t *testing.T) {
 	for range 20 {
 		for _, seed := range []uint64{1929, 439} {
-			runSoak(t, seed, allAtOnce)
+			runSoak(t, seed, withAllFaults)
 		}
 	}
 }
@@ -43,24 +43,24 @@
 func TestAllSoakEndsInTime(t *testing.T) {
 	for range 10 {
 		for _, seed := range []uint64{216, 6973} {
-			runSoak(t, seed, allAtOnce, func(s *soak) { s.mayGiveUp = true })
+			runSoak(t, seed, withAllFaults, func(s *soak) { s.mayGiveUp = true })
 		}
 	}
 }
 
-// TestAllSoakCountsEveryStart runs seeds in which a deadly subtask was started for the third time
-// after it had crashed three workers, as the higher limit for uncertain crashes allowed for more
-// starts than were counted: one start was executed before its stop was answered, and one copy had
-// a first run that was not counted when both owners were replaced.
+// TestAllSoakCountsEveryStart runs seeds in which a subtask that crashes its workers was started
+// for the third time after it had crashed three, as the higher limit for uncertain crashes allowed
+// for more starts than were counted: one start was executed before its stop was answered, and one
+// copy had a first run that was not counted when both owners were replaced.
 func TestAllSoakCountsEveryStart(t *testing.T) {
 	for range 10 {
 		for _, seed := range []uint64{204, 2306} {
-			runSoak(t, seed, allAtOnce, func(s *soak) { s.mayGiveUp = true })
+			runSoak(t, seed, withAllFaults, func(s *soak) { s.mayGiveUp = true })
 		}
 	}
 }
 
-func allAtOnce(s *soak) {
+func withAllFaults(s *soak) {
 	withWorkerReplacement(s)
 	withPoisonedSubtasks(s)
 	s.slowStore, s.short, s.actions = true, true, 100
--- a/run/soak_test.go
+++ b/run/soak_test.go
@@ -131,8 +131,8 @@
 	owner    *run.Owner
 	accepted []tw.SubmissionID
 	// poisoned are the submissions with a subtask that crashes its workers.
-	poisoned map[tw.SubmissionID]bool
-	next     int
+	poisoned        map[tw.SubmissionID]bool
+	submissionCount int
 	// workersByMachine are the successive workers of each machine, the current one last.
 	workersByMachine [][]tw.WorkerEntry
 	// replaceWorkers: machines start new workers.
@@ -227,7 +227,7 @@
 }
 
 // soakShort divides the capacity of an owner that can send 150 starts a second, so that the
-// 24 runs for which the soak's workers have room are too many for it.
+// 24 runs for which the soak's workers have capacity are too many for it.
 const soakShort = 12
 
 // noteReplacement records the worker that a machine starts after a crash.
@@ -267,8 +267,8 @@
 }
 
 func (s *soak) anySubmission() tw.Submission {
-	s.next++
-	id := fmt.Sprintf("%016x", s.next)
+	s.submissionCount++
+	id := fmt.Sprintf("%016x", s.submissionCount)
 	sub := submission(id, 1+s.rand.IntN(4), 1+s.rand.IntN(3))
 	if s.rand.IntN(4) == 0 {
 		sub = longRunning(id, 2)
@@ -300,22 +300,22 @@
 // actOnWorkers performs one random action on the workers of a machine or on their entries.
 func (s *soak) actOnWorkers(n int) {
 	s.rebootCrashed(s.owner) // registers machines that have crashed meanwhile as rebooting
-	present := s.currentWorker(n)
+	current := s.currentWorker(n)
 	switch s.rand.IntN(4) {
 	case 0:
 		if s.rebooting(n) {
 			return
 		}
-		next := s.startNextWorker(present.ID, tw.WorkerID(fmt.Sprintf("w%d-%c", n, rune('a'+len(s.workersByMachine[n])))))
+		next := s.startNextWorker(current.ID, tw.WorkerID(fmt.Sprintf("w%d-%c", n, rune('a'+len(s.workersByMachine[n])))))
 		s.workersByMachine[n] = append(s.workersByMachine[n], next)
 		if s.rand.IntN(2) == 0 {
 			s.list[next.ID] = next
 		}
 	case 1:
-		s.list[present.ID] = present
+		s.list[current.ID] = current
 	case 2:
-		former := s.workersByMachine[n][s.rand.IntN(len(s.workersByMachine[n]))]
-		s.list[former.ID] = former
+		previous := s.workersByMachine[n][s.rand.IntN(len(s.workersByMachine[n]))]
+		s.list[previous.ID] = previous
 	case 3:
 		for _, worker := range s.workersByMachine[n] {
 			if s.rand.IntN(2) == 0 {
@@ -345,9 +345,9 @@
 		s.evacuate(s.owner)
 	}
 	for n := range soakMachines {
-		present := s.currentWorker(n)
-		s.list[present.ID] = present
-		s.fleet.Set(present.ID, func(w *standin.SimWorker) { w.Silent, w.Hang, w.LateStarts = false, false, 0 })
+		current := s.currentWorker(n)
+		s.list[current.ID] = current
+		s.fleet.Set(current.ID, func(w *standin.SimWorker) { w.Silent, w.Hang, w.LateStarts = false, false, 0 })
 	}
 	for n := range addedWorkers {
 		s.addWorker(100 + n)
@@ -364,7 +364,7 @@
 	}
 	for _, id := range s.accepted {
 		state := s.state(s.owner, id)
-		if !state.Final() && !s.runsOn(id) {
+		if !state.Final() && !s.isRunning(id) {
 			s.t.Errorf("%s is %s", id, state)
 		}
 		if state == tw.SubmissionFailed && !s.poisoned[id] && !s.mayGiveUp {
@@ -373,7 +373,7 @@
 	}
 }
 
-// runsOn reports whether a long-running submission is running.
-func (s *soak) runsOn(id tw.SubmissionID) bool {
+// isRunning reports whether a long-running submission is running.
+func (s *soak) isRunning(id tw.SubmissionID) bool {
 	return s.fleet.Ready(tw.SubtaskID{Submission: id}) && s.fleet.Ready(tw.SubtaskID{Submission: id, Index: 1})
 }
--- a/run/start.go
+++ b/run/start.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// startAnswered handles the answer to an order to start.
+// startAnswered updates the run with the outcome of the order to start it.
 func (o *Owner) startAnswered(r *runState, sentAt time.Time, clock tw.WorkerTime, err error) {
 	w := r.w
 	if o.workers[w.entry.ID] != w || w.runs[w.key(r)] != r {
--- a/run/takeover_test.go
+++ b/run/takeover_test.go
@@ -49,12 +49,12 @@
 	},
 }
 
-// submitScheduled submits two repetitions, the first of which is due after the given time, to an
-// owner that is then closed.
-func (r *rig) submitScheduled(later time.Duration) tw.Submission {
+// submitScheduled submits two repetitions, the first of which is due after dueIn, to an owner
+// that is then closed.
+func (r *rig) submitScheduled(dueIn time.Duration) tw.Submission {
 	a := r.newOwner("a")
 	s := submission("s1", 1)
-	s.Schedule = tw.Schedule{Times: 2, First: time.Now().Add(later), Interval: time.Second}
+	s.Schedule = tw.Schedule{Times: 2, First: time.Now().Add(dueIn), Interval: time.Second}
 	r.submit(a, s)
 	a.Close()
 	return s
@@ -96,8 +96,7 @@
 }
 
 // runOnPartitionedOwner lets an owner start a long-running subtask and then cuts the owner off from
-// the store.
-// It returns the worker of the run.
+// the store. It returns the worker of the run.
 func (r *rig) runOnPartitionedOwner() tw.WorkerID {
 	orders := &partitionedOrders{WorkerOrders: r.fleet}
 	a := r.newPartitionableOwner("a", orders)
@@ -122,12 +121,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, 2)
 		defer r.end()
-		former := r.newOwner("former")
-		r.submit(former, longRunning("s1", 1))
+		previous := r.newOwner("former")
+		r.submit(previous, longRunning("s1", 1))
 		time.Sleep(2 * time.Second)
 		on := r.fleet.RunningOn(subtask("s1", 0, 0))
 		r.Expect(on).To(Equal([]tw.WorkerID{workerID(0)}))
-		former.Close()
+		previous.Close()
 		reachesW0, reachesW1 := &partitionedOrders{WorkerOrders: r.fleet}, &partitionedOrders{WorkerOrders: r.fleet}
 		reachesW0.cutOffWorker(workerID(1))
 		reachesW1.cutOffWorker(workerID(0))
--- a/run/termination.go
+++ b/run/termination.go
@@ -20,9 +20,9 @@
 // their machine was known to be down.
 const terminatedRetention = time.Minute
 
-// machineListLag is how long the manager's list of machines may still name an incarnation that
-// has ended. The manager acts on lists that are up to 1 s old, and requests reports several times a
-// second.
+// machineListLag is how long the machine manager's list of machines may still name an incarnation
+// that has ended. The manager acts on lists that are up to 1 s old, and requests reports several
+// times a second.
 const machineListLag = 3 * time.Second
 
 // termination is why an incarnation of a worker has ended. The zero value means that it has not.
--- a/run/termination_test.go
+++ b/run/termination_test.go
@@ -18,22 +18,22 @@
 // up because of a list alone.
 var terminationCases = map[string]func(r *rig){
 	"keeps a worker that answers while the list of machines lags": func(r *rig) {
-		b, former, present := r.inheritReplacedWorker(sameAddress)
-		r.listAsRunning(former) // the list of machines lags by a second
-		r.relist(b, former)
+		b, previous, current := r.inheritReplacedWorker(sameAddress)
+		r.listAsRunning(previous) // the list of machines lags by a second
+		r.relist(b, previous)
 		time.Sleep(time.Second)
-		r.listAsRunning(present)
-		r.expectAllKept(present)
+		r.listAsRunning(current)
+		r.expectAllKept(current)
 	},
 	"keeps the current worker when a previous one is listed without a machine at first": func(r *rig) {
-		b, former, present := r.inheritReplacedWorker(sameAddress)
-		bare := former
+		b, previous, current := r.inheritReplacedWorker(sameAddress)
+		bare := previous
 		bare.Instance, bare.Address = "", ""
 		r.relist(b, bare)
 		time.Sleep(time.Second)
-		r.relist(b, former)
-		r.expectAllKept(present)
-		r.Expect(r.knownWorkers(b)).NotTo(ContainElement(former.ID))
+		r.relist(b, previous)
+		r.expectAllKept(current)
+		r.Expect(r.knownWorkers(b)).NotTo(ContainElement(previous.ID))
 	},
 	"keeps a worker that has answered since a wrong list was requested": func(r *rig) {
 		r.slowMachineList(2 * time.Second)
@@ -41,63 +41,63 @@
 		time.Sleep(takeoverSettleTime)
 		r.fillWorkers(o)
 		time.Sleep(5 * time.Second)
-		present := r.list[workerID(0)]
-		wrong := present
+		current := r.list[workerID(0)]
+		wrong := current
 		wrong.ID = "other"
 		r.listAsRunning(wrong)
-		delete(r.list, present.ID)
+		delete(r.list, current.ID)
 		r.publishWorkers(o)
 		time.Sleep(2100 * time.Millisecond) // the list that was requested at once has arrived
-		r.listAsRunning(present)
+		r.listAsRunning(current)
 		time.Sleep(time.Second) // and has been applied
-		r.relist(o, present)
-		r.expectAllKept(present)
+		r.relist(o, current)
+		r.expectAllKept(current)
 	},
 	"requests a list of machines once it knows several workers of one machine": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former := r.list[workerID(0)]
+		previous := r.list[workerID(0)]
 		r.machineCache.RequestRefresh(time.Now())
 		time.Sleep(50 * time.Millisecond)
 		r.cloud.SetDown(true) // that list names the previous worker, and no newer list arrives
-		present := former
-		present.ID, present.Address = "present", "10.0.0.99:1"
-		r.fleet.Kill(former.ID)
-		r.fleet.Add(present)
-		r.relist(o, present)
+		current := previous
+		current.ID, current.Address = "present", "10.0.0.99:1"
+		r.fleet.Kill(previous.ID)
+		r.fleet.Add(current)
+		r.relist(o, current)
 		time.Sleep(time.Second)
-		r.Expect(r.knownWorkers(o)).To(ContainElement(present.ID))
+		r.Expect(r.knownWorkers(o)).To(ContainElement(current.ID))
 	},
 	"remembers a terminated worker when its entry comes back": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former := r.list[workerID(0)]
-		r.fleet.Kill(former.ID)
-		_, err := o.Report(r.ctx, run.Directions{Gone: []tw.WorkerID{former.ID}})
+		previous := r.list[workerID(0)]
+		r.fleet.Kill(previous.ID)
+		_, err := o.Report(r.ctx, run.Directions{Gone: []tw.WorkerID{previous.ID}})
 		r.Expect(err).NotTo(HaveOccurred())
 		r.cloud.SetDown(true)
-		delete(r.list, former.ID)
+		delete(r.list, previous.ID)
 		r.publishWorkers(o)
 		time.Sleep(5 * time.Second)
-		r.relist(o, former)
+		r.relist(o, previous)
 		time.Sleep(100 * time.Millisecond)
 		r.publishWorkers(o)
-		r.Expect(r.knownWorkers(o)).NotTo(ContainElement(former.ID))
+		r.Expect(r.knownWorkers(o)).NotTo(ContainElement(previous.ID))
 	},
 	"treats a worker as terminated for good when another worker answers at its address": func(r *rig) {
 		a := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former, _ := r.crashAndReplace(a, 0, sameAddress)
+		previous, _ := r.crashAndReplace(a, 0, sameAddress)
 		a.Close()
 		b := r.newOwner("b")
 		time.Sleep(takeoverSettleTime)
-		r.relist(b, former) // another worker answers at its address
+		r.relist(b, previous) // another worker answers at its address
 		time.Sleep(time.Second)
 		r.fleet.Kill("present")
 		r.cloud.SetDown(true)
 		r.publishWorkers(b)
 		time.Sleep(500 * time.Millisecond)
-		r.Expect(r.knownWorkers(b)).NotTo(ContainElement(former.ID))
+		r.Expect(r.knownWorkers(b)).NotTo(ContainElement(previous.ID))
 	},
 	"uses a worker again that was not listed for a long time": func(r *rig) {
 		o := r.newOwner("a")
@@ -115,11 +115,11 @@
 	"reads no more lists of machines once a previous worker is known to have terminated": func(r *rig) {
 		a := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former, _ := r.crashAndReplace(a, 0, sameAddress)
+		previous, _ := r.crashAndReplace(a, 0, sameAddress)
 		a.Close()
 		b := r.newOwner("b")
 		time.Sleep(takeoverSettleTime)
-		r.relist(b, former)
+		r.relist(b, previous)
 		time.Sleep(3 * time.Second)
 		requestedAt := r.machineCache.Latest().RequestedAt
 		time.Sleep(5 * time.Second)
@@ -137,7 +137,7 @@
 		r.fleet.Set(w.ID, func(w *standin.SimWorker) { w.Silent = true })
 		delete(r.list, w.ID)
 		r.publishWorkers(o)
-		time.Sleep(20 * time.Second) // all grants have expired
+		time.Sleep(20 * time.Second) // all granted deadlines have passed
 		r.fleet.Set(w.ID, func(w *standin.SimWorker) { w.Silent = false })
 		r.relist(o, w)
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 10*time.Second)
@@ -145,47 +145,47 @@
 	"uses a new worker that the list of machines names late": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former := r.list[workerID(0)]
-		present := r.fleet.RestartWithNewID(former.ID, "present") // the list of machines names the previous worker
-		r.relist(o, present)                                      // and so does the list of workers
+		previous := r.list[workerID(0)]
+		current := r.fleet.RestartWithNewID(previous.ID, "present") // the list of machines names the previous worker
+		r.relist(o, current)                                        // and so does the list of workers
 		time.Sleep(time.Second)
-		r.listAsRunning(present)
-		delete(r.list, former.ID)
+		r.listAsRunning(current)
+		delete(r.list, previous.ID)
 		r.publishWorkers(o)
 		for range 100 {
 			time.Sleep(time.Second)
 			r.publishWorkers(o)
 		}
-		r.Expect(r.knownWorkers(o)).To(ContainElement(present.ID))
+		r.Expect(r.knownWorkers(o)).To(ContainElement(current.ID))
 	},
 	"uses a new worker whose machine is listed as down at first": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former := r.list[workerID(0)]
-		r.cloud.Add(tw.Machine{ID: former.Instance, Pool: pool, State: tw.MachineDown})
-		present := r.fleet.RestartWithNewID(former.ID, "present")
-		r.relist(o, present)
+		previous := r.list[workerID(0)]
+		r.cloud.Add(tw.Machine{ID: previous.Instance, Pool: pool, State: tw.MachineDown})
+		current := r.fleet.RestartWithNewID(previous.ID, "present")
+		r.relist(o, current)
 		time.Sleep(time.Second)
-		r.listAsRunning(present)
-		delete(r.list, former.ID)
+		r.listAsRunning(current)
+		delete(r.list, previous.ID)
 		for range 100 {
 			time.Sleep(time.Second)
 			r.publishWorkers(o)
 		}
-		r.Expect(r.knownWorkers(o)).To(ContainElement(present.ID))
+		r.Expect(r.knownWorkers(o)).To(ContainElement(current.ID))
 	},
 	"keeps a worker that answers while its entry has expired and its machine is listed as down": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
 		r.fillWorkers(o)
-		present := r.list[workerID(0)]
-		r.cloud.Add(tw.Machine{ID: present.Instance, Pool: pool, State: tw.MachineDown})
-		delete(r.list, present.ID)
+		current := r.list[workerID(0)]
+		r.cloud.Add(tw.Machine{ID: current.Instance, Pool: pool, State: tw.MachineDown})
+		delete(r.list, current.ID)
 		r.publishWorkers(o)
 		time.Sleep(2 * time.Second)
-		r.listAsRunning(present)
-		r.relist(o, present)
-		r.expectAllKept(present)
+		r.listAsRunning(current)
+		r.relist(o, current)
+		r.expectAllKept(current)
 	},
 	"reads no more lists of machines once it knows which worker a machine runs": func(r *rig) {
 		o := r.newOwner("a")
@@ -221,28 +221,28 @@
 		r.Eventually(r.fleet.Starts, 350*time.Millisecond, 10*time.Millisecond).Should(Equal(8))
 	},
 	"keeps a worker that answers while the list of machines names a previous worker at another address": func(r *rig) {
-		b, former, present := r.inheritReplacedWorker("10.0.0.99:1")
-		r.listAsRunning(former) // the list of machines lags by a second
-		r.relist(b, former)
+		b, previous, current := r.inheritReplacedWorker("10.0.0.99:1")
+		r.listAsRunning(previous) // the list of machines lags by a second
+		r.relist(b, previous)
 		time.Sleep(time.Second)
-		r.listAsRunning(present)
-		r.expectAllKept(present)
+		r.listAsRunning(current)
+		r.expectAllKept(current)
 	},
 	"keeps a worker that answers while its machine is listed in an unknown state": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
 		r.fillWorkers(o)
-		present := r.list[workerID(0)]
-		delete(r.list, present.ID) // its entry has expired, as it is partitioned from the store
+		current := r.list[workerID(0)]
+		delete(r.list, current.ID) // its entry has expired, as it is partitioned from the store
 		r.publishWorkers(o)
 		time.Sleep(time.Second)
-		r.cloud.Add(tw.Machine{ID: present.Instance, Pool: "another", State: ""}) // an unknown state
+		r.cloud.Add(tw.Machine{ID: current.Instance, Pool: "another", State: ""}) // an unknown state
 		time.Sleep(time.Second)
-		r.listAsRunning(present)
-		r.relist(o, present)
-		r.expectAllKept(present)
+		r.listAsRunning(current)
+		r.relist(o, current)
+		r.expectAllKept(current)
 	},
-	"waits for the lease while the list of machines still names the previous worker": func(r *rig) {
+	"waits for the granted deadlines while the list of machines still names the previous worker": func(r *rig) {
 		o := r.newOwner("a")
 		r.submit(o, longRunning("s1", 1))
 		time.Sleep(takeoverSettleTime)
--- a/run/usage.go
+++ b/run/usage.go
@@ -49,7 +49,7 @@
 	return out
 }
 
-// unknownUsage is the most that runs of the former owner can take on workers that this owner has
+// unknownUsage is the most that runs of the previous owner can take on workers that this owner has
 // not reached yet, including starts that may still be carried out. It is bounded by what the
 // inherited submissions request or have left running, and by the capacity of the workers that have
 // not answered.
--- a/run/worker.go
+++ b/run/worker.go
@@ -12,7 +12,9 @@
 type (
 	// worker is the owner's view of one incarnation of a worker.
 	worker struct {
-		entry  tw.WorkerEntry
+		entry tw.WorkerEntry
+		// rank is unique in the pool. Of otherwise equal workers, placement fills the one with the
+		// lowest rank first.
 		rank   int
 		listed bool
 		// missingSince is when the entry disappeared from the list of workers.
--- a/run/worker_incarnations_test.go
+++ b/run/worker_incarnations_test.go
@@ -20,80 +20,80 @@
 // listed again, its ends were acknowledged, so a subtask had been started after it was done.
 var incarnationCases = map[string]func(r *rig){
 	"keeps the current worker when the entry of a previous one comes back": func(r *rig) {
-		o, former, present := r.replacedWorker(sameAddress)
-		r.relist(o, former)
-		r.expectAllKept(present)
+		o, previous, current := r.replacedWorker(sameAddress)
+		r.relist(o, previous)
+		r.expectAllKept(current)
 	},
-	"keeps it while it is silent for a moment": func(r *rig) {
-		o, former, present := r.replacedWorker(sameAddress)
-		r.fleet.Set(present.ID, func(w *standin.SimWorker) { w.Silent = true })
+	"keeps the current worker while it is silent for a moment": func(r *rig) {
+		o, previous, current := r.replacedWorker(sameAddress)
+		r.fleet.Set(current.ID, func(w *standin.SimWorker) { w.Silent = true })
 		time.Sleep(200 * time.Millisecond)
-		r.relist(o, former)
+		r.relist(o, previous)
 		time.Sleep(1500 * time.Millisecond)
-		r.fleet.Set(present.ID, func(w *standin.SimWorker) { w.Silent = false })
-		r.expectAllKept(present)
+		r.fleet.Set(current.ID, func(w *standin.SimWorker) { w.Silent = false })
+		r.expectAllKept(current)
 	},
-	"keeps it while the list of machines is not readable": func(r *rig) {
-		o, former, present := r.replacedWorker(sameAddress)
+	"keeps the current worker while the list of machines is not readable": func(r *rig) {
+		o, previous, current := r.replacedWorker(sameAddress)
 		r.cloud.SetDown(true)
-		r.relist(o, former)
-		r.expectAllKept(present)
+		r.relist(o, previous)
+		r.expectAllKept(current)
 	},
-	"keeps it when its own entry has expired meanwhile": func(r *rig) {
-		o, former, present := r.replacedWorker(sameAddress)
-		delete(r.list, present.ID)
-		r.relist(o, former)
+	"keeps the current worker when its own entry has expired meanwhile": func(r *rig) {
+		o, previous, current := r.replacedWorker(sameAddress)
+		delete(r.list, current.ID)
+		r.relist(o, previous)
 		time.Sleep(time.Second)
-		r.relist(o, present)
-		r.expectAllKept(present)
+		r.relist(o, current)
+		r.expectAllKept(current)
 	},
-	"keeps it when the machine was moved away and back": func(r *rig) {
+	"keeps the current worker when the machine was moved away and back": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former := r.list[workerID(0)]
-		r.fleet.Kill(former.ID)
-		_, err := o.Report(r.ctx, run.Directions{Gone: []tw.WorkerID{former.ID}})
+		previous := r.list[workerID(0)]
+		r.fleet.Kill(previous.ID)
+		_, err := o.Report(r.ctx, run.Directions{Gone: []tw.WorkerID{previous.ID}})
 		r.Expect(err).NotTo(HaveOccurred())
-		delete(r.list, former.ID)
+		delete(r.list, previous.ID)
 		r.publishWorkers(o)
-		present := former
-		present.ID, present.Address = "present", "10.0.0.99:1"
-		r.fleet.Add(present)
-		r.listAsRunning(present)
-		r.relist(o, present)
+		current := previous
+		current.ID, current.Address = "present", "10.0.0.99:1"
+		r.fleet.Add(current)
+		r.listAsRunning(current)
+		r.relist(o, current)
 		r.fillWorkers(o)
-		r.relist(o, former) // nobody answers there any more
-		r.expectAllKept(present)
+		r.relist(o, previous) // nobody answers there any more
+		r.expectAllKept(current)
 	},
-	"keeps it when a new owner sees the previous entry later": func(r *rig) {
-		b, former, present := r.inheritReplacedWorker(sameAddress)
-		r.relist(b, former)
-		r.expectAllKept(present)
+	"keeps the current worker when a new owner sees the previous entry later": func(r *rig) {
+		b, previous, current := r.inheritReplacedWorker(sameAddress)
+		r.relist(b, previous)
+		r.expectAllKept(current)
 	},
 	"uses the current worker when both are listed at once": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former := r.list[workerID(0)]
-		delete(r.list, former.ID)
+		previous := r.list[workerID(0)]
+		delete(r.list, previous.ID)
 		r.publishWorkers(o)
-		present := r.startNextWorker(former.ID, "a-present") // sorts before the previous one by ID
+		current := r.startNextWorker(previous.ID, "a-present") // sorts before the previous one by ID
 		time.Sleep(takeoverSettleTime)
 		r.publishWorkers(o)
-		r.list[present.ID] = present
-		r.relist(o, former)
+		r.list[current.ID] = current
+		r.relist(o, previous)
 		r.fillWorkers(o)
-		r.expectAllKept(present)
+		r.expectAllKept(current)
 	},
 	"gives an idle previous worker no work while the list of machines is not readable": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former := r.list[workerID(0)]
+		previous := r.list[workerID(0)]
 		r.cloud.SetDown(true)
-		r.fleet.Kill(former.ID)
-		present := former
-		present.ID, present.Address = "present", "10.0.0.99:1"
-		r.fleet.Add(present)
-		r.relist(o, present)
+		r.fleet.Kill(previous.ID)
+		current := previous
+		current.ID, current.Address = "present", "10.0.0.99:1"
+		r.fleet.Add(current)
+		r.relist(o, current)
 		time.Sleep(time.Second)
 		r.submit(o, longRunning("s1", 4))
 		r.Eventually(r.fleet.Starts, time.Second).Should(Equal(4))
@@ -101,28 +101,28 @@
 	"does not restart a subtask that ends on the current worker meanwhile": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former, present := r.crashAndReplace(o, 0, sameAddress)
+		previous, current := r.crashAndReplace(o, 0, sameAddress)
 		full := submission("s0", 12)
 		full.Steps[0].MaxPerWorker = 4
 		full.Steps[0].Estimate = time.Minute
-		r.list[present.ID] = r.withDraining(present, true)
+		r.list[current.ID] = r.withDraining(current, true)
 		r.publishWorkers(o)
 		r.submit(o, full) // leaves room on the current worker only
 		time.Sleep(500 * time.Millisecond)
-		r.relist(o, r.withDraining(present, false))
+		r.relist(o, r.withDraining(current, false))
 		s := submission("s1", 1)
 		s.Steps[0].Estimate = 2 * time.Second
 		r.submit(o, s)
 		time.Sleep(500 * time.Millisecond)
-		r.Expect(r.fleet.RunningOn(subtask("s1", 0, 0))).To(Equal([]tw.WorkerID{present.ID}))
-		r.relist(o, former)
+		r.Expect(r.fleet.RunningOn(subtask("s1", 0, 0))).To(Equal([]tw.WorkerID{current.ID}))
+		r.relist(o, previous)
 		time.Sleep(2 * time.Second) // it has ended there by now
-		delete(r.list, former.ID)
-		delete(r.list, present.ID)
+		delete(r.list, previous.ID)
+		delete(r.list, current.ID)
 		r.addWorker(9)
 		r.publishWorkers(o)
 		time.Sleep(200 * time.Millisecond)
-		r.relist(o, present)
+		r.relist(o, current)
 		time.Sleep(3 * time.Second) // its ends are recorded and acknowledged by now
 		r.expectNoViolations()
 		r.Expect(r.fleet.Starts()).To(Equal(13))
@@ -130,7 +130,7 @@
 	"does not acknowledge an end after it has started the subtask again": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
-		former, present := r.crashAndReplace(o, 0, sameAddress)
+		previous, current := r.crashAndReplace(o, 0, sameAddress)
 		s := submission("s1", 4)
 		s.Steps[0].Estimate = 3 * time.Second
 		s.Steps[0].MaxPerWorker = 1
@@ -138,13 +138,13 @@
 		r.addWorker(9)
 		r.publishWorkers(o)
 		time.Sleep(time.Second)
-		r.relist(o, former)
+		r.relist(o, previous)
 		time.Sleep(time.Second)
-		delete(r.list, former.ID)
-		delete(r.list, present.ID) // its entry expires as well
+		delete(r.list, previous.ID)
+		delete(r.list, current.ID) // its entry expires as well
 		r.publishWorkers(o)
 		time.Sleep(2 * time.Second)
-		r.relist(o, present)
+		r.relist(o, current)
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 10*time.Second)
 		time.Sleep(2 * time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(4))
@@ -162,43 +162,43 @@
 
 // crashAndReplace kills a worker, removes its entry, waits until the owner has noticed, and lists
 // the machine's next worker, which listens at the same address or at another.
-func (r *rig) crashAndReplace(o *run.Owner, n int, address string) (former, present tw.WorkerEntry) {
-	former = r.list[workerID(n)]
-	r.fleet.Kill(former.ID)
-	r.cloud.Add(tw.Machine{ID: former.Instance, Pool: pool, State: tw.MachineDown})
-	delete(r.list, former.ID)
+func (r *rig) crashAndReplace(o *run.Owner, n int, address string) (previous, current tw.WorkerEntry) {
+	previous = r.list[workerID(n)]
+	r.fleet.Kill(previous.ID)
+	r.cloud.Add(tw.Machine{ID: previous.Instance, Pool: pool, State: tw.MachineDown})
+	delete(r.list, previous.ID)
 	r.publishWorkers(o)
 	time.Sleep(2 * time.Second)
-	present = former
-	present.ID = "present"
+	current = previous
+	current.ID = "present"
 	if address != sameAddress {
-		present.Address = address
+		current.Address = address
 	}
-	r.fleet.Add(present)
-	r.listAsRunning(present)
-	r.relist(o, present)
+	r.fleet.Add(current)
+	r.listAsRunning(current)
+	r.relist(o, current)
 	time.Sleep(time.Second)
-	return former, present
+	return previous, current
 }
 
 // replacedWorker starts an owner and restarts the worker of one machine under a new ID. A subtask of
 // s1 runs on each machine.
-func (r *rig) replacedWorker(address string) (o *run.Owner, former, present tw.WorkerEntry) {
+func (r *rig) replacedWorker(address string) (o *run.Owner, previous, current tw.WorkerEntry) {
 	o = r.newOwner("a")
 	time.Sleep(takeoverSettleTime)
-	former, present = r.crashAndReplace(o, 0, address)
+	previous, current = r.crashAndReplace(o, 0, address)
 	r.fillWorkers(o)
-	return o, former, present
+	return o, previous, current
 }
 
 // inheritReplacedWorker does the same, and returns the next owner, which does not know the previous
 // worker.
-func (r *rig) inheritReplacedWorker(address string) (o *run.Owner, former, present tw.WorkerEntry) {
-	a, former, present := r.replacedWorker(address)
+func (r *rig) inheritReplacedWorker(address string) (o *run.Owner, previous, current tw.WorkerEntry) {
+	a, previous, current := r.replacedWorker(address)
 	a.Close()
 	o = r.newOwner("b")
 	time.Sleep(takeoverSettleTime)
-	return o, former, present
+	return o, previous, current
 }
 
 // fillWorkers runs one subtask of s1 on each of four workers, and then adds another worker on which
@@ -239,7 +239,7 @@
 
 // expectAllKept expects the four subtasks of s1 to stay on the workers on which they were started,
 // one on each, for longer than any deadline that was granted.
-func (r *rig) expectAllKept(present tw.WorkerEntry) {
+func (r *rig) expectAllKept(current tw.WorkerEntry) {
 	r.t.Helper()
 	on := map[tw.WorkerID]bool{}
 	for range 2 {
@@ -250,7 +250,7 @@
 			}
 		}
 		r.Expect(on).To(HaveLen(4))
-		r.Expect(on).To(HaveKey(present.ID))
+		r.Expect(on).To(HaveKey(current.ID))
 		time.Sleep(2 * maxHold)
 	}
 	r.Expect(r.fleet.Starts()).To(Equal(4))
@@ -266,14 +266,14 @@
 		o := r.newOwner("a")
 		time.Sleep(takeoverSettleTime)
 		r.submit(o, submission("s1", 1))
-		present := workerID(0)
+		current := workerID(0)
 		for n := range 7 {
 			r.Eventually(func() int { return r.fleet.Running(subtask("s1", 0, 0)) }, 20*time.Second, 5*time.Millisecond).Should(Equal(1))
 			next := tw.WorkerID(fmt.Sprintf("next%d", n))
-			entry := r.startNextWorker(present, next)
-			delete(r.list, present)
+			entry := r.startNextWorker(current, next)
+			delete(r.list, current)
 			r.relist(o, entry)
-			present = next
+			current = next
 			r.Expect(r.state(o, "s1")).NotTo(Equal(tw.SubmissionFailed))
 		}
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 20*time.Second)
--- a/run/worker_restart_test.go
+++ b/run/worker_restart_test.go
@@ -66,13 +66,13 @@
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
 	"ignores a late entry of the previous incarnation": func(r *rig, o *run.Owner) {
-		former := r.list[workerID(0)]
+		previous := r.list[workerID(0)]
 		r.submit(o, submission("s1", 8))
 		time.Sleep(300 * time.Millisecond)
 		r.relistWorker(o, r.restart(0))
 		time.Sleep(300 * time.Millisecond)
 		for range 20 {
-			r.relistWorker(o, former)
+			r.relistWorker(o, previous)
 			time.Sleep(100 * time.Millisecond)
 		}
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 6*time.Second)
@@ -96,7 +96,7 @@
 			return n
 		}, 1500*time.Millisecond, 20*time.Millisecond).Should(Equal(8))
 	},
-	"an order that the previous incarnation did not answer": func(r *rig, o *run.Owner) {
+	"completes a subtask whose start the previous incarnation did not answer": func(r *rig, o *run.Owner) {
 		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 4 })
 		r.submit(o, submission("s1", 8))
 		time.Sleep(20 * time.Millisecond)
@@ -104,7 +104,7 @@
 		r.fleet.DeliverLateStarts()
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
-	"repeated restarts": func(r *rig, o *run.Owner) {
+	"completes work despite repeated restarts": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 4, 4))
 		for range 6 {
 			r.restart(0)
@@ -114,7 +114,7 @@
 		}
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
-	"a new owner that never saw the previous incarnation": func(r *rig, o *run.Owner) {
+	"completes work under a new owner that never saw the previous incarnation": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
 		time.Sleep(300 * time.Millisecond)
 		o.Close()
--- a/run/worker_test.go
+++ b/run/worker_test.go
@@ -66,12 +66,12 @@
 	"does not take a stale entry for a new worker": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(7 * time.Second)
-		former := r.list[workerID(0)]
-		r.fleet.Kill(former.ID)
-		r.cloud.Add(tw.Machine{ID: former.Instance, Pool: pool, State: tw.MachineMoving})
-		_, err := o.Report(r.ctx, run.Directions{Gone: []tw.WorkerID{former.ID}})
+		previous := r.list[workerID(0)]
+		r.fleet.Kill(previous.ID)
+		r.cloud.Add(tw.Machine{ID: previous.Instance, Pool: pool, State: tw.MachineMoving})
+		_, err := o.Report(r.ctx, run.Directions{Gone: []tw.WorkerID{previous.ID}})
 		r.Expect(err).NotTo(HaveOccurred())
-		entry := former
+		entry := previous
 		entry.ID, entry.Address = "fresh", "10.0.0.99:1"
 		r.fleet.Add(entry)
 		r.list[entry.ID] = entry
@@ -85,20 +85,20 @@
 			known = append(known, load.Worker)
 		}
 		r.Expect(known).To(ContainElement(entry.ID))
-		r.Expect(known).NotTo(ContainElement(former.ID))
+		r.Expect(known).NotTo(ContainElement(previous.ID))
 	},
 	"removes a worker permanently when its machine is down": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(7 * time.Second)
-		former := r.list[workerID(0)]
-		r.fleet.Kill(former.ID)
+		previous := r.list[workerID(0)]
+		r.fleet.Kill(previous.ID)
 		r.submit(o, longRunning("s1", 4)) // makes the owner notice the dead worker
-		r.cloud.Add(tw.Machine{ID: former.Instance, Pool: pool, State: tw.MachineDown})
+		r.cloud.Add(tw.Machine{ID: previous.Instance, Pool: pool, State: tw.MachineDown})
 		time.Sleep(5 * time.Second)
-		entry := former
+		entry := previous
 		entry.ID, entry.Address = "fresh", "10.0.0.99:1"
 		r.fleet.Add(entry)
-		r.cloud.Add(tw.Machine{ID: former.Instance, Pool: pool, State: tw.MachineUp, Worker: entry.ID})
+		r.cloud.Add(tw.Machine{ID: previous.Instance, Pool: pool, State: tw.MachineUp, Worker: entry.ID})
 		r.list[entry.ID] = entry
 		r.publishWorkers(o)
 		time.Sleep(3 * time.Second)
@@ -108,7 +108,7 @@
 		report, err := o.Report(r.ctx, run.Directions{})
 		r.Expect(err).NotTo(HaveOccurred())
 		for _, load := range report.Workers {
-			r.Expect(load.Worker).NotTo(Equal(former.ID))
+			r.Expect(load.Worker).NotTo(Equal(previous.ID))
 		}
 		r.Expect(report.Workers).To(HaveLen(4))
 	},
@@ -160,13 +160,13 @@
 		for range 30 {
 			_, err := o.Report(r.ctx, all)
 			r.Expect(err).NotTo(HaveOccurred())
-			away := 0
+			unavailable := 0
 			for index := range 3 {
 				if !r.fleet.Ready(subtask("s1", 0, index)) {
-					away++
+					unavailable++
 				}
 			}
-			r.Expect(away).To(BeNumerically("<=", 1))
+			r.Expect(unavailable).To(BeNumerically("<=", 1))
 			time.Sleep(100 * time.Millisecond)
 		}
 	},
@@ -185,13 +185,13 @@
 		b := r.newOwner("b")
 		vacate(b, 1)
 		for range 20 {
-			away := 0
+			unavailable := 0
 			for index := range 3 {
 				if !r.fleet.Ready(subtask("s1", 0, index)) {
-					away++
+					unavailable++
 				}
 			}
-			r.Expect(away).To(BeNumerically("<=", 1))
+			r.Expect(unavailable).To(BeNumerically("<=", 1))
 			time.Sleep(50 * time.Millisecond)
 		}
 	},
--- a/run/writer.go
+++ b/run/writer.go
@@ -30,8 +30,8 @@
 		// workersWithUnrecordedEnds are the workers with reported ends that must not be
 		// acknowledged yet.
 		workersWithUnrecordedEnds map[*worker]bool
-		messages                  []ledger.InboxRecord
-		toDelete                  []tw.SubmissionID
+		messagesToDelete          []ledger.InboxRecord
+		submissionsToDelete       []tw.SubmissionID
 
 		writingSince time.Time // zero if no sequential write is in flight
 		lastSent     time.Time
@@ -103,8 +103,8 @@
 
 // deleteMessage queues the removal of a message from the inbox.
 func (w *writer) deleteMessage(m ledger.InboxRecord) {
-	if !slices.Contains(w.messages, m) {
-		w.messages = append(w.messages, m)
+	if !slices.Contains(w.messagesToDelete, m) {
+		w.messagesToDelete = append(w.messagesToDelete, m)
 	}
 }
 
@@ -179,7 +179,7 @@
 }
 
 func (w *writer) empty() bool {
-	return w.parallelWrites == 0 && len(w.newSubmissions) == 0 && len(w.dirty) == 0 && len(w.messages) == 0 && len(w.toDelete) == 0
+	return w.parallelWrites == 0 && len(w.newSubmissions) == 0 && len(w.dirty) == 0 && len(w.messagesToDelete) == 0 && len(w.submissionsToDelete) == 0
 }
 
 // batchFull reports whether the pending changes fill a write, so that waiting for more would only
@@ -214,11 +214,11 @@
 	}
 	w.addAll(&job, add, func(sub *submission) bool { return sub.pendingFinal != "" })
 	w.addAll(&job, add, func(*submission) bool { return true })
-	for len(w.messages) > 0 && add(ledger.RemoveMessage(w.o.pool, w.messages[0]), w.messageCallback(w.messages[0])) {
-		w.messages = w.messages[1:]
+	for len(w.messagesToDelete) > 0 && add(ledger.RemoveMessage(w.o.pool, w.messagesToDelete[0]), w.messageCallback(w.messagesToDelete[0])) {
+		w.messagesToDelete = w.messagesToDelete[1:]
 	}
-	for len(w.toDelete) > 0 && add(ledger.DeleteSubmission(w.toDelete[0]), func(error) {}) {
-		w.toDelete = w.toDelete[1:]
+	for len(w.submissionsToDelete) > 0 && add(ledger.DeleteSubmission(w.submissionsToDelete[0]), func(error) {}) {
+		w.submissionsToDelete = w.submissionsToDelete[1:]
 	}
 	return job
 }
@@ -329,20 +329,20 @@
 
 // deleteExpired drops submissions that ended long ago, here and in the store.
 func (o *Owner) deleteExpired() {
-	if len(o.writer.toDelete) > 0 || len(o.submissions) < deleteExpiredAbove {
+	if len(o.writer.submissionsToDelete) > 0 || len(o.submissions) < deleteExpiredAbove {
 		return
 	}
 	for id, sub := range o.submissions {
 		if sub.final != "" && o.now.Sub(sub.endedAt) > o.bounds.KeepEnded+retentionSlack {
 			delete(o.submissions, id)
-			o.writer.toDelete = append(o.writer.toDelete, id)
+			o.writer.submissionsToDelete = append(o.writer.submissionsToDelete, id)
 		}
 	}
-	slices.Sort(o.writer.toDelete)
+	slices.Sort(o.writer.submissionsToDelete)
 }
 
 const (
-	// deleteExpiredAbove is the number of submissions below which the search is skipped.
+	// deleteExpiredAbove is the number of submissions below which deleteExpired does nothing.
 	deleteExpiredAbove = 2000
 	// retentionSlack covers repeated requests, which come seconds after an answer.
 	retentionSlack = 30 * time.Second
--- a/run/writer_changes.go
+++ b/run/writer_changes.go
@@ -13,8 +13,8 @@
 // An end that a worker reports may be acknowledged once all that it changed is in the store.
 // Changes are numbered in order, so that this is known for each end. An owner that acknowledged
 // ends only when there was nothing left to record acknowledged hardly any under load: 933 of 1,047
-// were unacknowledged after 6 s (TestEndsAreConfirmedUnderLoad). Their workers reported them again
-// in each poll, and the successor had to handle them again.
+// were unacknowledged after 6 s (TestEndsAreConfirmedUnderLoad). Their workers reported them
+// again in each poll, and the successor had to handle them again.
 
 type (
 	// changeMark is the number and the time of a submission's oldest change that is not recorded.
--- a/schedule/bench_test.go
+++ b/schedule/bench_test.go
@@ -45,7 +45,7 @@
 	}
 	var groups []*schedule.Group
 	for n := range steps {
-		// Needs differ, as submissions of different callers do.
+		// Needs differ, as those of different callers' submissions do.
 		step := &tw.Step{Count: 8, Need: tw.Resources{CPU: cpu - tw.Millicores(n%7)*50, MemoryMB: memory + int64(n%11)*100}}
 		g := &schedule.Group{Step: step, Urgency: schedule.Urgency{
 			Grade: schedule.GradeOnTime, Deadline: time.Unix(int64(n*7919%steps), 0),
--- a/schedule/budget.go
+++ b/schedule/budget.go
@@ -11,9 +11,9 @@
 	Budget struct {
 		// Remaining is the unused part of the cap. A resource without a limit is Unlimited.
 		Remaining tw.Resources
-		// MaxCharge is the most that a single reservation is charged. It lets a subtask run alone
-		// that is larger than any share of the cap that a pool can have: the platform lets
-		// one subtask exceed a cap.
+		// MaxCharge is the most that a single reservation is charged. Thus a subtask that is
+		// larger than any share of the cap that a pool can have may still run alone, as the
+		// platform lets one subtask exceed a cap.
 		MaxCharge tw.Resources
 		// Cap is the organisation's cap over all pools.
 		Cap tw.Resources
--- a/schedule/group.go
+++ b/schedule/group.go
@@ -57,9 +57,8 @@
 // work no value.
 const LateFactor = 3
 
-// sizeWeight weighs the size of work against its deadline. With a weight of 0.4, and when work
-// is ordered by size alone, about as much work ends in time, but size alone delays the largest
-// tenth.
+// sizeWeight weighs the size of work against its deadline. About as much work ends in time with a
+// weight of 0.4 or with an order by size alone, but the latter delays the largest tenth of the work.
 const sizeWeight = 1.25
 
 // UrgencyOf returns the urgency of work that was submitted at start with the given
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -61,8 +61,8 @@
 	return &part, true
 }
 
-// unplaceable holds reservations for which a pass found no worker. Free capacity only shrinks
-// during a pass, so steps that need at least as much are skipped. With 4,000 waiting subtasks
+// unplaceable holds reservations for which a placement pass found no worker. Free capacity only
+// shrinks during a pass, so steps that need at least as much are skipped. With 4,000 waiting subtasks
 // and 400 workers that have room for 400, a pass takes 1.1 ms instead of 2.2 ms (BenchmarkPass).
 type unplaceable []tw.Resources
 
@@ -172,8 +172,9 @@
 }
 
 // prefersOneHall reports whether the step should be kept in one hall: it is useful only once all
-// of it is done, and a step spread over two halls is delayed by the loss of either. On days
-// on which one hall is cut off, the mean worth is 0.557 instead of 0.531.
+// its subtasks are done, and a step spread over two halls is delayed by the loss of either. In
+// simulations in which one hall is partitioned, the mean share of the work's value that is earned
+// is 0.557 instead of 0.531.
 func (g *Group) prefersOneHall() bool {
 	return !g.Step.LongRunning && !g.hasPreference()
 }
--- a/schedule/place_test.go
+++ b/schedule/place_test.go
@@ -253,25 +253,25 @@
 func TestPlaceInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := drawWorkers(t)
-		before := map[tw.WorkerID]tw.Resources{}
+		remaining := map[tw.WorkerID]tw.Resources{}
 		for _, w := range workers {
-			before[w.ID] = w.Free
+			remaining[w.ID] = w.Free
 		}
 		groups := drawGroups(t)
-		steps := map[tw.SubmissionID]*schedule.Group{}
+		groupsByID := map[tw.SubmissionID]*schedule.Group{}
 		for _, g := range groups {
-			steps[g.Subtasks[0].Submission] = g
+			groupsByID[g.Subtasks[0].Submission] = g
 		}
 		placed := map[tw.SubtaskID]bool{}
 		onWorker := map[tw.SubmissionID]map[tw.WorkerID]int{}
 		for _, p := range schedule.Place(groups, workers, nil) {
 			id := p.Subtask.Submission
-			step := steps[id].Step
+			step := groupsByID[id].Step
 			if placed[p.Subtask] {
 				t.Fatalf("%s is placed twice", p.Subtask)
 			}
 			placed[p.Subtask] = true
-			before[p.Worker.ID] = before[p.Worker.ID].Minus(step.Reservation())
+			remaining[p.Worker.ID] = remaining[p.Worker.ID].Minus(step.Reservation())
 			if onWorker[id] == nil {
 				onWorker[id] = map[tw.WorkerID]int{}
 			}
@@ -283,12 +283,12 @@
 				t.Fatalf("%s lacks label %q", p.Worker.ID, step.Label)
 			}
 		}
-		for id, free := range before {
+		for id, free := range remaining {
 			if free.CPU < 0 || free.MemoryMB < 0 || free.GPU < 0 {
 				t.Fatalf("%s is over its capacity: %+v", id, free)
 			}
 		}
-		for id, g := range steps {
+		for id, g := range groupsByID {
 			total := 0
 			for _, n := range onWorker[id] {
 				total += n
--- a/service.go
+++ b/service.go
@@ -3,9 +3,9 @@
 // Service is a set of routes with a common availability budget.
 type Service struct {
 	ID ServiceID `toml:"id"`
-	// MaxUnavailable is the maximum number of replicas of the service, across
-	// all halls, that may be unavailable because of planned work. Unplanned
-	// losses count towards it too.
+	// MaxUnavailable limits planned work: it makes a replica unavailable only
+	// if at most this many replicas of the service, across all halls, are then
+	// unavailable. Unplanned losses are counted too, but are not limited.
 	MaxUnavailable int     `toml:"max_unavailable"`
 	Routes         []Route `toml:"routes"`
 }
--- a/submission.go
+++ b/submission.go
@@ -35,7 +35,9 @@
 		// checkpoint.
 		Checkpoints bool `json:"checkpoints,omitempty"`
 		// Gang subtasks make progress only while all of them are running.
-		Gang     bool `json:"gang,omitempty"`
+		Gang bool `json:"gang,omitempty"`
+		// SameRack means that a gang is placed on the workers of one rack if
+		// it fits there.
 		SameRack bool `json:"same_rack,omitempty"`
 		// Label is a label that the worker must have; empty means none.
 		Label string `json:"label,omitempty"`
@@ -86,8 +88,8 @@
 		Advice  AdvicePolicy  `json:"advice,omitzero"`
 	}
 
-	// AdvicePolicy restricts the workers of a step to those that the advice
-	// service names. The zero value means no restriction.
+	// AdvicePolicy restricts the workers of a step to those for which the
+	// advice service has issued a ticket. The zero value means no restriction.
 	AdvicePolicy struct {
 		// Decide and Each are the platform's decide_ms and each_ms. They are
 		// stored but not used.
@@ -124,7 +126,7 @@
 	SubmissionCancelled SubmissionState = "cancelled"
 )
 
-// Limits of a submission, counts except for MaxSpecBytes. The platform's
+// Limits of a submission; all but MaxSpecBytes are counts. The platform's
 // documentation limits only the spec; the others keep a single submission from
 // exhausting a daemon's memory.
 const (
