--- a/cmd/tamarindd/queue.go
+++ b/cmd/tamarindd/queue.go
@@ -112,7 +112,7 @@
 		log.Error("daemon: new settings are invalid, the previous ones stay in force", logsink.Err(err))
 		return
 	}
-	d.Reload(settings)
+	d.LogSettingsChange(settings)
 }
 
 // modTime returns when the settings file was last written; zero if unknown.
--- a/daemon/queue_daemon.go
+++ b/daemon/queue_daemon.go
@@ -259,9 +259,9 @@
 	return err
 }
 
-// Reload logs whether a new settings file differs from the one in use. Changes take
+// LogSettingsChange logs whether a new settings file differs from the one in use. Changes take
 // effect at the next start.
-func (d *QueueDaemon) Reload(s QueueSettings) {
+func (d *QueueDaemon) LogSettingsChange(s QueueSettings) {
 	if reflect.DeepEqual(s, d.settings) {
 		d.log.Info("daemon: settings reloaded, nothing has changed")
 		return
--- a/e2e/silent_test.go
+++ b/e2e/silent_test.go
@@ -203,7 +203,7 @@
 	s.timesMu.Lock()
 	defer s.timesMu.Unlock()
 	s.cancels = append(s.cancels, &confirmedCancel{
-		id: id, at: time.Now(), everStarted: s.fleet.EverStarted(id), active: s.fleet.Active(id),
+		id: id, at: time.Now(), everStarted: s.fleet.EverStarted(id), active: s.fleet.SubmissionRuns(id),
 	})
 }
 
@@ -211,7 +211,7 @@
 // The caller must hold timesMu.
 func (s *silenceTest) updateCancels(now time.Time) {
 	for _, c := range s.cancels {
-		everStarted, active := s.fleet.EverStarted(c.id), s.fleet.Active(c.id)
+		everStarted, active := s.fleet.EverStarted(c.id), s.fleet.SubmissionRuns(c.id)
 		if everStarted && !c.everStarted || active > c.active {
 			c.lastStartDelay = now.Sub(c.at)
 		}
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -282,7 +282,7 @@
 			Should(BeElementOf("completed", "cancelled"), "state of "+id)
 	}
 	for id := range s.cancelled {
-		Expect(s.fleet.Active(tw.SubmissionID(id))).To(BeZero(), "runs of cancelled "+id)
+		Expect(s.fleet.SubmissionRuns(tw.SubmissionID(id))).To(BeZero(), "runs of cancelled "+id)
 	}
 	for id := range s.refused {
 		Expect(s.fleet.EverStarted(tw.SubmissionID(id))).To(BeFalse(), "refused "+id+" has run")
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -303,8 +303,8 @@
 	return f.everStarted[id]
 }
 
-// Active returns the number of a submission's runs on live workers.
-func (f *Fleet) Active(id tw.SubmissionID) int {
+// SubmissionRuns returns the number of a submission's runs on live workers.
+func (f *Fleet) SubmissionRuns(id tw.SubmissionID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -328,8 +328,8 @@
 	return w.tailLatency(), w.fillerPace()
 }
 
-// Running returns the number of a subtask's runs on live workers.
-func (f *Fleet) Running(id tw.SubtaskID) int {
+// SubtaskRuns returns the number of a subtask's runs on live workers.
+func (f *Fleet) SubtaskRuns(id tw.SubtaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.running(id)
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -38,7 +38,7 @@
 		_, err := fleet.Stop(t.Context(), refs[1], tw.StopOrder{Subtask: id, Run: 2})
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(500 * time.Millisecond)
-		g.Expect(fleet.Running(id)).To(BeZero())
+		g.Expect(fleet.SubtaskRuns(id)).To(BeZero())
 		_, err = fleet.Hold(t.Context(), refs[0], tw.HoldOrder{AckedSequence: 1})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(fleet.Violations()).To(ContainElement(HavePrefix("TWICE")))
--- a/member/messages.go
+++ b/member/messages.go
@@ -22,8 +22,8 @@
 	OutcomeBusy Outcome = "busy"
 	// OutcomeAmbiguous means that the call may have had an effect.
 	OutcomeAmbiguous Outcome = "unclear"
-	// OutcomeUnknown means that there is no such submission.
-	OutcomeUnknown Outcome = "unknown"
+	// OutcomeUnknownSubmission means that there is no such submission.
+	OutcomeUnknownSubmission Outcome = "unknown"
 )
 
 type (
--- a/queue/handler_test.go
+++ b/queue/handler_test.go
@@ -144,7 +144,7 @@
 	"unavailable":  {err: tw.ErrUnavailable, want: member.OutcomeNotApplied},
 	"rate limited": {err: tw.ErrRateLimited, want: member.OutcomeNotApplied},
 	"busy":         {err: &run.BusyError{RetryAfter: time.Second}, want: member.OutcomeBusy},
-	"unknown":      {err: run.ErrUnknownSubmission, want: member.OutcomeUnknown},
+	"unknown":      {err: run.ErrUnknownSubmission, want: member.OutcomeUnknownSubmission},
 	"ambiguous":    {err: tw.ErrAmbiguous, want: member.OutcomeAmbiguous},
 }
 
--- a/queue/router.go
+++ b/queue/router.go
@@ -362,7 +362,7 @@
 		return tw.ErrUnavailable
 	case member.OutcomeBusy:
 		return &run.BusyError{}
-	case member.OutcomeUnknown:
+	case member.OutcomeUnknownSubmission:
 		return run.ErrUnknownSubmission
 	}
 	return tw.ErrAmbiguous
@@ -380,7 +380,7 @@
 	case tw.NotApplied(err):
 		return member.OutcomeNotApplied
 	case errors.Is(err, run.ErrUnknownSubmission):
-		return member.OutcomeUnknown
+		return member.OutcomeUnknownSubmission
 	}
 	return member.OutcomeAmbiguous
 }
--- a/run/capacity_test.go
+++ b/run/capacity_test.go
@@ -60,7 +60,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for n := range 4 {
-			r.Expect(r.fleet.Running(subtask("s1", 0, n))).To(Equal(1))
+			r.Expect(r.fleet.SubtaskRuns(subtask("s1", 0, n))).To(Equal(1))
 		}
 		r.Expect(r.fleet.Starts()).To(Equal(12))
 	},
--- a/run/crash_test.go
+++ b/run/crash_test.go
@@ -168,7 +168,7 @@
 		}
 		r.runWithReboots(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionSucceeded })
 		r.Expect(r.state(o, "s2")).To(Equal(tw.SubmissionStarted))
-		r.Expect(r.fleet.Running(subtask("s2", 0, 0))).To(Equal(1))
+		r.Expect(r.fleet.SubtaskRuns(subtask("s2", 0, 0))).To(Equal(1))
 	},
 }
 
--- a/run/owner_test.go
+++ b/run/owner_test.go
@@ -47,7 +47,7 @@
 		r.fleet.RegisterSubmission(&s, func(id tw.SubtaskID, p *standin.Profile) { p.Fails = id.Index == 1 })
 		r.Expect(o.Submit(r.ctx, s)).To(Succeed())
 		r.eventually(o, "s1", tw.SubmissionFailed, 10*time.Second)
-		r.Expect(r.fleet.Running(subtask("s1", 0, 0))).To(BeZero())
+		r.Expect(r.fleet.SubtaskRuns(subtask("s1", 0, 0))).To(BeZero())
 	},
 	"stops what runs when a submission is cancelled": func(r *rig) {
 		o := r.newOwner("a")
@@ -55,7 +55,7 @@
 		time.Sleep(2 * time.Second)
 		r.Expect(o.Cancel(r.ctx, "", "s1")).To(Succeed())
 		r.Expect(r.state(o, "s1")).To(Equal(tw.SubmissionCancelled))
-		r.Eventually(func() int { return r.fleet.Running(subtask("s1", 0, 0)) }, 2*time.Second).Should(BeZero())
+		r.Eventually(func() int { return r.fleet.SubtaskRuns(subtask("s1", 0, 0)) }, 2*time.Second).Should(BeZero())
 	},
 	"adopts a run whose start was carried out but not answered": func(r *rig) {
 		o := r.newOwner("a")
--- a/run/session_test.go
+++ b/run/session_test.go
@@ -58,9 +58,9 @@
 
 func (parallelOrders) MaxParallelStarts() int { return 3 }
 
-// TestSessionStartsAtOnce checks that starts overlap if the client takes several in
+// TestSessionStartsInParallel checks that starts overlap if the client takes several in
 // parallel, and that a stop waits for the starts before it.
-func TestSessionStartsAtOnce(t *testing.T) {
+func TestSessionStartsInParallel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const count, duration = 6, 100 * time.Millisecond
--- a/run/worker_incarnations_test.go
+++ b/run/worker_incarnations_test.go
@@ -268,7 +268,7 @@
 		r.submit(o, submission("s1", 1))
 		current := workerID(0)
 		for n := range 7 {
-			r.Eventually(func() int { return r.fleet.Running(subtask("s1", 0, 0)) }, 20*time.Second, 5*time.Millisecond).Should(Equal(1))
+			r.Eventually(func() int { return r.fleet.SubtaskRuns(subtask("s1", 0, 0)) }, 20*time.Second, 5*time.Millisecond).Should(Equal(1))
 			next := tw.WorkerID(fmt.Sprintf("next%d", n))
 			entry := r.startNextWorker(current, next)
 			delete(r.list, current)
--- a/run/worker_test.go
+++ b/run/worker_test.go
@@ -21,7 +21,7 @@
 		r.Expect(on).To(HaveLen(1))
 		r.fleet.Kill(on[0])
 		r.cloud.Add(tw.Machine{ID: r.list[on[0]].Instance, Pool: pool, State: tw.MachineDown})
-		r.Eventually(func() int { return r.fleet.Running(subtask("s1", 0, 0)) }, 6*time.Second).Should(Equal(1))
+		r.Eventually(func() int { return r.fleet.SubtaskRuns(subtask("s1", 0, 0)) }, 6*time.Second).Should(Equal(1))
 	},
 	"waits while a silent worker may still run a subtask": func(r *rig) {
 		o := r.newOwner("a")
