--- a/daemon/report_test.go
+++ b/daemon/report_test.go
@@ -19,7 +19,7 @@
 // of it only with its next write, up to 1.5 s later, and reports for the pool until then:
 // here with fence 1, while a peer has announced an owner with fence 5. The manager moves
 // machines that are reported as empty, although the new owner may have started work there.
-func TestReportOfFormerOwner(t *testing.T) {
+func TestReportOfPreviousOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		newer := ledger.Owner{Pool: "p", Daemon: "b", Address: "b:1", Fence: 5}
--- a/ledger/open.go
+++ b/ledger/open.go
@@ -10,8 +10,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// formerOwner describes the ownership that a daemon finds when it opens the book.
-type formerOwner struct {
+// previousOwner describes the ownership that a daemon finds when it opens the book.
+type previousOwner struct {
 	fence                       tw.FencingToken
 	headRevision, ownerRevision tw.KVRevision
 	// ownerReadable means that the owner record exists and is readable, so that its fence is
@@ -28,7 +28,7 @@
 // runs of one seed of TestAllSoak.
 func (c Config) Open(ctx context.Context) (*Book, error) {
 	b := &Book{kv: c.KV, clock: c.Clock, log: c.Log, owner: c.Owner}
-	former, err := b.readFormerOwner(ctx)
+	former, err := b.readPreviousOwner(ctx)
 	if err != nil {
 		return nil, errors.Wrap(err, "ledger.Open")
 	}
@@ -38,9 +38,9 @@
 	return b, nil
 }
 
-// readFormerOwner reads the head and the owner record concurrently, as a slow store takes a
+// readPreviousOwner reads the head and the owner record concurrently, as a slow store takes a
 // quarter of a second per call.
-func (b *Book) readFormerOwner(ctx context.Context) (formerOwner, error) {
+func (b *Book) readPreviousOwner(ctx context.Context) (previousOwner, error) {
 	var owner, headItem tw.KVItem
 	var ownerErr, headErr error
 	var wg sync.WaitGroup
@@ -48,14 +48,14 @@
 	wg.Go(func() { headItem, headErr = getItem(ctx, b.kv, headKey(b.owner.Pool)) })
 	wg.Wait()
 	if err := errors.CombineErrors(ownerErr, headErr); err != nil {
-		return formerOwner{}, err
+		return previousOwner{}, err
 	}
 	record, recordErr := DecodeOwner(owner)
 	last, err := decode[head](headItem)
 	if err != nil && recordErr != nil {
-		return formerOwner{}, err
+		return previousOwner{}, err
 	}
-	return formerOwner{
+	return previousOwner{
 		fence: max(last.Fence, record.Fence), headRevision: headItem.Revision, ownerRevision: owner.Revision, ownerReadable: recordErr == nil,
 	}, nil
 }
@@ -63,7 +63,7 @@
 // takeOwnership writes the head and the owner record of the new ownership. If the former owner's
 // record is missing or unreadable, the write is also conditional on the head that was read, as only
 // the head then holds the latest fence.
-func (b *Book) takeOwnership(ctx context.Context, former formerOwner) error {
+func (b *Book) takeOwnership(ctx context.Context, former previousOwner) error {
 	b.owner.Fence = former.fence + 1
 	b.head = head{Fence: b.owner.Fence, Daemon: b.owner.Daemon, Incarnation: b.owner.Incarnation, Count: 1}
 	ownerKey, owner := OwnerKey(b.owner.Pool), mustEncode(b.owner)
--- a/ledger/shares_test.go
+++ b/ledger/shares_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestShareBookRejectsFormerOwner(t *testing.T) {
+func TestShareBookRejectsPreviousOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kv := standin.KVConfig{Latency: time.Millisecond}.New()
