--- a/daemon/owner_monitor_test.go
+++ b/daemon/owner_monitor_test.go
@@ -63,7 +63,7 @@
 	taken, superseded bool
 }{
 	"the owner":                    {known: 4, requesting: 4, taken: true},
-	"a former owner":               {known: 9, requesting: 4, superseded: true},
+	"a previous owner":             {known: 9, requesting: 4, superseded: true},
 	"an owner newer than known":    {known: 4, requesting: 9, taken: true},
 	"a daemon that sends no fence": {known: 4, taken: true, superseded: true},
 }
--- a/daemon/peer_calls.go
+++ b/daemon/peer_calls.go
@@ -91,7 +91,7 @@
 	return &member.WaitingResponse{Outcome: queue.OutcomeOf(err), Count: count}, nil
 }
 
-// Take implements member.Handler. It ignores a request of a former owner, for example
+// Take implements member.Handler. It ignores a request of a previous owner, for example
 // after a network partition, if another daemon has taken the pool since: taking it
 // again would interrupt the pool for nothing. A request without a fence is accepted.
 func (d *QueueDaemon) Take(_ context.Context, m *member.TakeRequest) (*member.TakeResponse, error) {
@@ -120,7 +120,7 @@
 	owner, found := d.members.Owner(pool)
 	report, err := d.reportFrom(ctx, owner, found, pool, directions)
 	if err == nil && report.Fence < owner.Fence {
-		// A former owner does not know the work that its successor has started.
+		// A previous owner does not know the work that its successor has started.
 		return run.Report{}, run.ErrNotOwner
 	}
 	return report, err
--- a/daemon/report_test.go
+++ b/daemon/report_test.go
@@ -15,7 +15,7 @@
 	"github.com/tamarindworks/tamarindworks/run"
 )
 
-// ReportOf must reject the report of a former owner. A daemon that has lost a pool learns
+// ReportOf must reject the report of a previous owner. A daemon that has lost a pool learns
 // of it only with its next write, up to 1.5 s later, and reports for the pool until then:
 // here with fence 1, while a peer has announced an owner with fence 5. The manager moves
 // machines that are reported as empty, although the new owner may have started work there.
--- a/ledger/book_test.go
+++ b/ledger/book_test.go
@@ -91,16 +91,16 @@
 		b.Expect(first.IsFirstOwner()).To(BeTrue())
 		b.Expect(second.IsFirstOwner()).To(BeFalse())
 	},
-	"rejects writes of a former owner": func(b *fixture) {
-		former := b.open("a")
+	"rejects writes of a previous owner": func(b *fixture) {
+		previous := b.open("a")
 		b.open("b")
-		_, err := former.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
+		_, err := previous.Write(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
 		b.Expect(err).To(MatchError(ledger.ErrOwnershipLost))
 		_, err = ledger.FindSubmission(b.ctx, b.kv, "s1")
 		b.Expect(err).To(MatchError(tw.ErrNotFound))
 	},
-	"opens while the former owner keeps writing": func(b *fixture) {
-		former := b.open("a")
+	"opens while the previous owner keeps writing": func(b *fixture) {
+		previous := b.open("a")
 		stop := make(chan struct{})
 		ended := make(chan struct{})
 		go func() {
@@ -111,7 +111,7 @@
 					return
 				case <-time.After(5 * time.Millisecond):
 				}
-				if _, err := former.Write(b.ctx, nil); err != nil {
+				if _, err := previous.Write(b.ctx, nil); err != nil {
 					return
 				}
 			}
@@ -125,12 +125,12 @@
 	// concluded that a faster daemon had become the owner, and the pool stayed with an owner that
 	// was considered failed. This happened in 80 of 600 runs of TestAllSoak with seed 29 and a
 	// daemon short of CPU time.
-	"opens on a slow daemon while the former owner keeps writing": func(b *fixture) {
-		former := b.open("a")
+	"opens on a slow daemon while the previous owner keeps writing": func(b *fixture) {
+		previous := b.open("a")
 		ended := make(chan error)
 		go func() {
 			for {
-				if _, err := former.Write(b.ctx, nil); err != nil {
+				if _, err := previous.Write(b.ctx, nil); err != nil {
 					ended <- err
 					return
 				}
@@ -141,7 +141,7 @@
 		book, err := config.Open(b.ctx)
 		b.Expect(err).NotTo(HaveOccurred())
 		b.Expect(<-ended).To(MatchError(ledger.ErrOwnershipLost))
-		b.Expect(book.Fence()).To(Equal(former.Fence() + 1))
+		b.Expect(book.Fence()).To(Equal(previous.Fence() + 1))
 		b.accept(book, "s1")
 	},
 	"opens for one of two concurrent daemons": func(b *fixture) {
@@ -240,11 +240,11 @@
 		b.Expect(record.Final).To(Equal(tw.SubmissionSucceeded))
 	},
 	"stores nothing outside the chain once another daemon has opened the book": func(b *fixture) {
-		former := b.open("a")
+		previous := b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LateWrites: 1})
 		result := make(chan error, 1)
 		go func() {
-			_, err := former.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
+			_, err := previous.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1"))})
 			result <- err
 		}()
 		time.Sleep(5 * time.Millisecond)
@@ -294,7 +294,7 @@
 		b.Expect(err).To(MatchError(context.DeadlineExceeded))
 		b.Expect(tw.NotApplied(err)).To(BeFalse())
 	},
-	"loads what a former owner stored": func(b *fixture) {
+	"loads what a previous owner stored": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		b.accept(book, "s2")
--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -3,6 +3,6 @@
 //
 // Each pool has one head record. Each chained write of the pool's owner is a
 // transaction that is conditional on the last revision of the head and rewrites
-// it. The writes therefore form a chain: writes of a former owner fail, and so
+// it. The writes therefore form a chain: writes of a previous owner fail, and so
 // does a delayed write that the store applies after a later one.
 package ledger
--- a/ledger/open.go
+++ b/ledger/open.go
@@ -19,7 +19,7 @@
 	ownerReadable bool
 }
 
-// Open makes the daemon the owner of the pool. Writes of the former owner fail from then
+// Open makes the daemon the owner of the pool. Writes of the previous owner fail from then
 // on. Open fails with ErrOwnershipLost if another daemon opened the book at the same time.
 //
 // The transaction is conditional on the owner record, which changes only with the owner. With
@@ -28,11 +28,11 @@
 // runs of one seed of TestAllSoak.
 func (c Config) Open(ctx context.Context) (*Book, error) {
 	b := &Book{kv: c.KV, clock: c.Clock, log: c.Log, owner: c.Owner}
-	former, err := b.readPreviousOwner(ctx)
+	previous, err := b.readPreviousOwner(ctx)
 	if err != nil {
 		return nil, errors.Wrap(err, "ledger.Open")
 	}
-	if err := b.takeOwnership(ctx, former); err != nil {
+	if err := b.takeOwnership(ctx, previous); err != nil {
 		return nil, errors.Wrap(err, "ledger.Open")
 	}
 	return b, nil
@@ -60,19 +60,19 @@
 	}, nil
 }
 
-// takeOwnership writes the head and the owner record of the new ownership. If the former owner's
+// takeOwnership writes the head and the owner record of the new ownership. If the previous owner's
 // record is missing or unreadable, the write is also conditional on the head that was read, as only
 // the head then holds the latest fence.
-func (b *Book) takeOwnership(ctx context.Context, former previousOwner) error {
-	b.owner.Fence = former.fence + 1
+func (b *Book) takeOwnership(ctx context.Context, previous previousOwner) error {
+	b.owner.Fence = previous.fence + 1
 	b.head = head{Fence: b.owner.Fence, Daemon: b.owner.Daemon, Incarnation: b.owner.Incarnation, Count: 1}
 	ownerKey, owner := OwnerKey(b.owner.Pool), mustEncode(b.owner)
 	txn := tw.KVTxn{
-		Conditions: []tw.KVCondition{{Key: ownerKey, Revision: former.ownerRevision}},
+		Conditions: []tw.KVCondition{{Key: ownerKey, Revision: previous.ownerRevision}},
 		Puts:       []tw.KVPut{{Key: ownerKey, Value: owner}, {Key: headKey(b.owner.Pool), Value: mustEncode(b.head)}},
 	}
-	if !former.ownerReadable {
-		txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: headKey(b.owner.Pool), Revision: former.headRevision})
+	if !previous.ownerReadable {
+		txn.Conditions = append(txn.Conditions, tw.KVCondition{Key: headKey(b.owner.Pool), Revision: previous.headRevision})
 	}
 	sent := b.clock.Now()
 	revision, conflict, err := b.commitUntilKnown(ctx, txn, tw.KVPut{Key: ownerKey, Value: owner})
@@ -82,7 +82,7 @@
 	if conflict != nil {
 		now := conflict.Find(ownerKey)
 		b.log.Info("ledger: opened by another daemon first", zap.String("pool", string(b.owner.Pool)),
-			zap.Int64("fence", int64(b.owner.Fence)), zap.Int64("owner_read", int64(former.ownerRevision)),
+			zap.Int64("fence", int64(b.owner.Fence)), zap.Int64("owner_read", int64(previous.ownerRevision)),
 			zap.Int64("owner_now", int64(now.Revision)), zap.ByteString("record_now", now.Value))
 		return ErrOwnershipLost
 	}
--- a/ledger/shares_test.go
+++ b/ledger/shares_test.go
@@ -55,13 +55,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kv := standin.KVConfig{Latency: time.Millisecond}.New()
-		former, current := shareBook(kv, "a", 1), shareBook(kv, "a", 2)
-		_, err := former.Set(t.Context(), upTo("a", 500))
+		previous, current := shareBook(kv, "a", 1), shareBook(kv, "a", 2)
+		_, err := previous.Set(t.Context(), upTo("a", 500))
 		g.Expect(err).NotTo(HaveOccurred())
 		kept, err := current.Set(t.Context(), func(s ledger.Shares) units { return s.Pools["a"].Units })
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(kept).To(Equal(units{"red": 500}))
-		_, err = former.Set(t.Context(), upTo("a", 0))
+		_, err = previous.Set(t.Context(), upTo("a", 0))
 		g.Expect(err).To(MatchError(ledger.ErrOwnershipLost))
 	})
 }
@@ -104,7 +104,7 @@
 // TestSharesModel simulates owners of three pools that change their shares through a store
 // that loses answers and applies writes late, and that are replaced at any time. The shares
 // that the owners may use must never add up to more than the cap. A new owner takes over the
-// recorded share of the former owner, whose work may still run.
+// recorded share of the previous owner, whose work may still run.
 func TestSharesModel(t *testing.T) {
 	for seed := range uint64(200) {
 		synctest.Test(t, func(t *testing.T) { simulateShares(t, seed) })
@@ -149,7 +149,7 @@
 	}
 }
 
-// claim takes over the share of the former owner.
+// claim takes over the share of the previous owner.
 func (o *shareOwner) claim(t *testing.T, name tw.PoolID) {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
--- a/queue/busy_test.go
+++ b/queue/busy_test.go
@@ -113,7 +113,7 @@
 	})
 }
 
-// While a pool has no owner, submissions that its busy former owner would have refused must not
+// While a pool has no owner, submissions that its busy previous owner would have refused must not
 // be stored for the successor. They are stored again some time after the last refusal.
 func TestBusyPoolWithoutOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
