--- a/schedule/budget_test.go
+++ b/schedule/budget_test.go
@@ -80,14 +80,14 @@
 // to its budget first, and that other organisations can use the room that a cap leaves.
 func TestBudgetPrefersUrgentWork(t *testing.T) {
 	g := NewWithT(t)
-	lessUrgent, urgent, other := waitingGroup("red", "less urgent", 4, 1000), waitingGroup("red", "urgent", 2, 1000), waitingGroup("blue", "other", 8, 1000)
+	lessUrgent, urgent, other := waitingGroup("red", "calm", 4, 1000), waitingGroup("red", "urgent", 2, 1000), waitingGroup("blue", "other", 8, 1000)
 	lessUrgent.Urgency.Priority, urgent.Urgency.Priority, other.Urgency.Priority = 1, 0, 2
 	placed := schedule.Place([]*schedule.Group{lessUrgent, urgent, other}, freeWorkers(2, 4000), schedule.Budgets{"red": newBudget(3000, 3000)})
 	count := map[tw.SubmissionID]int{}
 	for _, p := range placed {
 		count[p.Subtask.Submission]++
 	}
-	g.Expect(count).To(Equal(map[tw.SubmissionID]int{"urgent": 2, "less urgent": 1, "other": 5}))
+	g.Expect(count).To(Equal(map[tw.SubmissionID]int{"urgent": 2, "calm": 1, "other": 5}))
 }
 
 // TestBudgetIsNotExceeded checks with random groups that placed work stays within the budget.
