--- a/run/advice.go
+++ b/run/advice.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// allowed returns the workers with a valid ticket, and requests advice on further workers. known
-// is false while there are none.
+// allowed returns the workers with a valid ticket, and requests advice on those that have no valid
+// answer. known is false while no worker has a ticket.
 func (a *advisorClient) allowed(st *step) (allowed map[tw.WorkerID]bool, known bool) {
 	if st.advice == nil {
 		st.advice = &stepAdvice{tickets: map[tw.WorkerID]ticket{}, answered: map[tw.WorkerID]time.Time{}}
--- a/run/caps.go
+++ b/run/caps.go
@@ -33,8 +33,8 @@
 		// held are the pool's shares as recorded. It is nil until they are recorded with the
 		// fence of this ownership: before that, the previous owner could still change them.
 		held map[tw.OrganisationID]ledger.ShareUnits
-		// inFlight are the target shares of the update in flight; nil if there is none. A share
-		// may already be reduced to its target there.
+		// inFlight are the target shares of the update in flight; nil if there is none. In
+		// the store, a share may already be reduced to its target.
 		inFlight map[tw.OrganisationID]ledger.ShareUnits
 		// wanted are the shares that the last placement passes would have needed, minUseful the
 		// smallest shares with which any of the withheld work could start.
@@ -73,8 +73,8 @@
 	// spareShare is held beyond what is in use while a pool is busy, so that few starts wait for
 	// the store: taking a share takes a write, which takes 4 ms, or 240 ms in a slow store.
 	spareShare = ledger.CapUnits / 8
-	// idleShareTime is how long a share is kept that is not in use. The pools' demand shifts
-	// within seconds.
+	// idleShareTime is the minimum time for which a share is kept that is not in use. The pools'
+	// demand shifts within seconds.
 	idleShareTime = 400 * time.Millisecond
 	// raiseInterval is the minimum time between two requests for larger shares, so that those
 	// of several organisations are combined in one write.
--- a/run/config.go
+++ b/run/config.go
@@ -72,7 +72,7 @@
 	// flushRetryDelay is the pause after a write that the store refused.
 	flushRetryDelay = 150 * time.Millisecond
 	// writeStallTimeout is the time without an answer to a write after which the owner
-	// refuses submissions. It is twice the 240 ms that a slow store takes.
+	// refuses submissions. It is about twice the 240 ms that a slow store takes.
 	writeStallTimeout = 500 * time.Millisecond
 	// endBatchDelay is the pause before the next poll of a worker, so that one report carries
 	// several ends. The platform charges for each poll, and objectives are above 1 s.
--- a/run/crash.go
+++ b/run/crash.go
@@ -30,8 +30,9 @@
 	// recentAnswer is the age of its last answer up to which a worker counts as alive.
 	recentAnswer = 100 * time.Millisecond
 	// maxCrashes is the number of workers in a row that may end under a subtask before it is
-	// given up. The platform allows giving up after two, and forbids a third start after the
-	// third crash. With two, innocent work is given up far more often where many workers crash.
+	// given up. The platform allows giving up after two, and allows at most two more starts after
+	// the third crash. With two, innocent work is given up far more often where many workers
+	// crash.
 	maxCrashes = 3
 	// crashDetectTime is how soon after a start an owner that is not slow learns that the worker
 	// has ended under it, unless the worker was silent: 560 of 563 crashes were known by
@@ -262,7 +263,7 @@
 		r.precounted = false
 		r.w.endTrial(r)
 	}
-	o.log.Info("run: cleared, its worker lives on", zap.Stringer("subtask", t.id))
+	o.log.Info("run: cleared, its worker survived it", zap.Stringer("subtask", t.id))
 }
 
 // clearSurvived clears the suspects whose trial the worker has survived.
--- a/run/end.go
+++ b/run/end.go
@@ -188,7 +188,8 @@
 }
 
 // recordFailure quarantines a worker on which several runs in a row fail, unless their subtasks
-// fail on other workers too. Long-running subtasks may fail at any time.
+// fail on other workers too. Failures of long-running subtasks, which may come at any time, count
+// as well.
 func (o *Owner) recordFailure(w *worker, t *task) {
 	if t.failed() > 0 && t.lastFailedOn != w.entry.ID {
 		return
--- a/run/metrics.go
+++ b/run/metrics.go
@@ -18,7 +18,8 @@
 	// evacuated.
 	busy  *metrics.Counter
 	polls *metrics.Counter
-	// duplicateRuns counts the runs that completed although they had been given up.
+	// duplicateRuns counts the runs that completed although they had been given up, while another
+	// run of their subtask went on.
 	duplicateRuns *metrics.Counter
 	// capWithheld counts the placement passes in which a cap held work back, once for each
 	// organisation.
--- a/run/owner.go
+++ b/run/owner.go
@@ -210,7 +210,7 @@
 	o.open(sub)
 }
 
-// markBegun records that a subtask of the submission has been started.
+// markBegun records that a subtask of the submission has been started, or that none will be.
 func (o *Owner) markBegun(sub *submission) {
 	if !sub.begun {
 		sub.begun = true
--- a/run/place.go
+++ b/run/place.go
@@ -111,9 +111,8 @@
 	return offers, bounded
 }
 
-// limitedByOrders reports whether unplaced work would fit on workers that only have too many
-// starts in flight, and whether this holds for most workers: then the owner is slow, not the
-// workers.
+// limitedByOrders reports whether most workers have too many starts in flight and unplaced work
+// would fit on one of these: then the owner is slow, not the workers.
 func limitedByOrders(groups []*schedule.Group, placements []schedule.Placement, offers, bounded []*schedule.Worker) bool {
 	workers := len(offers) + len(bounded)
 	for _, offer := range offers {
@@ -268,7 +267,7 @@
 	return groups, trials
 }
 
-// group returns the step's waiting subtasks, or nil if there are none, and separately the
+// group returns the step's waiting subtasks, or nil if none can be placed now, and separately the
 // suspects that need a trial.
 func (o *Owner) group(st *step) (g *schedule.Group, suspects []tw.SubtaskID) {
 	g = &schedule.Group{Step: st.spec, Organisation: st.rep.sub.Organisation}
@@ -359,8 +358,8 @@
 	return urgency.WithSizePenalty(o.typical.relativeSize(o.remainingWork(st.rep).CPU), o.typical.objective)
 }
 
-// copyAfter is how long after its start a run on a silent worker may get a copy: if it has
-// crashed the worker, that is known by then.
+// copyAfter is the minimum age at which a run that its worker has not survived may get a copy: if
+// it has crashed the worker, that is known by then.
 const copyAfter = time.Second
 
 // avoidTime is how long a subtask is kept off the worker on which it failed.
--- a/run/poll.go
+++ b/run/poll.go
@@ -68,10 +68,10 @@
 	return false
 }
 
-// pollWait returns how long a worker may wait for an end before it answers a poll: not at all while
-// a start is unconfirmed or a stopped run has yet to end, at most until its trials are over, and
-// for shortPollWait where tail latencies must be watched, a run is overdue, or a long-running run
-// is not ready.
+// pollWait returns how long a worker may wait for an end before it answers a poll. While it has
+// trials, that is until they are over, but at most shortPollWait. Otherwise it is zero while a
+// start is unconfirmed or a stopped run has yet to end, shortPollWait where tail latencies must be
+// watched, a run is overdue or a long-running run is not ready, and longPollWait elsewhere.
 func (o *Owner) pollWait(w *worker) time.Duration {
 	if w.tally.trials > 0 {
 		return min(max(0, w.trialDue().Sub(o.now)), shortPollWait)
--- a/run/report.go
+++ b/run/report.go
@@ -49,7 +49,7 @@
 		MemoryMB float64 `json:"memoryMb"` // megabyte seconds
 	}
 
-	// WorkerLoad is the load of a worker.
+	// WorkerLoad describes the capacity and the runs of a worker.
 	WorkerLoad struct {
 		Instance    tw.InstanceID `json:"instance"`
 		Worker      tw.WorkerID   `json:"worker"`
--- a/run/send_window.go
+++ b/run/send_window.go
@@ -31,7 +31,7 @@
 		// limitedAt is when work that had free capacity last waited only for starts to be
 		// answered, limitedSince the beginning of the last uninterrupted period of such waiting.
 		limitedSince, limitedAt time.Time
-		// lateAt is when a start was last answered late or not at all.
+		// lateAt is when a start was last late: answered late, not answered or not sent in time.
 		lateAt time.Time
 		// roundTrip is the moving average of the time from sending a start to its answer, over
 		// all workers.
@@ -79,8 +79,8 @@
 	// for starts or a start was late. What reduced the window has passed by then.
 	windowResetAfter = time.Second
 	// initialWorkerLimit and maxWorkerLimit bound the starts that are queued for or in flight to
-	// one worker, which are sent one after the other. The maximum fills a worker of 16 cores
-	// three times over.
+	// one worker, which are sent one after the other, or up to maxParallelStarts at once where
+	// the client allows that. The maximum fills a worker of 16 cores three times over.
 	initialWorkerLimit = 4
 	maxWorkerLimit     = 48
 	// evaluateInterval is how long outcomes are collected before fewer of them than half of the
--- a/run/session.go
+++ b/run/session.go
@@ -66,8 +66,8 @@
 // maxParallelStarts bounds the starts that are sent to a worker at the same time.
 const maxParallelStarts = 4
 
-// errNotSent is the result of an order that was outdated before it was sent, or of a poll that
-// the owner itself has interrupted.
+// errNotSent is the result of an order that was outdated or no longer permitted before it was sent,
+// or of a poll that the owner itself has interrupted.
 var errNotSent = errors.New("order not sent, it was outdated")
 
 func (p *permit) extend(until time.Time) { p.until.Store(&until) }
--- a/run/stall.go
+++ b/run/stall.go
@@ -14,7 +14,8 @@
 	stallTimeout = 1200 * time.Millisecond
 )
 
-// watchRuns handles runs that make no progress, and returns when to check again.
+// watchRuns handles runs that make no progress, repeats unanswered stops and moves long-running
+// subtasks. It returns when to check again.
 func (o *Owner) watchRuns() time.Time {
 	next := o.now.Add(watchInterval)
 	for _, w := range o.workers {
--- a/run/starvation.go
+++ b/run/starvation.go
@@ -55,7 +55,8 @@
 }
 
 // starveLimit is how long nothing of a submission may run before it is placed first:
-// mustRunWithin less the time to order one subtask of each waiting submission.
+// mustRunWithin less the time to order one subtask of each waiting submission, but at most
+// starveAfter.
 func (o *Owner) starveLimit() time.Duration {
 	rate := o.window.capacity(o.now)
 	if rate == 0 {
--- a/run/submission.go
+++ b/run/submission.go
@@ -84,11 +84,11 @@
 		crashesUncertain bool
 		// uncounted: a previous owner may have made one more start than was counted.
 		uncounted bool
-		// crashedAt is when crashes last changed.
+		// crashedAt is when a crash was last counted, also in advance.
 		crashedAt time.Time
 		// startPrecounted: its next start is already included in crashes.
 		startPrecounted bool
-		// trialWaitSince is since when it could have been tried apart from other work.
+		// trialWaitSince is since when it has waited for a trial; zero if it does not wait.
 		trialWaitSince time.Time
 		lastCheckpoint tw.Checkpoint
 		// runs are the runs that may exist on a worker.
--- a/run/termination.go
+++ b/run/termination.go
@@ -48,7 +48,7 @@
 	startTime tw.WorkerStartTime
 }
 
-// matches reports whether an entry is, or may be, of this incarnation.
+// matches reports whether an entry is, or may be, of this incarnation or an earlier one.
 func (t terminatedWorker) matches(entry tw.WorkerEntry) bool {
 	return t.startTime == 0 || entry.StartTime <= t.startTime
 }
--- a/run/worker_list.go
+++ b/run/worker_list.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// vacateTTL is how long machines stay vacated after the last request of the manager, which
-// repeats its requests several times a second.
+// vacateTTL is how long a request to vacate machines stays in force. The manager repeats its
+// requests several times a second.
 const vacateTTL = 2 * time.Second
 
 func (o *Owner) setWorkers(list WorkerList) {
--- a/run/writer.go
+++ b/run/writer.go
@@ -342,7 +342,8 @@
 }
 
 const (
-	// deleteExpiredAbove is the number of submissions below which deleteExpired does nothing.
+	// deleteExpiredAbove is the number of submissions below which deleteExpired does nothing, to
+	// save the search while there is little to delete.
 	deleteExpiredAbove = 2000
 	// retentionSlack covers repeated requests, which come seconds after an answer.
 	retentionSlack = 30 * time.Second
