--- a/schedule/budget_test.go
+++ b/schedule/budget_test.go
@@ -90,7 +90,8 @@
 	g.Expect(count).To(Equal(map[tw.SubmissionID]int{"urgent": 2, "calm": 1, "other": 5}))
 }
 
-// TestBudgetIsNotExceeded checks with random groups that placed work stays within the budget.
+// TestBudgetIsNotExceeded checks with random groups that placed work stays within the budget. No
+// subtask is larger than the cap, as one that is may exceed it.
 func TestBudgetIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		left := tw.Millicores(rapid.IntRange(-500, 6000).Draw(t, "left"))
--- a/schedule/group.go
+++ b/schedule/group.go
@@ -76,7 +76,7 @@
 	return Urgency{Grade: GradeOverdue, Priority: priority, Deadline: latest}
 }
 
-// WithSizePenalty moves the deadline back in proportion to the size of the work, so that small
+// WithSizePenalty makes the deadline later in proportion to the size of the work, so that small
 // work goes first within a grade and priority. share is the size relative to usual work,
 // objective is the usual objective. In the simulated pools of experiment schedule, with
 // subtasks of 0.64 s, the share of the work that ends in time rises from 0.848 to 0.859 when
@@ -98,8 +98,8 @@
 	return u.Deadline.Before(other.Deadline)
 }
 
-// CountWorkers returns the number of workers that have room for a subtask of the group and the
-// number of those that have reached the step's limit per worker.
+// CountWorkers returns the number of workers that have the step's label and room for a subtask of
+// it, and the number of workers that have reached the step's limit per worker.
 func (g *Group) CountWorkers(workers []*Worker) (fits, full int) {
 	for _, w := range workers {
 		if w.Free.Fits(g.Step.Reservation()) && w.HasLabel(g.Step.Label) {
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -223,8 +223,8 @@
 	return free.Fits(g.Step.Reservation().Times(len(g.Subtasks)))
 }
 
-// candidates returns the workers that can run the step now, best first. The given workers
-// must be sorted with compareTopology.
+// candidates returns the eligible workers with room for a subtask of the step, best first. The
+// given workers must be sorted with compareTopology.
 func (g *Group) candidates(workers []*Worker) []*Worker {
 	reservation := g.Step.Reservation()
 	out := make([]*Worker, 0, len(workers))
@@ -300,7 +300,7 @@
 			if len(g.Avoid[rest[0].Index]) == 0 {
 				break
 			}
-			rest = rest[1:] // only this subtask's Avoid list may have kept it from a worker
+			rest = rest[1:] // its Avoid list may be the only cause, so the others are tried
 		}
 	}
 	return out
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -50,8 +50,8 @@
 
 // Preempt selects the runs to stop to make room for waiting work of a higher priority. On
 // each worker it prefers runs of the lowest priority that lose the least work, and it
-// prefers the workers on which the least work is lost. Late work and fillers preempt
-// nothing; a gang preempts for all its members or for none.
+// prefers the workers on which the least work is lost. Late and overdue work and fillers
+// preempt nothing; a gang preempts for all its members or for none.
 func Preempt(unplaced []Unplaced, workers []*Worker, runs []Run) []Run {
 	p := preemption{runs: map[*Worker][]Run{}, expectedFree: map[*Worker]tw.Resources{}, chosen: map[tw.SubtaskID]bool{}}
 	for _, w := range workers {
