--- a/ledger/book.go
+++ b/ledger/book.go
@@ -99,9 +99,10 @@
 
 // Write applies changes in one transaction. Changes whose key to create already
 // exists are left out and get ErrExists in the returned list. The error is
-// ErrUnavailable or ErrRateLimited if certainly nothing was written, ErrOwnershipLost, or
-// the context's error. In the last case the outcome is unknown and the book must not
-// be used any more.
+// ErrUnavailable or ErrRateLimited if certainly nothing was written, ErrOwnershipLost,
+// ErrAmbiguous if the store reports a conflict without a failed condition, or the
+// context's error. In the last case the outcome is unknown and the book must not be
+// used any more.
 func (b *Book) Write(ctx context.Context, changes []Change) ([]error, error) {
 	results := make([]error, len(changes))
 	for {
@@ -148,7 +149,7 @@
 				return nil, ErrOwnershipLost
 			}
 			if !markExisting(conflict, changes, results) {
-				return nil, errors.Wrap(tw.ErrAmbiguous, "ledger.WriteApart: the store names no condition that fails")
+				return nil, errors.Wrap(tw.ErrAmbiguous, "ledger.WriteConcurrent: the store names no condition that fails")
 			}
 			continue
 		case tw.NotApplied(err) && !ambiguous:
@@ -160,7 +161,7 @@
 		select {
 		case <-b.clock.After(pause):
 		case <-ctx.Done():
-			return nil, errors.Wrap(ctx.Err(), "ledger.WriteApart: outcome unknown")
+			return nil, errors.Wrap(ctx.Err(), "ledger.WriteConcurrent: outcome unknown")
 		}
 	}
 }
--- a/ledger/shares.go
+++ b/ledger/shares.go
@@ -107,8 +107,9 @@
 
 // Set changes the pool's shares to those that choose returns for the current record, and
 // returns them as recorded. choose may be called several times. Set fails with ErrOwnershipLost if
-// a later owner holds the pool's shares, and when ctx ends. Until it returns, the shares may
-// be the old ones or any that choose has returned. An unreadable record is left unchanged.
+// a later owner holds the pool's shares, when ctx ends, and if the record is unreadable, which it
+// leaves unchanged. Until it returns, the shares may be the old ones or any that choose has
+// returned.
 func (b *ShareBook) Set(ctx context.Context, choose func(Shares) map[tw.OrganisationID]ShareUnits) (map[tw.OrganisationID]ShareUnits, error) {
 	for pause := minRetryDelay; ; {
 		units, err := b.trySet(ctx, choose)
@@ -131,7 +132,7 @@
 }
 
 var (
-	// errRecordChanged means that another daemon has changed the record since it was read.
+	// errRecordChanged means that the record is not the one last read or written.
 	errRecordChanged = errors.New("the record has changed")
 	// errUnreadable means that the record cannot be decoded.
 	errUnreadable = errors.New("the record is not readable")
