--- a/maintenance/collect.go
+++ b/maintenance/collect.go
@@ -51,7 +51,7 @@
 			d := directions[pool.ID]
 			got, err := m.Owners.ReportOf(ctx, pool.ID, d)
 			if err != nil {
-				return // the last report is used until it is older than maxReportAge
+				return // decisions use the last report until it is older than maxReportAge
 			}
 			mu.Lock()
 			defer mu.Unlock()
