--- a/member/members.go
+++ b/member/members.go
@@ -65,8 +65,8 @@
 		owners    map[tw.PoolID]ledger.Owner
 		// pingStates holds the state of the daemons that this one pings, by address.
 		pingStates map[string]*pingState
-		// suspicions holds the suspicions of other daemons: the time of the last unanswered
-		// ping, by the address of the owner.
+		// suspicions holds the suspicions received from other daemons: the time of the last
+		// unanswered ping, by the address of the owner.
 		suspicions map[string]time.Time
 		// pingedPools caches for which pools this daemon pings the owner. hallProbes lists
 		// the addresses that it pings in each hall, searchOrder all addresses in the order
@@ -125,8 +125,9 @@
 	refusalsUntilDown = 2
 	// watchWait is the timeout of one watch of the members.
 	watchWait = 3 * time.Second
-	// The pause between two watches is watchGapPerMember times the number of members, so that the
-	// number of watch responses per second to all members together does not grow with their number.
+	// watchGapPerMember times the number of records of members and pool owners is the pause after
+	// a watch that returned changes. With it, the number of watch responses per second to all
+	// members together does not grow with their number while there are changes.
 	watchGapPerMember = 200 * time.Microsecond
 	// pingStateTTL is how long after its last answer the ping results of a daemon that is no longer
 	// pinged are kept.
@@ -149,8 +150,8 @@
 	// renewInterval.
 	recordMissingTimeout = 1200 * time.Millisecond
 	// storeAnswerTimeout is the time without an answer after which the store counts as
-	// unreachable. A renewal starts every renewInterval and takes up to 300 ms
-	// with a slow store.
+	// unreachable. A renewal starts renewInterval after the end of the last one and
+	// takes up to 300 ms with a slow store.
 	storeAnswerTimeout = 900 * time.Millisecond
 )
 
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -24,7 +24,7 @@
 	confirmInterval = 300 * time.Millisecond
 	// pingTime is the round-trip time of a ping.
 	pingTime = 3 * time.Millisecond
-	// callTimeout is the time after which a call across a partition fails.
+	// callTimeout is the time after which a call to the store across a partition fails.
 	callTimeout = 700 * time.Millisecond
 )
 
--- a/member/reach.go
+++ b/member/reach.go
@@ -15,9 +15,9 @@
 	// isolatedAfter is the time without an answer from the store and from other
 	// halls after which a daemon considers itself isolated. Pings are answered
 	// every pingInterval, and a slow store answers in 240 ms. The load balancer takes
-	// another 2 s to send callers to another hall. With a partitioned hall, refusing
-	// requests and failing the readiness check meanwhile earns 0.528 of the work's
-	// value in the mean instead of 0.510.
+	// another 2 s to send callers to another hall. With a partitioned hall, the mean
+	// share of the work's value that is earned is 0.528 instead of 0.510 if its daemons
+	// meanwhile refuse requests immediately and fail the readiness check.
 	isolatedAfter = 600 * time.Millisecond
 	// probesPerHall is the number of daemons of each hall that are pinged even if they
 	// own no pool, to detect that a hall is partitioned.
@@ -25,8 +25,8 @@
 	// pingersPerOwner is the number of daemons that ping an owner, which does not grow with the
 	// number of daemons. They include the first candidates for a takeover.
 	pingersPerOwner = 40
-	// maxSearchPings is the number of other daemons that an owner pings per round while the store
-	// does not answer it.
+	// maxSearchPings is the maximum number of other daemons that an owner pings per round while the
+	// store does not answer it.
 	maxSearchPings = 40
 )
 
--- a/member/rpc.go
+++ b/member/rpc.go
@@ -199,8 +199,8 @@
 	return call(ctx, p.clientsFor(address).waiting, &m)
 }
 
-// Take asks a daemon to take over a pool. from is the fencing token of its
-// current owner.
+// Take asks a daemon to take over a pool. from is the fencing token of the
+// requesting owner; see TakeRequest.Fence.
 func (p *Peers) Take(ctx context.Context, address string, pool tw.PoolID, from tw.FencingToken) error {
 	_, err := call(ctx, p.clientsFor(address).take, &TakeRequest{Pool: pool, Fence: from})
 	return err
--- a/member/succession.go
+++ b/member/succession.go
@@ -72,7 +72,7 @@
 	return !m.inStartupGrace(now) && now.Sub(m.orphanedAt[pool]) >= time.Duration(rank)*candidateDelay
 }
 
-// inStartupGrace reports whether other daemons may not have announced themselves yet.
+// inStartupGrace reports whether other daemons may still be announcing themselves.
 func (m *Members) inStartupGrace(now time.Time) bool { return now.Sub(m.started) < startupGrace }
 
 // orphanReason returns the reason why a pool has no live owner, or "" if it has one.
--- a/member/succession_model_test.go
+++ b/member/succession_model_test.go
@@ -15,7 +15,7 @@
 	// modelRounds is the number of faults for each of modelSeeds seeds.
 	modelRounds = 4
 	modelSeeds  = 12
-	// settleTime is the time after the last fault in which every pool must have
+	// settleTime is the time after the last fault within which every pool must have
 	// one owner again. A daemon that lost a pool does not retake it for 5 s.
 	settleTime = 8 * time.Second
 )
--- a/member/watcher.go
+++ b/member/watcher.go
@@ -40,8 +40,8 @@
 		done   chan struct{}
 
 		mu sync.Mutex
-		// answeringSince is the time since which all calls have succeeded; zero while the
-		// store does not answer.
+		// answeringSince is the time since which the store has answered all calls; zero
+		// while it does not answer.
 		answeringSince time.Time
 		// cancelWatch cancels the watch in progress.
 		cancelWatch context.CancelFunc
