--- a/relay.go
+++ b/relay.go
@@ -31,7 +31,7 @@
 	Relays interface {
 		// Candidates lists the addresses of some daemons in a data hall.
 		Candidates(hall HallID) []string
-		// Start has a daemon send orders to different workers. It calls answer with each
+		// Start has a daemon send a batch of orders to workers. It calls answer with each
 		// result as it arrives. After an error, the outcome of orders without a result is
 		// unknown, except after ErrNotListening and ErrUnavailable, which prove that no
 		// order was sent.
--- a/service.go
+++ b/service.go
@@ -3,7 +3,7 @@
 // Service is a set of routes with a common availability budget.
 type Service struct {
 	ID ServiceID `toml:"id"`
-	// MaxUnavailable limits planned work: it makes a replica unavailable only
+	// MaxUnavailable limits planned work, which makes a replica unavailable only
 	// if at most this many replicas of the service, across all halls, are then
 	// unavailable. Unplanned losses are counted too, but are not limited.
 	MaxUnavailable int     `toml:"max_unavailable"`
--- a/submission.go
+++ b/submission.go
@@ -77,7 +77,8 @@
 	RoutePolicy struct {
 		Route RouteName `json:"route"`
 		Pool  PoolID    `json:"pool"`
-		// Attempts is the maximum number of failures of a subtask.
+		// Attempts is the number of failures of one subtask at which its submission
+		// fails.
 		Attempts int `json:"attempts"`
 		// Priority is the priority of the route; 0 is the highest.
 		Priority int `json:"priority"`
