--- a/member/members.go
+++ b/member/members.go
@@ -125,10 +125,10 @@
 	refusalsUntilDown = 2
 	// watchWait is the timeout of one watch of the members.
 	watchWait = 3 * time.Second
-	// watchGapPerMember times the number of records of members and pool owners is the pause after
+	// watchGapPerRecord times the number of records of members and pool owners is the pause after
 	// a watch that returned changes. With it, the number of watch responses per second to all
 	// members together does not grow with their number while there are changes.
-	watchGapPerMember = 200 * time.Microsecond
+	watchGapPerRecord = 200 * time.Microsecond
 	// pingStateTTL is how long after its last answer the ping results of a daemon that is no longer
 	// pinged are kept.
 	pingStateTTL = 2 * time.Second
@@ -165,7 +165,7 @@
 	}
 	m.connectedCtx, m.cancelConnected = context.WithCancel(context.Background())
 	m.watcher = WatcherConfig{
-		KV: c.KV, Clock: c.Clock, Log: c.Log, Prefix: ledger.MemberPrefix, Wait: watchWait, ItemGap: watchGapPerMember, Changed: m.applyRecords,
+		KV: c.KV, Clock: c.Clock, Log: c.Log, Prefix: ledger.MemberPrefix, Wait: watchWait, ItemGap: watchGapPerRecord, Changed: m.applyRecords,
 	}.New()
 	go func() {
 		defer close(m.done)
