--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -19,7 +19,8 @@
 )
 
 type (
-	// Config configures a Daemon. Nil fields are created from the settings.
+	// Config configures a Daemon. A nil Store is replaced, with Instances and Workers, by a
+	// client created from the settings; Log, Clock and Peers have defaults.
 	Config struct {
 		Settings  Settings
 		Log       *zap.Logger
--- a/daemon/owner_monitor.go
+++ b/daemon/owner_monitor.go
@@ -26,8 +26,8 @@
 
 const (
 	// storeCheckInterval is the interval of checks whether the store accepts the
-	// owners' writes, storeOutageTimeout how long it may not do so before another
-	// daemon is asked to take over. A slow store takes 240 ms for a write: the
+	// owners' writes, storeOutageTimeout how long it may fail to accept them before
+	// another daemon is asked to take over. A slow store takes 240 ms for a write: the
 	// timeout is longer than three of them.
 	storeCheckInterval = 300 * time.Millisecond
 	storeOutageTimeout = 900 * time.Millisecond
--- a/daemon/queue_daemon.go
+++ b/daemon/queue_daemon.go
@@ -25,8 +25,8 @@
 )
 
 type (
-	// QueueConfig configures a QueueDaemon. Nil fields are created from the
-	// settings.
+	// QueueConfig configures a QueueDaemon. Nil clients are created from the settings;
+	// Log and Clock have defaults.
 	QueueConfig struct {
 		Settings QueueSettings
 		Log      *zap.Logger
--- a/daemon/queue_settings.go
+++ b/daemon/queue_settings.go
@@ -68,7 +68,7 @@
 
 	// QueueMachines configures the use of machines.
 	QueueMachines struct {
-		// ParkAfter is how long no pool must have needed a machine before it is
+		// ParkAfter is how long a machine must have been needed by no pool before it is
 		// switched off.
 		ParkAfter tw.Duration `toml:"park_after"`
 	}
