--- a/internal/drain/conn.go
+++ b/internal/drain/conn.go
@@ -44,7 +44,7 @@
 
 const (
 	serving         stopStage = iota // no shutdown
-	closingIdle                      // connections close once they are idle
+	closingIdle                      // connections close after idleTimeout between requests
 	refusingPartial                  // connections close unless the handler runs a request
 )
 
--- a/internal/drain/server_test.go
+++ b/internal/drain/server_test.go
@@ -311,12 +311,12 @@
 		resp, err := client.Post("http://"+r.address, "text/plain", bytes.NewReader(body))
 		if err != nil {
 			if !errors.Is(err, syscall.ECONNREFUSED) {
-				t.Error("cut: ", err)
+				t.Error("request cut off: ", err)
 			}
 			return answered
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			t.Error("cut: ", err)
+			t.Error("request cut off: ", err)
 		}
 		resp.Body.Close()
 		answered++
