--- a/internal/delays/delays.go
+++ b/internal/delays/delays.go
@@ -210,7 +210,7 @@
 	h.addSegment(Running, min(took, slowThreshold), run)
 }
 
-// median returns the median run time of the done subtasks in the step of a subtask.
+// median returns the median time of the runs that ended as done in the step of subtask.
 func (h *history) median(subtask string) time.Duration {
 	var times []time.Duration
 	for _, run := range h.runs {
