--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -6,8 +6,9 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// advanceHandovers moves each instance and placement that is being drained to
-// its next state, once no daemon can still send requests to it.
+// advanceHandovers moves draining instances and stopping placements to their next
+// state once no daemon can still send requests to them, and brings back instances
+// that are out or quarantined.
 func (p *pass) advanceHandovers() {
 	remaining := p.plan.Instances[:0]
 	for _, a := range p.plan.Instances {
--- a/fleet/jobs.go
+++ b/fleet/jobs.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// stopUnwanted stops placements whose job was removed, no longer matches any pool,
-// or was moved to another pool and has all its replicas running there: the new
-// replicas must run before the old ones stop.
+// stopUnwanted stops placements whose job was removed from the hall, no longer matches
+// any pool, or was moved to another pool and has all its replicas running there: the
+// new replicas must run before the old ones stop.
 func (p *pass) stopUnwanted() {
 	for i := range p.plan.Instances {
 		a := &p.plan.Instances[i]
--- a/fleet/sim_hall_test.go
+++ b/fleet/sim_hall_test.go
@@ -10,8 +10,8 @@
 )
 
 // simHall simulates a hall with arbitrary delays: planners act on old input, daemons
-// on the plan they last fetched, and heartbeats arrive late. Its methods that take
-// a *rapid.T are steps, which can run in any order and check the invariants.
+// on the plan they last fetched, and heartbeats arrive late. TestRandomEventOrder
+// runs its steps in any order; they check the invariants.
 type simHall struct {
 	config    *tw.FleetConfig
 	revision  tw.Revision
@@ -152,7 +152,7 @@
 }
 
 // checkPool fails if a daemon sends to an instance under a pool that is not its pool
-// in the stored plan.
+// in the stored plan: for all daemons, an instance is in one pool at a time.
 func (w *simHall) checkPool(t *rapid.T, id tw.DaemonID, a *tw.Assignment) {
 	now := w.stored.Find(a.Instance)
 	if now != nil && now.Pool != a.Pool {
