--- a/control/members.go
+++ b/control/members.go
@@ -23,7 +23,7 @@
 	// memberState is a daemon's last heartbeat.
 	memberState struct {
 		tw.Member
-		lastHeard time.Time // when its Beat last increased
+		lastHeard time.Time // when update last accepted a heartbeat
 		// learnedAt is when this daemon found the other one in the roster while
 		// registering; zero after the other's first heartbeat.
 		learnedAt time.Time
--- a/control/operator.go
+++ b/control/operator.go
@@ -68,8 +68,8 @@
 }
 
 // Apply stores source as the configuration, if base is still the newest revision.
-// An invalid configuration fails with tw.Faults, another base with *ConflictError,
-// and an outdated store with ErrStoreBehind.
+// An invalid configuration fails with tw.ValidationErrors, another base with
+// *ConflictError, and an outdated store with ErrStoreBehind.
 func (o *Operator) Apply(ctx context.Context, source, operator string, base tw.Revision) (tw.AcceptedConfig, error) {
 	if _, err := ParseConfig(source); err != nil {
 		return tw.AcceptedConfig{}, err
--- a/control/parse.go
+++ b/control/parse.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindworks/tamarindworks/internal/tomlfile"
 )
 
-// ParseConfig reads a fleet configuration. The error is of type tw.Faults.
+// ParseConfig reads a fleet configuration. The error is of type tw.ValidationErrors.
 func ParseConfig(source string) (*tw.FleetConfig, error) {
 	config := &tw.FleetConfig{}
 	if err := tomlfile.Decode([]byte(source), config); err != nil {
--- a/control/planner.go
+++ b/control/planner.go
@@ -208,9 +208,9 @@
 	return p.sendOrders(ctx, fleet.ComputeOrders(in))
 }
 
-// loadPlan reads the stored plan once after the lease was acquired. If it is older
-// than the plan that this daemon has, as after a restore of the store, planning
-// continues from the latter.
+// loadPlan reads the stored plan after the lease was acquired, and again after a
+// failed write. If it is older than the plan that this daemon has, as after a restore
+// of the store, planning continues from the latter.
 func (p *planner) loadPlan(ctx context.Context) error {
 	if p.loaded {
 		return nil
--- a/control/suite_test.go
+++ b/control/suite_test.go
@@ -241,7 +241,7 @@
 	return ""
 }
 
-// pendingState returns the state of a placement that is not running yet, or "".
+// pendingState returns the state of a placement that is not running, or "".
 func (b *testBed) pendingState() tw.PlacementState {
 	plan := b.plan()
 	for i := range plan.Instances {
