--- a/gateway/payload.go
+++ b/gateway/payload.go
@@ -40,14 +40,14 @@
 		return payload{}, nil
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, limit)
-	held, err := io.ReadAll(io.LimitReader(r.Body, int64(g.cfg.MaxBufferedBody)+1))
+	buffered, err := io.ReadAll(io.LimitReader(r.Body, int64(g.cfg.MaxBufferedBody)+1))
 	if err != nil {
 		return payload{}, bodyRefusal(err)
 	}
-	if int64(len(held)) <= int64(g.cfg.MaxBufferedBody) {
-		return payload{buffered: held, length: int64(len(held))}, nil
+	if int64(len(buffered)) <= int64(g.cfg.MaxBufferedBody) {
+		return payload{buffered: buffered, length: int64(len(buffered))}, nil
 	}
-	return payload{buffered: held, rest: r.Body, length: r.ContentLength}, nil
+	return payload{buffered: buffered, rest: r.Body, length: r.ContentLength}, nil
 }
 
 func bodyRefusal(err error) *Refusal {
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -75,8 +75,9 @@
 	ReasonCallerGone      Reason = "caller-gone"
 )
 
-// statusByReason maps every reason to its HTTP status. 499 (client closed request)
-// is never sent, as its caller has gone.
+// statusByReason maps every reason to its HTTP status. 499 (client closed
+// request) is never sent, as its caller has gone; the entry is needed because
+// Reasons lists the keys.
 var statusByReason = map[Reason]int{
 	ReasonUnknownRoute:    http.StatusNotFound,
 	ReasonBadMethod:       http.StatusMethodNotAllowed,
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -35,7 +35,8 @@
 	return last
 }
 
-// relayPeers lists the daemons to try, starting with a different one each time.
+// relayPeers lists the daemons to try, starting with a different one each time,
+// so that none gets all requests.
 func (g *Gateway) relayPeers(job tw.JobID) []tw.Member {
 	view := g.view.Load()
 	offset := int(g.relayRotation.Add(1))
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// maxAttempts is the maximum number of instances tried for one request.
+	// maxAttempts is the maximum number of instances, or of daemons when
+	// relaying, tried for one request.
 	maxAttempts = 4
 	maxBackoff  = 20 * time.Millisecond // full jitter
 )
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -79,8 +79,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view = view
-	// If no instance is known yet, this daemon has just started, not the
-	// instances, so that they need no slow start.
+	// If no instance is known yet, this daemon is new, not the instances: they
+	// need no slow start.
 	since := s.clock.Now()
 	if len(s.workers) == 0 {
 		since = since.Add(-slowStart)
--- a/gateway/scheduler_test.go
+++ b/gateway/scheduler_test.go
@@ -173,7 +173,7 @@
 
 	It("reserves more slots the more quick requests arrive", func() {
 		h := newSchedulerHarness(newView(8, "a", "b", "c", "d"))
-		for range 4000 { // 400 a second of 10 ms each: 4 of 32 slots
+		for range 4000 { // 400 a second of 2.5 ms each: 1 of 32 slots
 			g, _, _ := h.tryAdmit(h.newRequest(tw.ClassQuick, ""))
 			h.clock.Advance(2500 * time.Microsecond)
 			if g != nil {
