--- a/cmd/tamarind/main.go
+++ b/cmd/tamarind/main.go
@@ -68,7 +68,7 @@
 // started.
 var commandStarted bool
 
-// action wraps the function of a command.
+// action wraps the function of a command, to record that it was started.
 func action(do func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		commandStarted = true
--- a/cmd/tamarindd/queue.go
+++ b/cmd/tamarindd/queue.go
@@ -106,6 +106,8 @@
 	}
 }
 
+// reload reads the settings file again and logs whether it is valid and has
+// changed. Changes take effect at the next start.
 func (c *queueCommand) reload(d *daemon.QueueDaemon, log *zap.Logger) {
 	settings, err := daemon.LoadQueueSettings(*c.path)
 	if err != nil {
