--- a/internal/standin/fleet_crash.go
+++ b/internal/standin/fleet_crash.go
@@ -9,8 +9,8 @@
 const (
 	// crashDelay is how long after the start of a crashing subtask its worker crashes.
 	crashDelay = 8 * time.Millisecond
-	// After crashLimit crashes under a subtask, fewer than extraStartLimit further starts
-	// of this subtask are allowed.
+	// After crashLimit workers have crashed while they ran a subtask, fewer than
+	// extraStartLimit further starts of this subtask are allowed.
 	crashLimit      = 3
 	extraStartLimit = 3
 	// storeRecoveryTime is how long after a store fault callers may still be out of
@@ -34,8 +34,8 @@
 	return !f.storeFaulty && f.config.Clock.Now().Sub(f.storeFaultyAt) >= storeRecoveryTime
 }
 
-// scheduleCrash counts the start of a crashing subtask and crashes its worker crashDelay
-// later.
+// scheduleCrash checks the start of a crashing subtask against extraStartLimit and crashes
+// its worker crashDelay later.
 func (f *Fleet) scheduleCrash(w *SimWorker, id tw.SubtaskID) {
 	count := f.crashes[id]
 	if count.workers >= crashLimit && f.callersInContact() {
@@ -54,7 +54,8 @@
 	}()
 }
 
-// crash terminates a worker and resets its connections.
+// crash terminates a worker and resets its connections. The crash counts for every
+// crashing subtask that runs there.
 func (f *Fleet) crash(w *SimWorker) {
 	if w.dead {
 		return
--- a/internal/standin/fleet_http.go
+++ b/internal/standin/fleet_http.go
@@ -100,8 +100,8 @@
 	return map[string]any{"clockMs": report.Clock, "running": running, "ended": ended}
 }
 
-// parseTask parses a subtask's name. An invalid name gives the zero SubtaskID, which no
-// submission has.
+// parseTask parses a subtask's name. An invalid name gives the zero SubtaskID, which
+// belongs to no submission.
 func parseTask(name string) tw.SubtaskID {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/internal/standin/fleet_orders.go
+++ b/internal/standin/fleet_orders.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// connect returns the worker that a reference identifies, or fails as the network would. If it
-// succeeds, f.mu is held.
+// connect returns the worker that a reference identifies, or fails as the network would.
+// If it succeeds, f.mu is held.
 func (f *Fleet) connect(ctx context.Context, to tw.WorkerRef) (*SimWorker, error) {
 	if f.config.Latency > 0 {
 		select {
--- a/internal/standin/fleet_worker.go
+++ b/internal/standin/fleet_worker.go
@@ -107,9 +107,10 @@
 }
 
 // acknowledge drops the ends that the caller has recorded and checks that no done subtask
-// among them runs or was started again. An end is exempt if the worker's deadline passed
-// before it was acknowledged: the caller may have restarted the subtask before it learned
-// of the end.
+// among them runs or was started again. From then on, none may be started. Subtasks that
+// allow copies are exempt from all this. An end is exempt from the check if the worker's
+// deadline passed before it was acknowledged: the caller may have restarted the subtask
+// before it learned of the end.
 func (f *Fleet) acknowledge(w *SimWorker, seen int64) {
 	for _, e := range w.ended {
 		if e.Sequence > seen || e.Kind != tw.EndDone || f.acked[e.Subtask] {
@@ -142,12 +143,12 @@
 	return out
 }
 
-// tailLatency is that of the latency-sensitive runs on the worker.
+// tailLatency returns the tail latency of the latency-sensitive runs on the worker.
 func (w *SimWorker) tailLatency() time.Duration {
 	return w.TailLatency + w.FillerInterference*time.Duration(w.fillerPace())/fullPercent
 }
 
-// fillerPace is the highest pace of the fillers on the worker, in percent.
+// fillerPace returns the highest pace of the fillers on the worker, in percent.
 func (w *SimWorker) fillerPace() int {
 	pace := 0
 	for _, r := range w.runs {
@@ -158,8 +159,8 @@
 	return pace
 }
 
-// percent returns what the worker reports for a run: the pace of a long-running one that
-// is ready, or the progress of any other.
+// percent returns what the worker reports for a run: the pace of a long-running one, 0
+// until it is ready, or the progress of any other.
 func (w *SimWorker) percent(f *Fleet, r *simRun, now time.Time) int {
 	ran := now.Sub(r.started)
 	switch {
@@ -171,7 +172,7 @@
 	return int(fullPercent * ran / r.profile.Duration)
 }
 
-// nextChange returns when a run may end next, but no later than until.
+// nextChange returns when a run may end next, or until if none may end before.
 func (w *SimWorker) nextChange(now, until time.Time) time.Time {
 	next := until
 	for _, r := range w.runs {
--- a/internal/standin/kv_http.go
+++ b/internal/standin/kv_http.go
@@ -154,8 +154,8 @@
 	return kvMessage{Key: item.Key, Value: item.Value, Revision: item.Revision, Lease: item.Lease}
 }
 
-// writeError writes the response for an error and reports whether there was one. An
-// ambiguous error closes the connection without a response.
+// writeError writes the response for an error and reports whether there was one. An error
+// without a status code, such as an ambiguous one, closes the connection without a response.
 func writeError(w http.ResponseWriter, err error) bool {
 	var conflict *tw.KVConflictError
 	switch {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -27,7 +27,7 @@
 		Targets  []string // gateway addresses, used in turn in place of a load balancer
 		Streams  []Stream
 		Requests int     // in total
-		Warmup   int     // the number of first requests whose answer latency is not recorded
+		Warmup   int     // number of first requests; their latency and the work answered meanwhile don't count
 		Rate     float64 // requests per second, open loop
 		Timeout  time.Duration
 		// CollectRuns returns the runs that the upstreams recorded. It is called after the
@@ -205,7 +205,8 @@
 }
 
 func (l *loadRun) request(ctx context.Context, s Stream, target, id, payload string) (*http.Request, error) {
-	// Hide the *strings.Reader: for one, net/http sets GetBody and may retry the request.
+	// Hide the *strings.Reader, for which net/http would set GetBody and might retry the
+	// request.
 	body := io.NopCloser(io.MultiReader(strings.NewReader(payload)))
 	req, err := http.NewRequestWithContext(ctx, s.Method, fmt.Sprintf("http://%s%s", target, s.Path), body)
 	if err != nil {
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -23,7 +23,7 @@
 	// UpstreamConfig configures an Upstream.
 	UpstreamConfig struct {
 		Instance tw.Instance // Address is filled in
-		Listen   string      // IP:port; the kernel chooses a free port for 0
+		Listen   string      // IP:port; if the port is 0, the kernel chooses a free one
 		Recorder *Recorder
 		Work     time.Duration // of a request without HeaderWork
 		// Register reports to the platform and returns the jobs to run.
