--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindworks/tamarindworks/internal/standin"
 )
 
-// mix is a mix of request streams for the overload experiment.
+// mix is a combination of request streams that the overload experiment sends together.
 type mix struct {
 	name    string
 	streams []standin.Stream
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -109,8 +109,8 @@
 }
 
 // Schedule compares placement policies in simulated time, with demand that rotates among
-// the pools, inaccurate estimates and the partition of a hall. It plots the mean wait against the
-// load.
+// the pools, inaccurate estimates and the partition of a hall. It plots the mean wait
+// against the load.
 func Schedule(_ context.Context, out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "POLICY (%d seeds)\tLOAD\tIN TIME\tSERVED\tWAITED, MEAN\tWAITED, P95\n", scheduleSeeds)
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// simulatePolicy simulates a policy at a load with all seeds. Submissions that have not ended
-// by the end of a simulation count as late if their objective has passed, and are left out
-// otherwise.
+// simulatePolicy simulates a policy at a load with all seeds. Submissions that have not
+// ended by the end of a simulation count as late if their objective has passed, and are left
+// out otherwise.
 func simulatePolicy(policy schedulePolicy, load float64) scheduleResult {
 	results := make([][]*modelSubmission, scheduleSeeds)
 	var wg sync.WaitGroup
--- a/internal/standin/kv_http.go
+++ b/internal/standin/kv_http.go
@@ -155,7 +155,8 @@
 }
 
 // writeError writes the response for an error and reports whether there was one. An error
-// without a status code, such as an ambiguous one, closes the connection without a response.
+// without a status code, such as an ambiguous one, closes the connection without a
+// response.
 func writeError(w http.ResponseWriter, err error) bool {
 	var conflict *tw.KVConflictError
 	switch {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -26,10 +26,12 @@
 	LoadConfig struct {
 		Targets  []string // gateway addresses, used in turn in place of a load balancer
 		Streams  []Stream
-		Requests int     // in total
-		Warmup   int     // number of first requests; their latency and the work answered meanwhile don't count
-		Rate     float64 // requests per second, open loop
-		Timeout  time.Duration
+		Requests int // in total
+		// Warmup is the number of first requests. Their latency is not recorded, nor is
+		// work that is answered before they have all been sent.
+		Warmup  int
+		Rate    float64 // requests per second, open loop
+		Timeout time.Duration
 		// CollectRuns returns the runs that the upstreams recorded. It is called after the
 		// load has ended.
 		CollectRuns func() (Runs, error)
