--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -27,8 +27,8 @@
 		Targets  []string // gateway addresses, used in turn in place of a load balancer
 		Streams  []Stream
 		Requests int // in total
-		// Warmup is the number of first requests. Their latency is not recorded, nor is
-		// work that is answered before they have all been sent.
+		// Warmup is how many of the requests, the first ones, warm up. Their latency is not
+		// recorded, nor is work that is answered before they have all been sent.
 		Warmup  int
 		Rate    float64 // requests per second, open loop
 		Timeout time.Duration
