--- a/e2e/keys_test.go
+++ b/e2e/keys_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// configureKeys writes a configuration with one organisation that has the given API keys, a
-// JSON list without its brackets.
+// configureKeys writes a configuration with one organisation. keys is the JSON list of its API
+// keys, without the brackets.
 func (r *queueRig) configureKeys(version int, keys string) {
 	r.kv.Put("op/config", fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"r","host":%q,"pathPrefix":"/x/","timeoutMs":5000,`+
 		`"targetLatencyMs":600,"service":%q,"attempts":3,"stretch":1.6}],"services":[{"name":%q}],"limits":{"maxBodyBytes":100000},`+
--- a/e2e/queue_test.go
+++ b/e2e/queue_test.go
@@ -39,7 +39,7 @@
 
 	mu              sync.Mutex
 	daemons         map[string]*process
-	callerAddresses map[string]string // caller addresses by daemon
+	callerAddresses map[string]string // where each daemon accepts requests of callers
 }
 
 // latencies are the answer delays of the simulated store and workers.
--- a/e2e/soak_faults_test.go
+++ b/e2e/soak_faults_test.go
@@ -19,7 +19,9 @@
 		daemon string
 		worker int
 		link   linkFault
-		count  int // number of answers, writes or starts affected
+		// count is the number of answers, writes or starts affected. Above 1 it makes
+		// "connections silent" silence all connections.
+		count int
 	}
 
 	// soakFault is a kind of fault. inject starts the fault and returns the function that ends
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -29,9 +29,9 @@
 var soakSeeds = []uint64{1}
 
 const (
-	// soakFaultPeriod is how long faults are injected. soakRecoveryTimeout is the limit until
-	// all work has ended afterwards: the deadline of the runs on a silent worker passes within
-	// 6 s, or within 12 s if a previous owner set it.
+	// soakFaultPeriod is how long faults are injected. soakRecoveryTimeout limits how long all
+	// work may take to end afterwards: the deadline of the runs on a silent worker passes
+	// within 6 s, or within 12 s if a previous owner set it.
 	soakFaultPeriod     = 6 * time.Second
 	soakRecoveryTimeout = 60 * time.Second
 	// The deployment has soakDaemons queue daemons, d1 to d3, and soakWorkers workers of four
@@ -55,9 +55,9 @@
 	activeFaults  sync.WaitGroup    // faults that have not ended yet
 
 	mu sync.Mutex
-	// The maps hold submission IDs. accepted were answered with 200, refused only with 429 or
-	// 503 until their caller gave up; cancelled had a cancel confirmed, completed were
-	// reported as completed.
+	// The maps hold submission IDs: accepted those answered with 200, refused those answered
+	// only with 429 or 503 until their caller gave up, cancelled those whose cancel was
+	// confirmed, and completed those reported as completed.
 	accepted, refused, cancelled, completed map[string]bool
 	// violations describes each violated guarantee.
 	violations []string
@@ -140,8 +140,8 @@
 	return steps
 }
 
-// submitWithRetries submits work until it is accepted. After a definite refusal it may give
-// up. It reports whether the work was accepted.
+// submitWithRetries submits work until it is accepted. After a refusal it may give up, unless
+// an earlier attempt may have been accepted. It reports whether an attempt got a 200.
 func (s *soak) submitWithRetries(client *http.Client, id string, steps []tw.Step, random *rand.Rand) bool {
 	s.fleet.RegisterSubmission(&tw.Submission{ID: tw.SubmissionID(id), Steps: steps, Policy: tw.RoutePolicy{Attempts: 3}}, nil)
 	body := submissionBody(steps)
@@ -308,7 +308,8 @@
 	}
 }
 
-// seeds returns the seeds of TAMARIND_SOAK_SEEDS (N or FIRST-LAST), or soakSeeds if it is not set.
+// seeds returns the seeds of TAMARIND_SOAK_SEEDS (N or FIRST-LAST), or soakSeeds if it is not
+// set or does not begin with a number.
 func seeds() []uint64 {
 	from, to, found := strings.Cut(os.Getenv("TAMARIND_SOAK_SEEDS"), "-")
 	first, err := strconv.ParseUint(from, 10, 64)
