--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -65,8 +65,8 @@
 	return nil, w, nil
 }
 
-// checkTeamQuota returns the team's weight, or a refusal if the team has too many
-// requests running or queued.
+// checkTeamQuota returns the team's weight, or a refusal if the team has too
+// many requests running or queued.
 func (s *scheduler) checkTeamQuota(id tw.TeamID) (weight int, refusal *Refusal) {
 	team := findTeam(s.view.Config, id)
 	if team == nil {
--- a/gateway/claimed.go
+++ b/gateway/claimed.go
@@ -29,8 +29,8 @@
 	return refusal
 }
 
-// claimRefusal returns the refusal for a key that another request holds, or that
-// could not be claimed because too few daemons acknowledged it.
+// claimRefusal returns the refusal for a key that another request holds, or
+// that could not be claimed because too few daemons acknowledged it.
 func claimRefusal(claim, existing tw.Claim) *Refusal {
 	switch {
 	case existing.Holder == "":
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -158,9 +158,9 @@
 }
 
 // catchUpPass advances the pass of a class whose queue was empty to the virtual
-// time (start-time fair queueing). The class then gets no extra turns for the time
-// when it had no waiters, and the other classes are not charged for turns that they
-// took while it wanted none.
+// time (start-time fair queueing). The class then gets no extra turns for the
+// time when it had no waiters, and the other classes are not charged for turns
+// that they took while it wanted none.
 func (s *scheduler) catchUpPass(class tw.Class) {
 	s.classPass[class] = max(s.classPass[class], s.virtualTime)
 }
--- a/gateway/fair_queue.go
+++ b/gateway/fair_queue.go
@@ -89,8 +89,8 @@
 }
 
 // evictionCandidate returns the newest waiter of the team with the most waiters
-// per weight, or nil if no team has more per weight than the given team would have
-// with another waiter.
+// per weight, or nil if no team has more per weight than the given team would
+// have with another waiter.
 func (q *fairQueue) evictionCandidate(team tw.TeamID, weight int) *waiter {
 	withAnother := 1.0 / float64(max(weight, 1))
 	if tq := q.teams[team]; tq != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// tryInstance makes one attempt at one instance. A result with neither refusal nor
-// retry means that the response was forwarded to the caller.
+// tryInstance makes one attempt at one instance. A result with neither refusal
+// nor retry means that the response was forwarded to the caller.
 func (g *Gateway) tryInstance(ctx context.Context, w http.ResponseWriter, ex *exchange, slot *grant) decision {
 	a := g.send(ctx, ex, target{address: slot.address, grant: slot})
 	d := ex.classify(ctx, a)
@@ -249,8 +249,8 @@
 	return d
 }
 
-// mayRetry reports whether another instance may be tried. If so, it takes a token
-// from the retry budget.
+// mayRetry reports whether another instance may be tried. If so, it takes a
+// token from the retry budget.
 func (g *Gateway) mayRetry(ex *exchange) bool {
 	return len(ex.tried) < maxAttempts && g.scheduler.hasUntried(ex.job, ex.tried) && g.retries.withdraw()
 }
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -20,7 +20,8 @@
 	HeaderReason  = "Tamarind-Reason"  // refusals: see Reason
 )
 
-// maxKeyLength is the maximum length of an idempotency key or a request ID, in bytes.
+// maxKeyLength is the maximum length of an idempotency key or a request ID, in
+// bytes.
 const maxKeyLength = 255
 
 // hopByHop lists the headers that must not be forwarded (RFC 9110, section
--- a/gateway/payload.go
+++ b/gateway/payload.go
@@ -70,8 +70,8 @@
 	return singleUseBody{io.MultiReader(bytes.NewReader(p.buffered), p.rest)}
 }
 
-// digest identifies the request, to detect that an idempotency key is reused for a
-// different request.
+// digest identifies the request, to detect that an idempotency key is reused
+// for a different request.
 func (ex *exchange) digest() string {
 	hash := sha256.New()
 	for _, part := range []string{ex.in.Method, hostOf(ex.in), ex.in.URL.RequestURI()} {
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -20,7 +20,8 @@
 		Reason  Reason
 		Outcome Outcome
 		Detail  string
-		// RetryAfter is how long to wait before a retry; 0 if one would not help.
+		// RetryAfter is how long to wait before a retry; 0 if one would not
+		// help.
 		RetryAfter time.Duration
 	}
 
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -50,10 +50,10 @@
 	}
 }
 
-// reserveFactor scales the reserve for an urgent class against a less urgent one:
-// from 0 if requests of the less urgent class free their slots as fast as the
-// urgent ones, to 1 if they are far slower. It is squared to reserve little against
-// a class that is only somewhat slower.
+// reserveFactor scales the reserve for an urgent class against a less urgent
+// one: from 0 if requests of the less urgent class free their slots as fast as
+// the urgent ones, to 1 if they are far slower. It is squared to reserve little
+// against a class that is only somewhat slower.
 func (js *jobState) reserveFactor(urgent, class tw.Class) float64 {
 	slower := max(0, 1-js.meanServiceSeconds(urgent)/js.meanServiceSeconds(class))
 	return slower * slower
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -61,9 +61,9 @@
 	return w.ownSlots
 }
 
-// hasRoom reports whether the instance has a free slot for a class. The requests
-// of a class and of those less urgent may together use only the slots outside
-// the reserve of that class.
+// hasRoom reports whether the instance has a free slot for a class. The
+// requests of a class and of those less urgent may together use only the slots
+// outside the reserve of that class.
 func (w *worker) hasRoom(class tw.Class, reserved reserve, now time.Time) bool {
 	slots := w.usableSlots(now)
 	if slots == 0 || now.Before(w.ejectedUntil) {
@@ -118,8 +118,8 @@
 	return stats
 }
 
-// ejectNow excludes the instance from new requests for a while. The time doubles
-// with each ejection in a row, up to maxEjection.
+// ejectNow excludes the instance from new requests for a while. The time
+// doubles with each ejection in a row, up to maxEjection.
 func (w *worker) ejectNow(now time.Time) {
 	w.ejectionTime = min(max(2*w.ejectionTime, minEjection), maxEjection)
 	w.ejectedUntil = now.Add(w.ejectionTime)
--- a/maintenance/collect.go
+++ b/maintenance/collect.go
@@ -30,7 +30,8 @@
 	// removed from the list of workers after three missed status reports, about 5 s.
 	endedNoticeTime = 8 * time.Second
 	// workerListLag is how long the list of workers may lag behind the list of
-	// machines. In large deployments the lag is at most 0.43 s for nine in ten new workers.
+	// machines. In deployments of 350 machines the lag is at most 0.43 s for nine in ten
+	// new workers.
 	workerListLag = 600 * time.Millisecond
 	// reportTimeout limits a call for a report.
 	reportTimeout = 400 * time.Millisecond
--- a/run/evacuation_test.go
+++ b/run/evacuation_test.go
@@ -37,7 +37,7 @@
 
 // evacuationCases run with two workers in each of two halls. They guard against starts in
 // evacuated halls: owners that ignored the operator's evacuations started 577 to 1,397 subtasks
-// there on benchmark days with an evacuated hall.
+// there on simulated days with an evacuated hall.
 var evacuationCases = map[string]func(r *rig, o *run.Owner){
 	"nothing is started in the hall, and what runs there ends by itself": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
