--- a/control/peerpb/peerpbconnect/peer.connect.go
+++ b/control/peerpb/peerpbconnect/peer.connect.go
@@ -42,9 +42,9 @@
 
 // PeerServiceClient is a client for the tamarindworks.peer.v1.PeerService service.
 type PeerServiceClient interface {
-	// Sync exchanges heartbeats; the answer brings documents the caller lacks.
+	// Sync exchanges heartbeats; the response has the documents that the sender lacks.
 	Sync(context.Context, *connect.Request[peerpb.SyncRequest]) (*connect.Response[peerpb.SyncResponse], error)
-	// Claim records a hold on an idempotency key.
+	// Claim stores a claim on an idempotency key.
 	Claim(context.Context, *connect.Request[peerpb.ClaimMessage]) (*connect.Response[peerpb.ClaimMessage], error)
 }
 
@@ -92,9 +92,9 @@
 
 // PeerServiceHandler is an implementation of the tamarindworks.peer.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Sync exchanges heartbeats; the answer brings documents the caller lacks.
+	// Sync exchanges heartbeats; the response has the documents that the sender lacks.
 	Sync(context.Context, *connect.Request[peerpb.SyncRequest]) (*connect.Response[peerpb.SyncResponse], error)
-	// Claim records a hold on an idempotency key.
+	// Claim stores a claim on an idempotency key.
 	Claim(context.Context, *connect.Request[peerpb.ClaimMessage]) (*connect.Response[peerpb.ClaimMessage], error)
 }
 
