--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -172,7 +172,7 @@
 	if d.workersWatcher == nil {
 		return run.WorkerList{}, false
 	}
-	return run.WorkerList{Workers: d.byPool[pool], StableSince: d.workersWatcher.AnsweringSince()}, d.workersRead
+	return run.WorkerList{Workers: d.byPool[pool], StoreReachableSince: d.workersWatcher.AnsweringSince()}, d.workersRead
 }
 
 func (d *directory) operatorChanged(items map[tw.Key]tw.KVItem, at tw.KVRevision) {
--- a/daemon/owners.go
+++ b/daemon/owners.go
@@ -165,7 +165,7 @@
 	owned.owner = run.Config{
 		Book: book, Loaded: loaded, Self: self, KV: d.kv, Orders: d.orders, Advisor: d.advisor, MachineCache: d.machineCache,
 		Clock: d.clock, Log: d.log, Metrics: d.metrics, Bounds: d.bounds(),
-		Cores: d.settings.Limits.Cores, Link: d.settings.link(),
+		Cores: d.settings.Limits.Cores, LinkBandwidth: d.settings.link(),
 		RefreshWorkers: d.directory.refreshWorkers, QueueConfig: d.directory.Config,
 		Evacuations:     d.directory.Evacuations,
 		OnOwnershipLost: func() { go o.closeOwner(pool, owned) },
--- a/e2e/soak_faults_test.go
+++ b/e2e/soak_faults_test.go
@@ -78,7 +78,7 @@
 		return func() {}
 	}},
 	{"starts late", func(s *soak, t faultTarget) func() {
-		s.fleet.Set(tw.WorkerID(fmt.Sprintf("w%d", t.worker)), func(w *standin.SimWorker) { w.LateStarts = t.count })
+		s.fleet.UpdateWorker(tw.WorkerID(fmt.Sprintf("w%d", t.worker)), func(w *standin.SimWorker) { w.LateStarts = t.count })
 		return s.fleet.DeliverLateStarts
 	}},
 	{"connections silent", func(s *soak, t faultTarget) func() {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -164,8 +164,8 @@
 	return w
 }
 
-// Set changes a worker's behaviour from now on.
-func (f *Fleet) Set(id tw.WorkerID, change func(w *SimWorker)) {
+// UpdateWorker changes a worker's behaviour from now on.
+func (f *Fleet) UpdateWorker(id tw.WorkerID, change func(w *SimWorker)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
--- a/run/caps_test.go
+++ b/run/caps_test.go
@@ -103,7 +103,7 @@
 			list[id] = entry
 		}
 	}
-	o.SetWorkers(r.ctx, run.WorkerList{Workers: list, StableSince: time.Now().Add(-time.Minute)})
+	o.SetWorkers(r.ctx, run.WorkerList{Workers: list, StoreReachableSince: time.Now().Add(-time.Minute)})
 	return o
 }
 
@@ -196,7 +196,7 @@
 		r.send("checks", "red", 30, 4*time.Second)
 		r.watch(time.Second)
 		for n := range capWorkers {
-			r.fleet.Set(workerID(n), func(w *standin.SimWorker) { w.Silent = true })
+			r.fleet.UpdateWorker(workerID(n), func(w *standin.SimWorker) { w.Silent = true })
 		}
 		r.takePool("checks")
 		r.send("boards", "red", 30, 2*time.Second)
@@ -295,7 +295,7 @@
 	r.kv.SetFaults(standin.KVFaults{})
 	r.fleet.DeliverLateStarts()
 	for id := range r.list {
-		r.fleet.Set(id, func(w *standin.SimWorker) { w.Silent, w.LateStarts = false, 0 })
+		r.fleet.UpdateWorker(id, func(w *standin.SimWorker) { w.Silent, w.LateStarts = false, 0 })
 	}
 	for _, name := range capPools {
 		r.takePool(name)
@@ -319,9 +319,9 @@
 	case 5:
 		r.send(name, "blue", 1+random.IntN(4), time.Duration(100+random.IntN(500))*time.Millisecond)
 	case 6:
-		r.fleet.Set(id, func(w *standin.SimWorker) { w.Silent = !w.Silent })
+		r.fleet.UpdateWorker(id, func(w *standin.SimWorker) { w.Silent = !w.Silent })
 	case 7:
-		r.fleet.Set(id, func(w *standin.SimWorker) { w.LateStarts += 1 + random.IntN(3) })
+		r.fleet.UpdateWorker(id, func(w *standin.SimWorker) { w.LateStarts += 1 + random.IntN(3) })
 	case 8:
 		r.fleet.DeliverLateStarts()
 	case 9:
--- a/run/config.go
+++ b/run/config.go
@@ -36,8 +36,8 @@
 		Log          *zap.Logger
 		Metrics      *metrics.Set
 		Bounds       Bounds
-		// Link is the bandwidth of the daemon's link in one direction; zero if unknown.
-		Link tw.BytesPerSecond
+		// LinkBandwidth is the bandwidth of the daemon's link in one direction; zero if unknown.
+		LinkBandwidth tw.BytesPerSecond
 		// Cores is the share of processor cores that the daemon has; zero if unknown.
 		Cores tw.Cores
 		// QueueConfig returns the active configuration, which sets the usage caps; nil for
--- a/run/crash_test.go
+++ b/run/crash_test.go
@@ -57,10 +57,10 @@
 		r.fleet.Crash(running()[0])
 		r.runWithReboots(o, 10*time.Second, func() bool { return len(running()) > 0 })
 		silent := running()[0]
-		r.fleet.Set(silent, func(w *standin.SimWorker) { w.Silent = true })
+		r.fleet.UpdateWorker(silent, func(w *standin.SimWorker) { w.Silent = true })
 		r.runWithReboots(o, 2500*time.Millisecond, nil)
 		r.Expect(r.fleet.Starts()).To(Equal(2))
-		r.fleet.Set(silent, func(w *standin.SimWorker) { w.Silent = false })
+		r.fleet.UpdateWorker(silent, func(w *standin.SimWorker) { w.Silent = false })
 		r.runWithReboots(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionSucceeded })
 	},
 	"gives up a subtask across takeovers": func(r *rig) {
--- a/run/evacuation_test.go
+++ b/run/evacuation_test.go
@@ -92,8 +92,8 @@
 		r.Expect(r.fleet.Starts()).To(Equal(4 + before))
 	},
 	"a copy of a stalled run isn't started in the hall": func(r *rig, o *run.Owner) {
-		r.fleet.Set(workerID(2), func(w *standin.SimWorker) { w.Hang = true })
-		r.fleet.Set(workerID(3), func(w *standin.SimWorker) { w.Hang = true })
+		r.fleet.UpdateWorker(workerID(2), func(w *standin.SimWorker) { w.Hang = true })
+		r.fleet.UpdateWorker(workerID(3), func(w *standin.SimWorker) { w.Hang = true })
 		r.evacuate(o, "h0")
 		time.Sleep(evacuateTime)
 		s := submission("s1", 2)
--- a/run/expiry_test.go
+++ b/run/expiry_test.go
@@ -21,10 +21,10 @@
 		defer r.end()
 		o := r.newOwnerWith("a", r.kv, &slowClocks{WorkerOrders: r.fleet, fraction: 0.02})
 		time.Sleep(time.Minute)
-		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 1 })
+		r.fleet.UpdateWorker(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 1 })
 		r.submit(o, longRunning("s1", 1))
 		time.Sleep(latency + latency/4) // the order has arrived, a poll has not
-		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Silent = true })
+		r.fleet.UpdateWorker(workerID(0), func(w *standin.SimWorker) { w.Silent = true })
 		time.Sleep(1500 * time.Millisecond)
 		r.fleet.DeliverLateStarts()
 		time.Sleep(2 * maxHold)
--- a/run/inbox_test.go
+++ b/run/inbox_test.go
@@ -30,7 +30,7 @@
 	"starts submissions from the inbox although a worker is silent": func(r *rig) {
 		r.newOwner("a").Close()
 		r.storeViaInbox(submission("s1", 2))
-		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.Silent = true })
+		r.fleet.UpdateWorker(workerID(0), func(w *standin.SimWorker) { w.Silent = true })
 		b := r.newOwner("b")
 		r.eventually(b, "s1", tw.SubmissionSucceeded, 2*time.Second)
 	},
--- a/run/owner.go
+++ b/run/owner.go
@@ -96,9 +96,9 @@
 	vacate   map[tw.InstanceID]bool
 	vacateAt time.Time
 	// evacuated are the evacuated halls that the owner currently applies.
-	evacuated       *tw.Evacuations
-	listStableSince time.Time
-	offered         Work
+	evacuated           *tw.Evacuations
+	storeReachableSince time.Time
+	offered             Work
 	// offeredCount is the number of submissions whose work is in offered.
 	offeredCount int64
 	// machineListRead: the list of machines was read since the takeover.
@@ -127,11 +127,11 @@
 	now := c.Clock.Now()
 	o := &Owner{
 		pool: c.Self.Pool, self: c.Self, kv: c.KV, orders: c.Orders,
-		machineCache: c.MachineCache, clock: c.Clock, bounds: c.Bounds, link: c.Link, onOwnershipLost: c.OnOwnershipLost, refreshWorkers: c.RefreshWorkers,
+		machineCache: c.MachineCache, clock: c.Clock, bounds: c.Bounds, link: c.LinkBandwidth, onOwnershipLost: c.OnOwnershipLost, refreshWorkers: c.RefreshWorkers,
 		evacuations: c.Evacuations,
 		log:         c.Log.With(zap.String("pool", string(c.Self.Pool)), zap.Int64("fence", int64(c.Book.Fence()))),
 		events:      make(chan func(), eventQueueSize), ctx: ctx, cancel: cancel, done: make(chan struct{}),
-		now: now, takeoverAt: now, listStableSince: now,
+		now: now, takeoverAt: now, storeReachableSince: now,
 		submissions:       map[tw.SubmissionID]*submission{},
 		live:              map[tw.SubmissionID]*submission{},
 		scheduled:         map[tw.SubmissionID]*submission{},
@@ -153,7 +153,7 @@
 	}
 	o.metrics = newOwnerMetrics(c.Metrics, c.Self.Pool)
 	o.advisor = newAdvisorClient(o, c.Advisor)
-	o.window = newSendWindow(now, initialWindow(c.Cores, c.Link))
+	o.window = newSendWindow(now, initialWindow(c.Cores, c.LinkBandwidth))
 	o.writer = newWriter(o, c.Book)
 	o.caps = newCaps(o, c.QueueConfig)
 	// Loading the submissions may have taken long, and another daemon may have taken the pool
--- a/run/owner_bench_test.go
+++ b/run/owner_bench_test.go
@@ -89,7 +89,7 @@
 		Bounds: run.Bounds{MaxHold: 10 * time.Second, StopTime: stopTime, KeepEnded: 2 * time.Minute},
 	}.New()
 	defer owner.Close()
-	owner.SetWorkers(b.Context(), run.WorkerList{Workers: list, StableSince: time.Now().Add(-time.Minute)})
+	owner.SetWorkers(b.Context(), run.WorkerList{Workers: list, StoreReachableSince: time.Now().Add(-time.Minute)})
 	time.Sleep(time.Second)
 	spec := strings.Repeat("x", benchSpecSize)
 	began := processorTime(b)
--- a/run/owner_test.go
+++ b/run/owner_test.go
@@ -61,7 +61,7 @@
 		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		for n := range 4 {
-			r.fleet.Set(workerID(n), func(w *standin.SimWorker) { w.LateStarts = 1 })
+			r.fleet.UpdateWorker(workerID(n), func(w *standin.SimWorker) { w.LateStarts = 1 })
 		}
 		r.submit(o, submission("s1", 1))
 		time.Sleep(10 * time.Millisecond)
@@ -72,8 +72,8 @@
 	"revokes an unanswered start before it starts the subtask elsewhere": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(time.Second)
-		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 1 })
-		r.fleet.Set(workerID(1), func(w *standin.SimWorker) { w.LateStarts = 1 })
+		r.fleet.UpdateWorker(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 1 })
+		r.fleet.UpdateWorker(workerID(1), func(w *standin.SimWorker) { w.LateStarts = 1 })
 		r.submit(o, submission("s1", 1))
 		time.Sleep(5 * time.Millisecond)
 		r.drain(o, 0) // the subtask must go elsewhere
@@ -85,7 +85,7 @@
 		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		for n := range 4 {
-			r.fleet.Set(workerID(n), func(w *standin.SimWorker) { w.LateStarts = 9 })
+			r.fleet.UpdateWorker(workerID(n), func(w *standin.SimWorker) { w.LateStarts = 9 })
 		}
 		r.submit(o, submission("s1", 1))
 		time.Sleep(100 * time.Millisecond)
@@ -364,11 +364,11 @@
 		r.submit(o, s)
 		time.Sleep(100 * time.Millisecond)
 		first := r.fleet.RunningOn(subtask("s1", 0, 0))
-		r.fleet.Set(first[0], func(w *standin.SimWorker) { w.Silent = true })
+		r.fleet.UpdateWorker(first[0], func(w *standin.SimWorker) { w.Silent = true })
 		r.Eventually(func() int { return len(r.fleet.RunningOn(subtask("s1", 0, 0))) }, 4*time.Second).Should(Equal(2))
 		r.Eventually(func() bool { return r.fleet.Done(subtask("s1", 0, 0)) }, 4*time.Second).Should(BeTrue())
 		r.Eventually(func() int { return len(r.fleet.RunningOn(subtask("s1", 0, 0))) }, 4*time.Second).Should(BeZero())
-		r.fleet.Set(first[0], func(w *standin.SimWorker) { w.Silent = false })
+		r.fleet.UpdateWorker(first[0], func(w *standin.SimWorker) { w.Silent = false })
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
 			if r.state(o, "s1") == tw.SubmissionSucceeded {
--- a/run/pace_test.go
+++ b/run/pace_test.go
@@ -38,7 +38,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := newRig(t, 1)
 				defer r.end()
-				r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.TailLatency, w.FillerInterference = c.tail, c.interference })
+				r.fleet.UpdateWorker(workerID(0), func(w *standin.SimWorker) { w.TailLatency, w.FillerInterference = c.tail, c.interference })
 				o := r.newOwner("a")
 				serving := longRunning("serving", 1)
 				serving.Steps[0].TailTarget = tailTarget
@@ -50,7 +50,7 @@
 				r.Expect(r.longestOverTarget(20 * time.Second)).To(BeNumerically("<", maxOverTarget))
 				_, pace := r.fleet.TailLatencyOn(workerID(0))
 				r.Expect(pace).To(And(BeNumerically(">=", c.minPace), BeNumerically("<=", c.maxPace)))
-				r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.TailLatency, w.FillerInterference = 0, 0 })
+				r.fleet.UpdateWorker(workerID(0), func(w *standin.SimWorker) { w.TailLatency, w.FillerInterference = 0, 0 })
 				time.Sleep(15 * time.Second)
 				_, pace = r.fleet.TailLatencyOn(workerID(0))
 				r.Expect(pace).To(Equal(100))
--- a/run/rig_test.go
+++ b/run/rig_test.go
@@ -131,7 +131,7 @@
 	r.metricSet = metrics.NewSet()
 	c.Orders, c.Advisor, c.MachineCache, c.RefreshWorkers = r.withRelays(orders), noAdvisor{}, r.machineCache, func() { r.refreshes++ }
 	c.Clock, c.Log, c.Metrics = tw.SystemClock{}, testLog(), r.metricSet
-	c.Link, c.Cores = r.link, r.cores
+	c.LinkBandwidth, c.Cores = r.link, r.cores
 	c.Evacuations = r.evacuations.Load
 	c.Bounds = run.Bounds{MaxHold: maxHold, StopTime: stopTime, KeepEnded: 2 * time.Minute}
 	o := c.New()
@@ -145,7 +145,7 @@
 	for id, entry := range r.list {
 		list[id] = entry
 	}
-	o.SetWorkers(r.ctx, run.WorkerList{Workers: list, StableSince: time.Now().Add(-time.Minute)})
+	o.SetWorkers(r.ctx, run.WorkerList{Workers: list, StoreReachableSince: time.Now().Add(-time.Minute)})
 }
 
 // drain marks a worker as draining.
--- a/run/soak_test.go
+++ b/run/soak_test.go
@@ -177,13 +177,13 @@
 	case 0, 1, 2, 3, 4:
 		s.submitAny()
 	case 5:
-		s.fleet.Set(id, func(w *standin.SimWorker) { w.Silent = !w.Silent })
+		s.fleet.UpdateWorker(id, func(w *standin.SimWorker) { w.Silent = !w.Silent })
 	case 6:
-		s.fleet.Set(id, func(w *standin.SimWorker) { w.LateStarts += 1 + s.rand.IntN(3) })
+		s.fleet.UpdateWorker(id, func(w *standin.SimWorker) { w.LateStarts += 1 + s.rand.IntN(3) })
 	case 7:
 		s.fleet.DeliverLateStarts()
 	case 8:
-		s.fleet.Set(id, func(w *standin.SimWorker) { w.Hang = !w.Hang })
+		s.fleet.UpdateWorker(id, func(w *standin.SimWorker) { w.Hang = !w.Hang })
 	case 9:
 		if s.replaceWorkers && s.rand.IntN(5) > 0 {
 			return // keep owners longer: entries matter less after a takeover
@@ -348,7 +348,7 @@
 	for n := range soakMachines {
 		current := s.currentWorker(n)
 		s.list[current.ID] = current
-		s.fleet.Set(current.ID, func(w *standin.SimWorker) { w.Silent, w.Hang, w.LateStarts = false, false, 0 })
+		s.fleet.UpdateWorker(current.ID, func(w *standin.SimWorker) { w.Silent, w.Hang, w.LateStarts = false, false, 0 })
 	}
 	for n := range addedWorkers {
 		s.addWorker(100 + n)
--- a/run/termination_test.go
+++ b/run/termination_test.go
@@ -134,11 +134,11 @@
 		r.submit(o, s)
 		time.Sleep(500 * time.Millisecond)
 		w := r.list[workerID(0)]
-		r.fleet.Set(w.ID, func(w *standin.SimWorker) { w.Silent = true })
+		r.fleet.UpdateWorker(w.ID, func(w *standin.SimWorker) { w.Silent = true })
 		delete(r.list, w.ID)
 		r.publishWorkers(o)
 		time.Sleep(20 * time.Second) // all granted deadlines have passed
-		r.fleet.Set(w.ID, func(w *standin.SimWorker) { w.Silent = false })
+		r.fleet.UpdateWorker(w.ID, func(w *standin.SimWorker) { w.Silent = false })
 		r.relist(o, w)
 		r.eventually(o, "s1", tw.SubmissionSucceeded, 10*time.Second)
 	},
--- a/run/worker_incarnations_test.go
+++ b/run/worker_incarnations_test.go
@@ -26,11 +26,11 @@
 	},
 	"keeps the current worker while it is silent for a moment": func(r *rig) {
 		o, previous, current := r.replacedWorker(sameAddress)
-		r.fleet.Set(current.ID, func(w *standin.SimWorker) { w.Silent = true })
+		r.fleet.UpdateWorker(current.ID, func(w *standin.SimWorker) { w.Silent = true })
 		time.Sleep(200 * time.Millisecond)
 		r.relist(o, previous)
 		time.Sleep(1500 * time.Millisecond)
-		r.fleet.Set(current.ID, func(w *standin.SimWorker) { w.Silent = false })
+		r.fleet.UpdateWorker(current.ID, func(w *standin.SimWorker) { w.Silent = false })
 		r.expectAllKept(current)
 	},
 	"keeps the current worker while the list of machines is not readable": func(r *rig) {
--- a/run/worker_list.go
+++ b/run/worker_list.go
@@ -14,9 +14,9 @@
 // WorkerList is the pool's part of the list of workers.
 type WorkerList struct {
 	Workers map[tw.WorkerID]tw.WorkerEntry
-	// StableSince is since when the store has been reachable without interruption. Entries
+	// StoreReachableSince is since when the store has been reachable without interruption. Entries
 	// may be missing for a while after that.
-	StableSince time.Time
+	StoreReachableSince time.Time
 }
 
 // SetWorkers passes a new list of workers to the owner.
@@ -63,7 +63,7 @@
 const vacateTTL = 2 * time.Second
 
 func (o *Owner) setWorkers(list WorkerList) {
-	o.listStableSince = list.StableSince
+	o.storeReachableSince = list.StoreReachableSince
 	for _, id := range slices.Sorted(maps.Keys(list.Workers)) {
 		if record, ended := o.terminated[id]; ended && record.matches(list.Workers[id]) {
 			record.seenAt = o.now
@@ -199,7 +199,7 @@
 // canRemove reports whether an unlisted worker can be removed: its entry has been missing for long
 // enough, no runs can be on it, and its ends are acknowledged or it does not answer.
 func (o *Owner) canRemove(w *worker) bool {
-	missing := o.now.Sub(w.missingSince) > missingTimeout && o.now.Sub(o.listStableSince) > missingTimeout
+	missing := o.now.Sub(w.missingSince) > missingTimeout && o.now.Sub(o.storeReachableSince) > missingTimeout
 	if !missing || len(w.runs) > 0 || w.mayHaveInheritedRuns {
 		return false
 	}
--- a/run/worker_restart_test.go
+++ b/run/worker_restart_test.go
@@ -23,7 +23,7 @@
 	for id, entry := range r.list {
 		entry.StartTime = startTimeNow()
 		r.list[id] = entry
-		r.fleet.Set(id, func(w *standin.SimWorker) { w.Entry.StartTime = entry.StartTime })
+		r.fleet.UpdateWorker(id, func(w *standin.SimWorker) { w.Entry.StartTime = entry.StartTime })
 	}
 }
 
@@ -97,7 +97,7 @@
 		}, 1500*time.Millisecond, 20*time.Millisecond).Should(Equal(8))
 	},
 	"completes a subtask whose start the previous incarnation did not answer": func(r *rig, o *run.Owner) {
-		r.fleet.Set(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 4 })
+		r.fleet.UpdateWorker(workerID(0), func(w *standin.SimWorker) { w.LateStarts = 4 })
 		r.submit(o, submission("s1", 8))
 		time.Sleep(20 * time.Millisecond)
 		r.relistWorker(o, r.restart(0))
