--- a/cmd/tamarindd/queue.go
+++ b/cmd/tamarindd/queue.go
@@ -18,7 +18,7 @@
 
 The path of the settings file is given by the flag or by the variable
 TAMARINDWORKS_CONFIG, which the platform sets. The file is read again on SIGHUP
-and when it has changed.
+and when it has changed; changes take effect at the next start.
 
 Examples:
 
