--- a/run/admission.go
+++ b/run/admission.go
@@ -27,8 +27,8 @@
 	// begin within 3 s, or it counts as lost; a third of that is left as a margin.
 	minAdmitWait = 500 * time.Millisecond
 	maxAdmitWait = 2 * time.Second
-	// maxRetryAfter bounds the retry time sent to callers: within a few seconds a faster daemon
-	// may own the pool, and another refusal costs callers little.
+	// maxRetryAfter bounds the retry time before newBusyError spreads it: within a few seconds a
+	// faster daemon may own the pool, and another refusal costs callers little.
 	maxRetryAfter = 2 * time.Second
 	// standingQueueAfter is how long an owner must be short before its backlog counts as a
 	// standing queue rather than a burst: a burst of demand lasts about as long.
--- a/run/advice.go
+++ b/run/advice.go
@@ -12,7 +12,7 @@
 
 type (
 	// advisorClient asks the advice service which workers may run a step. The service accepts one
-	// call at a time from each daemon, so a single goroutine makes the calls.
+	// call at a time from each daemon, so a single goroutine makes the owner's calls.
 	advisorClient struct {
 		o        *Owner
 		service  tw.Advisor
@@ -25,7 +25,7 @@
 		inFlight    bool
 		requestedAt time.Time
 		tickets     map[tw.WorkerID]ticket
-		// answered is when the last answered request was sent, for each worker it covered.
+		// answered holds, for each worker, when the last answered request that named it was sent.
 		answered map[tw.WorkerID]time.Time
 	}
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// allowed returns the workers with a valid ticket, and requests advice on those that have no valid
-// answer. known is false while no worker has a ticket.
+// allowed returns the workers with a valid ticket, and requests advice on the workers for which
+// there is no valid answer. known is false while no worker has a valid ticket.
 func (a *advisorClient) allowed(st *step) (allowed map[tw.WorkerID]bool, known bool) {
 	if st.advice == nil {
 		st.advice = &stepAdvice{tickets: map[tw.WorkerID]ticket{}, answered: map[tw.WorkerID]time.Time{}}
--- a/run/backlog.go
+++ b/run/backlog.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// backlog counts the accepted subtasks for which no start has been ordered, by priority.
+// backlog counts the pending subtasks of accepted submissions, by priority: those that are not done
+// and have no known run.
 type backlog struct {
 	counts    map[int]int
 	countedAt time.Time
-	// submissions counts the submissions with such subtasks.
+	// submissions counts the submissions with pending subtasks.
 	submissions int
 	// arrivals are the submissions that are still being stored.
 	arrivals []*submission
--- a/run/caps.go
+++ b/run/caps.go
@@ -45,8 +45,8 @@
 		windowStart    time.Time
 		// raiseAfter is the time before which no larger share is requested.
 		raiseAfter time.Time
-		// contended reports that other pools held what the last update requested, or that it
-		// failed.
+		// contended reports that the last update failed, or that other pools held some of what it
+		// requested.
 		contended bool
 		// leftover is the usage of submissions that had ended under a previous owner and whose runs
 		// may not have been stopped yet.
--- a/run/config.go
+++ b/run/config.go
@@ -77,8 +77,8 @@
 	// endBatchDelay is the pause before the next poll of a worker, so that one report carries
 	// several ends. The platform charges for each poll, and objectives are above 1 s.
 	endBatchDelay = 200 * time.Millisecond
-	// lastEndBatchDelay is the same if at most fewSubtasksLeft subtasks of a step are left,
-	// as other steps wait for that step.
+	// lastEndBatchDelay replaces endBatchDelay if at most fewSubtasksLeft subtasks of a step
+	// are left, as other steps may wait for that step.
 	lastEndBatchDelay = 30 * time.Millisecond
 	fewSubtasksLeft   = 3
 	// longPollWait is how long a worker may wait for an end before it answers a poll.
@@ -86,8 +86,8 @@
 	// startAnswerWait is how long a poll is delayed while starts are unanswered. An answer
 	// usually takes some milliseconds.
 	startAnswerWait = 400 * time.Millisecond
-	// shortPollWait replaces longPollWait where tail latencies must be watched or a run is
-	// overdue.
+	// shortPollWait replaces longPollWait where tail latencies must be watched, a run is
+	// overdue or a long-running run is not ready.
 	shortPollWait = 600 * time.Millisecond
 	// pollRetryDelay is the pause after a poll that got no answer.
 	pollRetryDelay = 300 * time.Millisecond
--- a/run/crash.go
+++ b/run/crash.go
@@ -12,14 +12,14 @@
 
 // A subtask may crash every worker that starts it. It differs from one whose workers end for
 // other reasons in that the worker ends soon after the start, each time. So a subtask becomes a
-// suspect when a worker ends before it has survived a run of it. Suspects are started in trials,
-// apart from each other and from other recent starts, and a suspect under which several workers
-// in a row have ended is given up.
+// suspect when a worker ends before it has survived a run of the subtask. Suspects are started in
+// trials, apart from suspects of other steps and from other recent starts, and a suspect under
+// which several workers in a row have ended is given up.
 
 const (
-	// survivalTime is how long a worker must keep running, by its own clock, after a run has
-	// begun, so that the run is not taken for the cause of its end. Subtasks that crash their
-	// workers did so within 10 ms; the answer to a start takes up to 0.2 s.
+	// survivalTime is how long a worker must keep running, by its own clock, after it has reported
+	// a run, for the run to be ruled out as the cause of the worker's end. Subtasks that crash
+	// their workers did so within 10 ms; the answer to a start takes up to 0.2 s.
 	survivalTime = 150 * time.Millisecond
 	// trialTime is the duration of a trial by the owner's clock: the start is answered within
 	// some milliseconds, and the worker's clock may be slow.
@@ -158,7 +158,7 @@
 	return t.step.rep.sub.progress.Step(t.id.Repetition, t.id.Step)
 }
 
-// precountedCrashes is the number of crashes counted for starts whose workers may still live.
+// precountedCrashes is the number of crashes that were counted in advance and may not happen.
 func (t *task) precountedCrashes() int {
 	n := 0
 	if t.startPrecounted {
@@ -185,8 +185,8 @@
 }
 
 // giveUpIfExhausted gives up a submission if an exhausted subtask would have to be started again,
-// and reports whether it did. It must not be called before all workers are known: the last start
-// may still run, and one of 2,000 seeds of TestSoak lost innocent work whose run went on.
+// and reports whether it did. It must not be called before all workers are known, as the last run
+// may still go on: on one of 2,000 seeds of TestSoak, innocent work was given up while it ran.
 func (o *Owner) giveUpIfExhausted(sub *submission) bool {
 	t := sub.firstTask(func(t *task) bool { return !t.active() && t.exhausted() })
 	if t == nil {
--- a/run/estimate.go
+++ b/run/estimate.go
@@ -29,8 +29,8 @@
 const (
 	// estimateWeight averages over about the last ten subtasks of a route.
 	estimateWeight = 0.1
-	// overdueFactor: a run is overdue once it takes this many times as long as its step's other
-	// subtasks took. These differ by about 15%.
+	// overdueFactor: a run is overdue once it takes this many times as long as expected. The run
+	// times of a step's subtasks differ by about 15%.
 	overdueFactor = 1.8
 	// overdueSlack is added to that limit, for short work and for the time until the end is
 	// reported.
--- a/run/long_running.go
+++ b/run/long_running.go
@@ -7,9 +7,10 @@
 // readyPercent is the progress at which a long-running subtask is ready to serve.
 const readyPercent = 100
 
-// moveLongRunning stops long-running subtasks on workers that must be vacated or are draining, at
-// most as many of a step at a time as may be unavailable. Runs of limited duration are left to
-// end by themselves, unless their worker ends before.
+// moveLongRunning stops long-running subtasks on workers that must be vacated or are draining, if
+// another worker has capacity for them. On workers that are not draining, it stops at most as many
+// of a step at a time as may be unavailable. Runs of limited duration are left to end by
+// themselves, unless their worker ends before.
 func (o *Owner) moveLongRunning() {
 	// Runs that the previous owner has ordered to stop are listed as running until they have
 	// stopped.
--- a/run/loop.go
+++ b/run/loop.go
@@ -68,7 +68,7 @@
 	return earlier(next, o.writer.flush())
 }
 
-// throttle calls f, unless notBefore is in the future, and sets notBefore to a gap from now. It
+// throttle calls f, unless notBefore is in the future, and sets notBefore to now plus gap. It
 // returns when f is due again.
 func (o *Owner) throttle(notBefore *time.Time, gap time.Duration, f func() time.Time) time.Time {
 	if o.now.Before(*notBefore) {
--- a/run/order_timeout.go
+++ b/run/order_timeout.go
@@ -9,7 +9,7 @@
 // orderTimeout is the adaptive timeout of orders: several times the longest recent answer time.
 // Where workers answer within milliseconds, an order that gets no answer is noticed soon; where
 // answers take long, also because this daemon has little processor time, orders get more time.
-// Where one start in 25 is not answered, 0.571 of the work's value is earned in the mean instead
+// Where one start in 25 is not answered, 0.571 of the work's value is earned on average, instead
 // of 0.548 with a fixed timeout of 0.8 s.
 type orderTimeout struct {
 	mu sync.Mutex
--- a/run/owner.go
+++ b/run/owner.go
@@ -88,9 +88,9 @@
 	typical       typicalWork
 	// terminated are workers that no longer run. Their entries may linger or come back.
 	terminated map[tw.WorkerID]terminatedWorker
-	// unclaimed are ends of subtasks whose submission is not known yet, by submission. A
-	// previous owner that learned of it after this one had loaded the submissions may have
-	// run them.
+	// unclaimed are the ends of runs whose submission is not known yet, by submission. A
+	// previous owner may have started such runs, if it learned of the submission after this
+	// owner had loaded the submissions.
 	unclaimed map[tw.SubmissionID][]unclaimedEnd
 	// vacate are the machines that the machine manager wants vacated, as of vacateAt.
 	vacate   map[tw.InstanceID]bool
@@ -243,8 +243,8 @@
 // Done returns a channel that is closed when the owner has ended.
 func (o *Owner) Done() <-chan struct{} { return o.done }
 
-// Close ends the ownership without notifying other daemons. A successor takes over from the
-// store and the workers.
+// Close ends the ownership without notifying other daemons. A successor learns the state of the
+// pool from the store and the workers.
 func (o *Owner) Close() {
 	o.cancel()
 	<-o.done
