--- a/run/pace.go
+++ b/run/pace.go
@@ -66,8 +66,8 @@
 	o.sendPace(w, filler, pace)
 }
 
-// sendPace orders a filler's pace. If the order is not answered, the next adjustment counts from a
-// pace of zero and sends another.
+// sendPace orders a filler's pace. If the order fails, the next adjustment counts from a pace of
+// zero and sends another order.
 func (o *Owner) sendPace(w *worker, r *runState, percent int) {
 	order := tw.PaceOrder{Subtask: r.task.id, Run: r.run, Percent: percent, Fence: o.self.Fence}
 	w.session.enqueue(workOrder{
--- a/run/poll.go
+++ b/run/poll.go
@@ -68,10 +68,10 @@
 	return false
 }
 
-// pollWait returns how long a worker may wait for an end before it answers a poll. While it has
-// trials, that is until they are over, but at most shortPollWait. Otherwise it is zero while a
-// start is unconfirmed or a stopped run has yet to end, shortPollWait where tail latencies must be
-// watched, a run is overdue or a long-running run is not ready, and longPollWait elsewhere.
+// pollWait returns how long a worker may wait for an end before it answers a poll. A worker with
+// trials may wait until they are over, but at most shortPollWait. For other workers the wait is zero
+// while a start is unconfirmed or a stopped run has yet to end, shortPollWait where tail latencies
+// must be watched, a run is overdue or a long-running run is not ready, and longPollWait elsewhere.
 func (o *Owner) pollWait(w *worker) time.Duration {
 	if w.tally.trials > 0 {
 		return min(max(0, w.trialDue().Sub(o.now)), shortPollWait)
@@ -165,7 +165,7 @@
 }
 
 // endBatchDelay returns the pause before the next poll, so that one report carries several ends.
-// It is short if few ends complete a step, for which other steps wait.
+// It is short if a step there has few subtasks left, as other steps may wait for that step.
 func (w *worker) endBatchDelay() time.Duration {
 	for _, r := range w.runs {
 		st := r.task.step
--- a/run/requests.go
+++ b/run/requests.go
@@ -49,8 +49,8 @@
 	})
 }
 
-// isHidden reports whether a submission belongs to another organisation, so that this one must
-// not learn of it.
+// isHidden reports whether a submission belongs to another organisation than the given one, which
+// must not learn of it.
 func (o *Owner) isHidden(id tw.SubmissionID, organisation tw.OrganisationID) bool {
 	sub := o.submissions[id]
 	return sub != nil && sub.Organisation != organisation
@@ -249,8 +249,8 @@
 }
 
 // fetch reads a submission that another daemon has stored and adds it. It retries until the store
-// answers. Finally it calls the function then, also if there is no such submission. inInbox reports
-// that the submission's message is still in the inbox.
+// answers. After that it calls the given function, even if there is no such submission. inInbox
+// is true if the submission's message is still in the inbox.
 func (o *Owner) fetch(id tw.SubmissionID, inInbox bool, then func()) {
 	go func() {
 		for {
--- a/run/send_window.go
+++ b/run/send_window.go
@@ -18,11 +18,13 @@
 	// belongs to the owner's loop.
 	sendWindow struct {
 		limit int
-		// initial is the limit at first, and again after work has not waited for a while.
+		// initial is the limit at first. A lower limit is set back to it after a while in which
+		// no work waited for starts and no start was late.
 		initial int
-		// pending are the starts that count against the limit, in the order of their placement.
+		// pending are the starts that count against the limit until they are released, in the
+		// order of their placement.
 		pending     []*pendingStart
-		outstanding int // of pending, not released
+		outstanding int // number of pending starts that are not released
 		// prompt and late count the outcomes since evaluatedAt of starts placed after changedAt.
 		prompt, late int
 		// halfUsed reports that at least half of the limit was used since evaluatedAt.
@@ -57,11 +59,11 @@
 	// It is so far below maxStartAge that a start that takes twice as long is still in time.
 	targetStartLatency = 200 * time.Millisecond
 	// stuckStartAge is the age at which an unanswered start no longer counts against the window.
-	// It waits for its worker, or for a window that has been reduced since, and must not block
-	// other starts.
+	// Its worker is slow to answer, or it was placed before the window was reduced. It must not
+	// block other starts.
 	stuckStartAge = 2 * targetStartLatency
-	// slowStartLatency is the start latency from which an owner counts as slow. It is 5 to 25 ms
-	// at an owner that has enough processor time and bandwidth.
+	// slowStartLatency is the start latency from which an owner counts as slow. An owner that
+	// has enough processor time and bandwidth has a start latency of 5 to 25 ms.
 	slowStartLatency = targetStartLatency / 4
 	// defaultWindow is the initial window of a daemon whose resources are unknown. minWindow and
 	// maxWindow bound every window; the largest pools start 2,000 subtasks a second.
@@ -75,16 +77,16 @@
 	startsPerCore = 1800
 	// typicalOrderBytes is the typical size of a start order.
 	typicalOrderBytes = 730
-	// windowResetAfter: the window returns to its initial size this long after work last waited
-	// for starts or a start was late. What reduced the window has passed by then.
+	// windowResetAfter: a reduced window returns to its initial size this long after work last
+	// waited for starts or a start was late. What reduced the window has passed by then.
 	windowResetAfter = time.Second
 	// initialWorkerLimit and maxWorkerLimit bound the starts that are queued for or in flight to
 	// one worker, which are sent one after the other, or up to maxParallelStarts at once where
 	// the client allows that. The maximum fills a worker of 16 cores three times over.
 	initialWorkerLimit = 4
 	maxWorkerLimit     = 48
-	// evaluateInterval is how long outcomes are collected before fewer of them than half of the
-	// window suffice to evaluate it. minAnswers is the minimum number in any case.
+	// evaluateInterval is the time after which the collected outcomes are evaluated even if they
+	// are fewer than half of the window. minAnswers is their minimum number in any case.
 	evaluateInterval = 100 * time.Millisecond
 	minAnswers       = 8
 	// latencyWeight averages start latencies over about the last ten.
@@ -186,7 +188,7 @@
 	}
 }
 
-// noteAnswer records that a start was answered, took after it was sent.
+// noteAnswer records that a start was answered. took is the time from sending it to the answer.
 func (s *sendWindow) noteAnswer(now time.Time, p *pendingStart, took time.Duration) {
 	s.inFlight += latencyWeight * (float64(s.outstanding) - s.inFlight)
 	s.release(p)
--- a/run/session.go
+++ b/run/session.go
@@ -176,7 +176,7 @@
 	return 1
 }
 
-// send sends an order unless it is outdated.
+// send sends an order unless it is outdated or no longer permitted.
 func (s *session) send(ctx context.Context, w workOrder) (tw.WorkerTime, error) {
 	now := s.clock.Now()
 	outdated := w.stale != nil && (s.silent.Load() || w.stale(now))
--- a/run/start.go
+++ b/run/start.go
@@ -60,7 +60,7 @@
 	t.runs = append(t.runs, r)
 	w.add(r)
 	if r.trial {
-		w.session.interrupt() // a long poll in progress would report late that the worker survived it
+		w.session.interrupt() // a long poll in progress would report late that the worker survived the run
 	}
 	o.log.Info("run: ordered", zap.Stringer("subtask", t.id), zap.Int64("run", int64(run)),
 		zap.String("worker", string(w.entry.ID)), zap.Duration("waited", o.now.Sub(t.step.rep.due)),
--- a/run/starvation.go
+++ b/run/starvation.go
@@ -8,7 +8,7 @@
 
 const (
 	// mustRunWithin is how long accepted work may have nothing running although there is free
-	// capacity; the platform counts it as lost after 3 s. starveAfter is half of that limit: work
+	// capacity; the platform counts it as lost after 3 s. starveAfter is half of these 3 s: work
 	// that has had nothing running for so long is placed first in any case.
 	mustRunWithin = 2400 * time.Millisecond
 	starveAfter   = 1500 * time.Millisecond
@@ -34,10 +34,10 @@
 	return []*schedule.Group{&first, g}
 }
 
-// starving reports whether nothing of a repetition has been running for long while the owner is
-// short. Work that can still be in time is placed first, so late work would wait for as long as
-// new work arrives: a submission waited for over 6 s with three times the work that could be sent
-// (TestShortOwner).
+// starving reports whether the step's repetition has had nothing running for longer than
+// starveLimit while the owner is short, and since when. Work that can still be in time is placed
+// first, so late work would wait for as long as new work arrives: a submission waited for over 6 s
+// while three times as much work arrived as could be sent (TestShortOwner).
 func (o *Owner) starving(st *step) (since time.Time, starves bool) {
 	if !o.window.short(o.now) || st.spec.LongRunning || st.spec.Filler {
 		return time.Time{}, false
@@ -54,7 +54,7 @@
 	return since, o.now.Sub(since) > o.starveLimit()
 }
 
-// starveLimit is how long nothing of a submission may run before it is placed first:
+// starveLimit is how long a submission may have nothing running before it is placed first:
 // mustRunWithin less the time to order one subtask of each waiting submission, but at most
 // starveAfter.
 func (o *Owner) starveLimit() time.Duration {
--- a/run/submission.go
+++ b/run/submission.go
@@ -31,7 +31,7 @@
 		nextRep int
 		// recordedAt is when the last successful write of its progress was sent.
 		recordedAt time.Time
-		// hasEarly: some of reps may be early. It is read in each step of the loop.
+		// hasEarly: some of reps may be early. It is read in each iteration of the owner's loop.
 		hasEarly bool
 		begun    bool
 		// pendingFinal is the final state that is to be recorded, final the one that is
--- a/run/trial.go
+++ b/run/trial.go
@@ -15,8 +15,7 @@
 	// was placed together with a crashing one each time lost four workers in a row.
 	maxQuietWait = 1500 * time.Millisecond
 	// maxTrialWait is how long a suspect waits for any trial. After that it is placed like all
-	// other work, which must not wait for long for the trials of an owner that is slow to clear
-	// suspects.
+	// other work, as work must not wait long for trials where the owner is slow to clear suspects.
 	maxTrialWait = 2 * maxQuietWait
 )
 
@@ -53,11 +52,11 @@
 	return t.crashes == 0 || !t.step.rep.sub.recordedAt.Before(t.crashedAt)
 }
 
-// placeTrials starts suspects. Those of each step go to a worker without recent starts, so that
-// its end shows which subtask caused it, and where a crash would harm little else. It returns the
-// offers that are left for other work: a worker tries the suspects of one step at a time, and
-// gets no new work until they are cleared. If every worker has recent starts, the one that will
-// be quiet first gets no new work either.
+// placeTrials starts suspects. Those of each step go to a worker without recent starts, so that it
+// is clear which subtask is the cause if the worker ends, and to one where a crash would harm little
+// else. It returns the offers that are left for other work: a worker tries the suspects of one step
+// at a time, and gets no new work until they are cleared. If every worker has recent starts, the
+// one that will be quiet first gets no new work either.
 func (o *Owner) placeTrials(trials []*schedule.Group, offers []*schedule.Worker, budgets schedule.Budgets) []*schedule.Worker {
 	if len(trials) == 0 || len(offers) == 0 {
 		return offers
--- a/run/usage.go
+++ b/run/usage.go
@@ -83,7 +83,7 @@
 	return out
 }
 
-// unknownNeed is what the subtasks would take that are not done and have no known run.
+// unknownNeed is what the subtasks that are not done and have no known run would take.
 func (r *repetition) unknownNeed() tw.Resources {
 	var out tw.Resources
 	for _, st := range r.steps {
--- a/run/worker.go
+++ b/run/worker.go
@@ -51,9 +51,9 @@
 		polling  bool
 		polledAt time.Time // of the last answer
 		nextPoll time.Time // not before
-		// probeSince is when the list of machines was requested according to which this worker
-		// has ended, or when a suspect was to be tried on it. Only a newer answer shows that
-		// the worker is alive.
+		// probeSince is when a list of machines was requested that shows this worker as ended,
+		// or when a suspect was to be tried on it. Only a newer answer shows that the worker is
+		// alive.
 		probeSince  time.Time
 		unanswered  int // orders in a row without an answer
 		silentSince time.Time
--- a/run/worker_list.go
+++ b/run/worker_list.go
@@ -165,7 +165,7 @@
 		o.setVacate(nil)
 	}
 	if !o.machineListRead {
-		// The cache ignores a request while its list is nearly new, even if that was
+		// The cache ignores a request while its list is recent, even if that list was
 		// requested before the takeover.
 		o.machineCache.RequestRefresh(o.now)
 		next = o.now.Add(minRefreshInterval / 4)
--- a/run/writer.go
+++ b/run/writer.go
@@ -224,7 +224,7 @@
 }
 
 // awaitingAccept reports whether a submission is still to be stored. Its end must not be written
-// before that, as it would create a submission that the store has refused.
+// before that, as this would create the submission even if the store has refused it.
 func (w *writer) awaitingAccept(sub *submission) bool {
 	return !sub.durable && w.o.submissions[sub.ID] == sub
 }
@@ -290,7 +290,7 @@
 	w.handleWriteResult(job, results, err)
 }
 
-// writeFailed handles a write that failed. If its outcome is known, it was certainly not done.
+// writeFailed handles a write that failed: it was certainly not applied, or its outcome is unknown.
 func (w *writer) writeFailed(job writeJob, err error) {
 	o := w.o
 	if !tw.NotApplied(err) {
@@ -308,7 +308,7 @@
 	}
 }
 
-// writeSucceeded handles a write that was done. results are those of its changes.
+// writeSucceeded handles a write that was applied. results are those of its changes.
 func (w *writer) writeSucceeded(job writeJob, results []error) {
 	o := w.o
 	if w.lastError != nil {
--- a/run/writer_changes.go
+++ b/run/writer_changes.go
@@ -97,7 +97,7 @@
 	var subs []*submission
 	for sub := range w.dirty {
 		if sub.final != "" || w.o.submissions[sub.ID] != sub {
-			delete(w.dirty, sub) // the store refused it, or another daemon stored it first
+			delete(w.dirty, sub) // its end is recorded, the store refused it, or another daemon stored it first
 			continue
 		}
 		if _, inFlight := w.inFlight[sub]; !inFlight && selected(sub) && !w.awaitingAccept(sub) {
