--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -113,9 +113,9 @@
 		if !g.eventuallyFits(w) || limit > 0 && g.OnWorker[w.ID]+assigned[w] >= limit {
 			continue
 		}
-		candidates, lost, enough := p.victims(g, w)
+		toStop, lost, enough := p.victims(g, w)
 		if enough && (!found || lost < least) {
-			best, victims, least, found = w, candidates, lost, true
+			best, victims, least, found = w, toStop, lost, true
 		}
 	}
 	return best, victims, found
