--- a/ledger/book.go
+++ b/ledger/book.go
@@ -125,8 +125,8 @@
 }
 
 // WriteConcurrent applies changes outside the chain of Write. It may be called concurrently, also
-// with Write. No change may depend on another one in flight, and each must be idempotent: a
-// new submission, or one that has ended. The results are those of Write, except that a new
+// with Write. No change may depend on another one in flight, and each must be idempotent: it
+// stores a new submission or ends one. The results are those of Write, except that a new
 // submission whose first answer was lost may get ErrExists: the record in the store was
 // written either by this call or by another daemon, which then also left a message in the owner's
 // inbox.
--- a/ledger/book_test.go
+++ b/ledger/book_test.go
@@ -190,7 +190,7 @@
 		wg.Wait()
 		b.Expect(b.ids(book)).To(HaveLen(4))
 	},
-	"stores all submissions except those that exist outside the chain": func(b *fixture) {
+	"stores outside the chain all submissions except those that exist": func(b *fixture) {
 		book := b.open("a")
 		b.accept(book, "s1")
 		results, err := book.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1")), ledger.AcceptSubmission(submission("s2"))})
@@ -198,7 +198,7 @@
 		b.Expect(results[0]).To(MatchError(ledger.ErrExists))
 		b.Expect(results[1]).NotTo(HaveOccurred())
 	},
-	"reports submissions as existing after a lost answer outside the chain": func(b *fixture) {
+	"reports submissions as existing after a lost answer to a write outside the chain": func(b *fixture) {
 		book := b.open("a")
 		b.kv.SetFaults(standin.KVFaults{LoseAnswers: 2})
 		results, err := book.WriteConcurrent(b.ctx, []ledger.Change{ledger.AcceptSubmission(submission("s1")), ledger.AcceptSubmission(submission("s2"))})
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -123,7 +123,7 @@
 func LiveKey(daemon tw.DaemonID) tw.Key { return LivePrefix + tw.Key(daemon) }
 
 // SubmissionKey is the key of a submission's record. It does not depend on the
-// pool, so that daemons with different configurations cannot both accept it.
+// pool, so that daemons with different configurations cannot both accept a submission.
 func SubmissionKey(id tw.SubmissionID) tw.Key { return submissionPrefix + tw.Key(id) }
 
 // InboxPrefix is the prefix of the messages to a pool's owner.
--- a/ledger/shares_test.go
+++ b/ledger/shares_test.go
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestShareBookResolvesUnknownOutcome guards against an owner that keeps using a share after a
-// write with an unknown outcome that gives it back, because choose then returns another value.
-// The write may still be applied, and another pool would use the share as well.
+// TestShareBookResolvesUnknownOutcome guards against an owner that gives back a share in a write
+// with an unknown outcome and keeps using the share, because choose returns the old value at the
+// next attempt. The write may still be applied, and another pool would use the share as well.
 func TestShareBookResolvesUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/maintenance/collect.go
+++ b/maintenance/collect.go
@@ -19,7 +19,7 @@
 	// report is the last report of a pool's owner.
 	report struct {
 		run.Report
-		requestedAt time.Time // when it was requested
+		requestedAt time.Time
 		// vacateRequested holds the machines that the request asked the owner to vacate.
 		vacateRequested map[tw.InstanceID]bool
 	}
@@ -75,7 +75,8 @@
 		}
 		m.addRunning(list, out)
 	}
-	// A machine that was ordered away may have left before the lists show it.
+	// The machine of an order may go down or leave its pool before the lists show this, so the
+	// owner must place no work there in the meantime.
 	for id, order := range m.ordered {
 		vacate(order.From, id)
 	}
@@ -91,9 +92,9 @@
 	return out
 }
 
-// addRunning adds the workers that run on a pool's machines but have been missing from all
-// reports for longer than the list of workers lags behind. The owner then rereads that list,
-// as its watch may have stalled. addRunning also updates m.missing.
+// addRunning adds to the directions the workers that run on a pool's machines but have been
+// missing from all reports for longer than the list of workers may lag. The owner then rereads
+// that list, as its watch may have stalled. addRunning also updates m.missing.
 func (m *Manager) addRunning(list *run.MachineList, out map[tw.PoolID]run.Directions) {
 	now := m.Clock.Now()
 	reported := m.reportedWorkers()
--- a/maintenance/forecast.go
+++ b/maintenance/forecast.go
@@ -52,8 +52,8 @@
 	// sudden rise sooner if enough submissions arrive in it.
 	rateWindow  = 800 * time.Millisecond
 	shortWindow = 300 * time.Millisecond
-	// slopeWindow is the length of the two consecutive intervals from which the
-	// rise of demand is derived.
+	// slopeWindow is the length of each of the two consecutive intervals from which
+	// the rise of demand is derived.
 	slopeWindow = 600 * time.Millisecond
 	// moveLeadTime is the time from ordering a machine until it can do work: a move takes
 	// 1.5 s, and it takes 0.43 s more until the list of workers shows the machine.
--- a/maintenance/forecast_test.go
+++ b/maintenance/forecast_test.go
@@ -42,22 +42,22 @@
 	}
 }
 
-// riseCases are the numbers of submissions offered in each tenth of a second, with the
-// bounds of the machines that the forecast then needs. Four machines are busy.
+// riseCases are the numbers of submissions offered in each tenth of a second, with bounds for
+// the number of machines that the forecast then gives as needed. Four machines are busy.
 var riseCases = map[string]struct {
 	offered     []int64
 	work        float64 // machine seconds of each submission
 	least, most float64
 }{
 	"steady rate":                          {offered: []int64{4, 4, 4, 4, 4, 4, 4, 4, 4, 4}, work: 0.1, least: 4 / usableShare, most: 6},
-	"step is detected within a few tenths": {offered: []int64{1, 1, 1, 1, 1, 1, 1, 15, 15, 15}, work: 1, least: 100, most: 200},
+	"sudden rise is detected within 0.3 s": {offered: []int64{1, 1, 1, 1, 1, 1, 1, 15, 15, 15}, work: 1, least: 100, most: 200},
 	"ramp is extrapolated":                 {offered: []int64{0, 0, 1, 1, 0, 1, 2, 2, 4, 5, 6, 7, 9, 10, 11}, work: 1, least: 130, most: 300},
 	"a single large submission is no rise": {offered: []int64{0, 0, 0, 0, 0, 0, 0, 0, 0, 1}, work: 50, least: 4 / usableShare, most: 5},
 	"only running work is left":            {offered: []int64{15, 15, 15, 0, 0, 0, 0, 0, 0, 0, 0, 0}, work: 1, least: 4 / usableShare, most: 5},
 }
 
-// TestForecastSteady checks that random variation of a steady demand raises the forecast need
-// by at most a few machines.
+// TestForecastSteady checks that random variation of a steady demand changes the mean forecast
+// need by at most 15 %.
 func TestForecastSteady(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/maintenance/manager_test.go
+++ b/maintenance/manager_test.go
@@ -119,7 +119,7 @@
 		}
 		o.Expect(maintained).To(Equal(2))
 	},
-	"does not complete a wave without issuing an order that it could not record": func(o *fixture) {
+	"completes a wave only after issuing an order that could not be recorded at first": func(o *fixture) {
 		o.addMachine("m1", 1)
 		o.addMachine("m2", 0)
 		o.addWave("m1")
--- a/maintenance/order_limiter.go
+++ b/maintenance/order_limiter.go
@@ -20,8 +20,8 @@
 	maxOrderLimit     = 1024
 )
 
-// split divides orders into those to issue now and those to issue later. All orders of waves and
-// up to the limit of moves are issued now; moves to the parking pool come last, as they can wait.
+// split divides orders into those to issue now and those to issue later. All orders of waves are
+// issued now, moves only up to the limit; moves to the parking pool come last, as they can wait.
 func (l *orderLimiter) split(orders []Order, parking tw.PoolID) (now, later []Order) {
 	orders = slices.Clone(orders)
 	slices.SortStableFunc(orders, func(a, b Order) int { return cmp.Compare(a.rank(parking), b.rank(parking)) })
--- a/maintenance/orders.go
+++ b/maintenance/orders.go
@@ -29,7 +29,7 @@
 	// is first issued. A write to a slow store takes 240 ms.
 	maxRecordAge = 500 * time.Millisecond
 	// maxOrderDelay is the maximum time from the start of recording an order until the
-	// end of its last attempt. The next manager waits for this time.
+	// end of its last attempt. The next manager allows for this time.
 	maxOrderDelay = maxRecordAge + 1200*time.Millisecond
 )
 
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// issueOrder issues one order. It repeats the order while it gets no answer, which has no effect if
-// the order was carried out.
+// issueOrder issues one order. It repeats the order while it gets no answer; a repetition has no
+// effect if the order was carried out.
 func (m *Manager) issueOrder(ctx context.Context, order Order) error {
 	by := tw.MachineHolder{Name: m.Holder, Fence: m.fence}
 	var err error
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -19,8 +19,8 @@
 		Done map[tw.InstanceID]bool
 		// Finished means that the wave was reported as completed.
 		Finished bool
-		// recordedDone is the number of done machines when the progress was last stored with
-		// the status for operators, hasRecord tells whether this manager has done so.
+		// recordedDone is the number of done machines when this manager last stored the
+		// progress with the status for operators, hasRecord whether it has stored them.
 		recordedDone int
 		hasRecord    bool
 	}
@@ -130,7 +130,7 @@
 }
 
 // countMachines computes how many machines each pool has or will have: those that are there and
-// stay, and those being moved to it.
+// stay, and those being moved to it. Machines that are down or in an evacuated hall do not count.
 func (s *State) countMachines(vacating map[tw.InstanceID]Order) {
 	s.machineCounts = map[tw.PoolID]int{}
 	for id, machine := range s.Machines {
@@ -155,7 +155,7 @@
 	s.machineCounts[to]++
 }
 
-// load returns the load of a machine, or false if its pool has not reported it.
+// load returns the load of a machine as last reported, and whether the load is known.
 func (s *State) load(machine tw.Machine) (run.WorkerLoad, bool) {
 	load, found := s.loads[machine.Worker]
 	return load, found && load.Known
--- a/maintenance/waves.go
+++ b/maintenance/waves.go
@@ -58,7 +58,7 @@
 	return ledger.WaveProgress{Done: slices.Sorted(maps.Keys(w.Done)), Pending: slices.Sorted(maps.Keys(pending))}
 }
 
-// adoptPending adds the orders that a former manager may have issued to m.ordered, as they may be
+// adoptPending adds to m.ordered the orders that a former manager may have issued, as they may be
 // carried out late, when another machine of the wave is down.
 func (m *Manager) adoptPending(w *Wave, pending []tw.InstanceID) {
 	for _, id := range pending {
@@ -76,7 +76,7 @@
 func (m *Manager) blockRecent(recent map[tw.InstanceID]time.Time) {
 	now := m.Clock.Now()
 	for id, at := range recent {
-		// The clock of the former manager may be ahead, but it made the record before
+		// The clock of the former manager may be ahead, but the record was made before
 		// this manager started. The order itself may have been issued up to maxOrderDelay
 		// after the record.
 		latest := now.Add(m.HolderTime + maxOrderDelay)
--- a/relay/orders.go
+++ b/relay/orders.go
@@ -44,7 +44,7 @@
 		relayLists map[tw.HallID]relayList
 	}
 
-	// relayList holds the relays of a data hall as listed at a time.
+	// relayList holds the relays of a data hall and the time at which they were listed.
 	relayList struct {
 		addresses []string
 		at        time.Time
@@ -114,7 +114,7 @@
 	return o.direct(ctx, to, order)
 }
 
-// direct sends an order directly. The caller has already counted it as sent.
+// direct sends an order directly. linkLoad.directSent must have counted it already.
 func (o *Orders) direct(ctx context.Context, to tw.WorkerRef, order tw.StartOrder) (tw.WorkerTime, error) {
 	startedAt := o.config.Clock.Now()
 	clock, err := o.WorkerOrders.Start(ctx, to, order)
--- a/relay/server.go
+++ b/relay/server.go
@@ -16,8 +16,8 @@
 type (
 	// ServerConfig configures a Server.
 	ServerConfig struct {
-		// Orders sends the orders. It must not be an Orders, or orders could loop between
-		// relays.
+		// Orders sends the orders to workers. It must not be of type *Orders, or orders could
+		// loop between relays.
 		Orders  tw.WorkerOrders
 		Clock   tw.Clock
 		Log     *zap.Logger
--- a/schedule/budget.go
+++ b/schedule/budget.go
@@ -20,8 +20,8 @@
 		// Withheld is the total charge of the subtasks that the cap kept from being
 		// placed.
 		Withheld tw.Resources
-		// MinWithheld is the smallest charge among the withheld work: of one subtask, or
-		// of a whole gang.
+		// MinWithheld is the smallest charge, by CPU, among the withheld work: of one
+		// subtask, or of a whole gang.
 		MinWithheld tw.Resources
 	}
 
@@ -40,9 +40,9 @@
 	}
 }
 
-// allowsGang reports whether the budget has room for all n members of a gang. A gang that
-// fits into the whole cap but not into a pool's share of it is charged the maximum for a
-// single reservation.
+// allowsGang reports whether the budget has room for all n members of a gang. For this check
+// the gang as a whole is charged at most MaxCharge, so that a gang that fits into the whole cap
+// but not into a pool's share of it can run.
 func (b *Budget) allowsGang(reservation tw.Resources, n int) bool {
 	whole := reservation.Times(n)
 	return b.Cap.Fits(whole) && b.Remaining.Fits(b.Charge(whole))
--- a/schedule/budget_test.go
+++ b/schedule/budget_test.go
@@ -91,7 +91,7 @@
 }
 
 // TestBudgetIsNotExceeded checks with random groups that placed work stays within the budget. No
-// subtask is larger than the cap, as one that is may exceed it.
+// subtask is larger than the cap, because such a subtask may exceed the budget.
 func TestBudgetIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		left := tw.Millicores(rapid.IntRange(-500, 6000).Draw(t, "left"))
--- a/schedule/group.go
+++ b/schedule/group.go
@@ -21,7 +21,7 @@
 		// if the step has a limit per worker.
 		OnWorker map[tw.WorkerID]int
 		// Avoid holds the workers that must not be used, by subtask index: for
-		// example those that run a copy.
+		// example those that run a copy of the subtask.
 		Avoid map[int]map[tw.WorkerID]bool
 		// Allowed holds the workers that may run the step; nil allows all.
 		Allowed map[tw.WorkerID]bool
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// reserve excludes workers from less urgent work for subtasks that found no room: otherwise
-// smaller subtasks take up free capacity as soon as it appears. It returns the workers that
-// the other groups may use, which are at least half of them.
+// reserve sets workers aside for the group's subtasks that found no room, as smaller subtasks
+// of less urgent groups would otherwise take up free capacity as soon as it appears. It returns
+// the workers that less urgent groups may use, which are at least half of the given ones.
 func (g *Group) reserve(workers []*Worker, missing int) []*Worker {
 	if missing == 0 {
 		return workers
@@ -240,7 +240,7 @@
 }
 
 // hasPreference reports whether the step runs better on some healthy workers than on others. If
-// not, the workers need not be sorted again.
+// not, only the workers for a long-running step need to be sorted again.
 func (g *Group) hasPreference() bool {
 	return g.Step.PreferredRack != "" || g.Step.Filler || g.Step.TailTarget > 0
 }
@@ -263,8 +263,8 @@
 	return compareTopology(a, b)
 }
 
-// compareInterference keeps fillers and subtasks that serve users on different workers, as
-// fillers increase their tail latency.
+// compareInterference orders workers so that fillers and subtasks that serve users share few of
+// them, as fillers increase the tail latency of those subtasks.
 func (g *Group) compareInterference(a, b *Worker) int {
 	switch {
 	case g.Step.Filler:
@@ -306,8 +306,8 @@
 	return out
 }
 
-// tryPlace subtracts the subtask's reservation from the worker's free capacity and reports
-// whether the subtask may run there.
+// tryPlace reserves capacity of the worker for the subtask. It returns false and changes
+// nothing if the subtask does not fit or must not run there.
 func (g *Group) tryPlace(w *Worker, id tw.SubtaskID) bool {
 	reservation := g.Step.Reservation()
 	if !w.Free.Fits(reservation) || g.Avoid[id.Index][w.ID] {
--- a/schedule/place_test.go
+++ b/schedule/place_test.go
@@ -175,7 +175,7 @@
 		workers: []*schedule.Worker{worker(0, 4000)},
 		want:    map[tw.WorkerID]int{"w0": 1},
 	},
-	"uses only workers that advice allows": {
+	"uses only allowed workers": {
 		groups: []*schedule.Group{func() *schedule.Group {
 			g := group("a", 2, nil)
 			g.Allowed = map[tw.WorkerID]bool{"w1": true}
--- a/schedule/preempt_test.go
+++ b/schedule/preempt_test.go
@@ -83,8 +83,9 @@
 	NewWithT(t).Expect(got).To(HaveLen(1))
 }
 
-// TestPreemptKeepsPriorities checks with random groups and runs that no run is stopped that is
-// at least as urgent as all waiting work, none twice, and none if nothing waits.
+// TestPreemptKeepsPriorities checks with random groups and runs that each stopped run is less
+// urgent than some waiting work, that no run is stopped twice, and that none is stopped if
+// nothing waits.
 func TestPreemptKeepsPriorities(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var workers []*schedule.Worker
