--- a/daemon/config_fetch_gate.go
+++ b/daemon/config_fetch_gate.go
@@ -20,9 +20,9 @@
 	reading bool
 }
 
-// configFetchDelay is how long a store that answers has to deliver a version that peers
-// have announced: a large one takes 0.25 s on a link of 10 Mbit/s, and should not be
-// transferred twice.
+// configFetchDelay is the time given to a store that answers to deliver a version that
+// peers have announced, before a peer is asked for it. A large configuration takes 0.25 s
+// on a link of 10 Mbit/s, and should not be transferred twice.
 const configFetchDelay = 400 * time.Millisecond
 
 // begin reports whether to read the newer version from a peer now. If so, the caller must
--- a/daemon/evacuations.go
+++ b/daemon/evacuations.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// applyEvacuations applies evacuations that are newer than the known ones. Peers send those that
-// they know, or nil, as the store may reject this daemon's calls.
+// applyEvacuations applies evacuations that are newer than the known ones. They also come from
+// peers, as the store may reject this daemon's calls; e is nil if a peer does not know them.
 func (d *directory) applyEvacuations(e *tw.Evacuations, from string) {
 	d.mu.Lock()
 	before := d.evacuations
--- a/daemon/owner_monitor.go
+++ b/daemon/owner_monitor.go
@@ -17,8 +17,8 @@
 type ownership struct {
 	record ledger.Owner
 	// storeOutage returns how long the store has accepted no write of the owner, and
-	// overload how long this daemon has been too slow for it. overload is nil for the
-	// machine manager.
+	// overload how long this daemon has been too slow for the pool. overload is nil for
+	// the machine manager.
 	storeOutage, overload func(ctx context.Context) (time.Duration, error)
 	// close ends the ownership without a handover, as another daemon has taken over.
 	close func()
@@ -38,8 +38,8 @@
 	offloadCooldown = 5 * time.Second
 )
 
-// monitorOwners asks other daemons to take over pools for which this daemon is too slow,
-// and all of them while it can't reach the metadata store but others can. It also stops
+// monitorOwners asks other daemons to take over the pools for which this daemon is too slow,
+// and all its pools while it can't reach the metadata store but others can. It also stops
 // the watch of the list of workers once no pool needs it. It runs until o.ctx ends.
 func (o *owners) monitorOwners() {
 	// requests counts the takeover requests for each pool since the store last accepted
@@ -110,7 +110,7 @@
 }
 
 // superseded reports whether a peer has announced an owner newer than record. The
-// store has that one too, but can't be reached.
+// newer owner's record is in the store too, but the store can't be reached.
 func (o *owners) superseded(record ledger.Owner) bool {
 	newest, found := o.d.members.Owner(record.Pool)
 	if !found || newest.Fence <= record.Fence {
--- a/daemon/owners.go
+++ b/daemon/owners.go
@@ -46,7 +46,7 @@
 
 const (
 	// takeoverTimeout bounds a takeover: a slow store takes 240 ms for each call, and
-	// the submissions of all pools up to 9 s on a link of 2 Mbit/s.
+	// loading the submissions of all pools takes up to 9 s on a link of 2 Mbit/s.
 	takeoverTimeout = 20 * time.Second
 	inboxWait       = 5 * time.Second
 )
@@ -208,7 +208,8 @@
 	}
 }
 
-// watchInbox passes messages that other daemons write into the store to the owner.
+// watchInbox passes the owner the messages that other daemons write into the pool's inbox
+// in the store.
 func (o *owners) watchInbox(pool tw.PoolID, owner *run.Owner) *member.Watcher {
 	seen := map[tw.Key]tw.KVRevision{}
 	return member.WatcherConfig{
--- a/daemon/peer_calls.go
+++ b/daemon/peer_calls.go
@@ -92,8 +92,8 @@
 }
 
 // Take implements member.Handler. It ignores a request of a previous owner, for example
-// after a network partition, if another daemon has taken the pool since: taking it
-// again would interrupt the pool for nothing. A request without a fence is accepted.
+// after a network partition, if another daemon has taken the pool since: taking the pool
+// again would interrupt it for nothing. A request without a fence is accepted.
 func (d *QueueDaemon) Take(_ context.Context, m *member.TakeRequest) (*member.TakeResponse, error) {
 	if owner, found := d.members.Owner(m.Pool); found && m.Fence != 0 && owner.Fence > m.Fence {
 		d.log.Info("owner: pool not taken, it has a newer owner than the requesting daemon", zap.String("pool", string(m.Pool)),
@@ -114,8 +114,8 @@
 	return &member.ReportResponse{Outcome: queue.OutcomeOf(err), Report: report}, nil
 }
 
-// ReportOf gets the load report of a pool from its owner, and passes it its
-// directions.
+// ReportOf gets the load report of a pool from its owner, and passes the directions
+// to the owner.
 func (d *QueueDaemon) ReportOf(ctx context.Context, pool tw.PoolID, directions run.Directions) (run.Report, error) {
 	owner, found := d.members.Owner(pool)
 	report, err := d.reportFrom(ctx, owner, found, pool, directions)
--- a/daemon/queue_daemon.go
+++ b/daemon/queue_daemon.go
@@ -45,7 +45,8 @@
 		metrics  *metrics.Set
 		meter    *traffic.Meter
 		kv       tw.KV
-		// orders may go through other daemons; relay sends the orders of other daemons to workers.
+		// orders sends this daemon's orders to workers, possibly through other daemons;
+		// relay sends the orders of other daemons to workers.
 		orders   *relay.Orders
 		relay    *relay.Server
 		machines tw.Machines
--- a/ids.go
+++ b/ids.go
@@ -18,7 +18,7 @@
 	TeamID string
 	// DaemonID identifies a daemon.
 	DaemonID string
-	// TaskID identifies a task on a worker; see NewTaskID.
+	// TaskID identifies a task on an instance; see NewTaskID.
 	TaskID string
 	// WaveID identifies a maintenance wave.
 	WaveID string
--- a/machine.go
+++ b/machine.go
@@ -22,7 +22,7 @@
 		Worker WorkerID
 	}
 
-	// MaintenanceWave is the platform's request to maintain machines.
+	// MaintenanceWave is the operators' request to maintain machines.
 	MaintenanceWave struct {
 		Number   int64
 		Machines []InstanceID
--- a/member/daemon_record.go
+++ b/member/daemon_record.go
@@ -54,7 +54,7 @@
 	// presenceTTL is the TTL of the record's lease, after which a daemon that
 	// has stopped renewing it counts as gone. It limits how long the pools of a
 	// failed daemon have no owner. A slow store answers in 240 ms, so that
-	// several renewals, one per renewInterval, fit into it.
+	// several renewals, one per renewInterval, fit into the TTL.
 	presenceTTL   = 1500 * time.Millisecond
 	renewInterval = 400 * time.Millisecond
 )
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -10,8 +10,9 @@
 
 // Only a few daemons ping each pool owner. What they learn, the current owners and the owners
 // that do not answer, spreads to all daemons by gossip in the pings. Each daemon pings a bounded
-// number of others, so that the number of rounds grows with the logarithm of the number of
-// daemons. A ping has at most one entry per pool.
+// number of others, so that the number of ping rounds until all daemons know it grows with the
+// logarithm of the number of daemons. Each list in a ping or its response has at most one entry per
+// pool.
 
 // Suspicion reports that the pool owner at an address did not answer a ping.
 type Suspicion struct {
--- a/member/growth_test.go
+++ b/member/growth_test.go
@@ -14,8 +14,8 @@
 	"github.com/tamarindworks/tamarindworks/ledger"
 )
 
-// growthSizes are numbers of daemons. They are in growthHalls halls, a tenth of them have four times
-// the cores, and some of these own growthPools pools.
+// growthSizes are numbers of daemons in a deployment. The daemons are in growthHalls halls. A tenth
+// of them have four times the cores of the others, and some of these own growthPools pools.
 var growthSizes = []int{50, 200, 800, 1600}
 
 const (
@@ -99,10 +99,10 @@
 	return n
 }
 
-// Guards against pings that grow with the number of daemons. Every daemon pinged every owner, so
-// that with 585 daemons an owner received 2,336 pings per second. While the store did not answer,
-// every daemon pinged every other one. The pings that a daemon sends must not grow with the number
-// of daemons, and those that an owner receives must not grow beyond random variation.
+// Guards against pings that grow with the number of daemons. Previously, every daemon pinged every
+// owner, so that with 585 daemons an owner received 2,336 pings per second. While the store did not
+// answer, every daemon pinged every other one. The pings that a daemon sends must not grow with the
+// number of daemons, and those that an owner receives must not grow beyond random variation.
 func TestPingsDoNotGrowWithDaemons(t *testing.T) {
 	g := NewWithT(t)
 	const maxSent, maxReceived = growthPools + probesPerHall*growthHalls, growthPools*pingersPerOwner + 12*probesPerHall*growthHalls
--- a/member/members.go
+++ b/member/members.go
@@ -83,7 +83,7 @@
 		// poolLostAt is the time at which this daemon last lost a pool to another one.
 		poolLostAt map[tw.PoolID]time.Time
 		// isolated is true while neither the store nor another hall answers.
-		// cancelConnected cancels connectedCtx when that begins.
+		// cancelConnected cancels connectedCtx when this daemon becomes isolated.
 		isolated        bool
 		connectedCtx    context.Context
 		cancelConnected context.CancelFunc
@@ -125,16 +125,16 @@
 	refusalsUntilDown = 2
 	// watchWait is the timeout of one watch of the members.
 	watchWait = 3 * time.Second
-	// watchGapPerRecord times the number of records of members and pool owners is the pause after
-	// a watch that returned changes. With it, the number of watch responses per second to all
-	// members together does not grow with their number while there are changes.
+	// watchGapPerRecord is the pause after a watch that returned changes, per record of a member or
+	// a pool owner. While there are changes, it keeps the total number of watch responses per second
+	// to all members from growing with the number of members.
 	watchGapPerRecord = 200 * time.Microsecond
 	// pingStateTTL is how long after its last answer the ping results of a daemon that is no longer
 	// pinged are kept.
 	pingStateTTL = 2 * time.Second
 	// startupGrace is the time after its start during which a daemon waits for
 	// the others to announce themselves and takes no pool that it did not own
-	// before. All daemons start within 0.3 s.
+	// before. All daemons start within 0.3 s of each other.
 	startupGrace = 1200 * time.Millisecond
 	// startupInterval is the interval of the main loop during that time. Records and
 	// configuration arrive some milliseconds after the start.
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -233,7 +233,7 @@
 	presence.Close(context.Background())
 }
 
-// take opens a pool's ledger and writes to it until another daemon takes it over.
+// take opens a pool's ledger and writes to it until another daemon takes over the pool.
 func (d *modelDaemon) take(kv tw.KV, pool tw.PoolID) {
 	d.mu.Lock()
 	_, have := d.owned[pool]
--- a/member/reach.go
+++ b/member/reach.go
@@ -15,9 +15,9 @@
 	// isolatedAfter is the time without an answer from the store and from other
 	// halls after which a daemon considers itself isolated. Pings are answered
 	// every pingInterval, and a slow store answers in 240 ms. The load balancer takes
-	// another 2 s to send callers to another hall. With a partitioned hall, the mean
-	// share of the work's value that is earned is 0.528 instead of 0.510 if its daemons
-	// meanwhile refuse requests immediately and fail the readiness check.
+	// another 2 s to send callers to another hall. Isolated daemons refuse requests
+	// immediately and fail the readiness check. With a partitioned hall, this raises the
+	// mean share of the work's value that is earned from 0.510 to 0.528.
 	isolatedAfter = 600 * time.Millisecond
 	// probesPerHall is the number of daemons of each hall that are pinged even if they
 	// own no pool, to detect that a hall is partitioned.
--- a/member/rpc.go
+++ b/member/rpc.go
@@ -77,7 +77,7 @@
 	// maxIdlePeerConns is the maximum number of idle connections to one daemon.
 	maxIdlePeerConns = 8
 	peerIdleTimeout  = 90 * time.Second
-	// maxPeerMessage is the maximum message size in bytes. It is above that of the
+	// maxPeerMessage is the maximum message size in bytes. It is above the size of the
 	// largest configuration in the store.
 	maxPeerMessage = 4 << 20
 	// compressMinBytes is the size in bytes from which responses are compressed, such as
--- a/member/start_test.go
+++ b/member/start_test.go
@@ -20,7 +20,7 @@
 	member.Handler
 	batch   []tw.RelayedStart
 	answers []tw.RelayedAnswer
-	// wait must be closed before the last answer is sent.
+	// wait delays the last answer until it is closed.
 	wait chan struct{}
 }
 
--- a/member/succession.go
+++ b/member/succession.go
@@ -55,7 +55,7 @@
 }
 
 // isTurn reports whether this daemon, the candidate with the given rank, should
-// take over a pool without a live owner now. It immediately retakes a pool that
+// take over a pool without a live owner now. A daemon immediately retakes a pool that
 // its former process owned, even before it knows the other daemons, because these
 // do not consider the pool lost until they have detected the loss of that process.
 // After a restart of all daemons, each therefore regains its pools without a storm
@@ -238,8 +238,8 @@
 	return out
 }
 
-// maxRelayCandidates is the maximum number of daemons of a data hall that relay orders for another
-// one.
+// maxRelayCandidates is the maximum number of daemons of a data hall that relay orders for one
+// other daemon.
 const maxRelayCandidates = 6
 
 // handoverFactor is the minimum ratio of another daemon's cores, and of its cores per pool, to those
@@ -247,8 +247,8 @@
 const handoverFactor = 2
 
 // reachableSuccessors lists the daemons that answer pings and report that they reach the
-// store. Their order differs by pool, so that one does not get all pools of a
-// daemon.
+// store, in the order of compareByLoad. Ties are broken differently for each pool, so that
+// one daemon does not get all pools of another.
 func (m *Members) reachableSuccessors(pool tw.PoolID) []DaemonRecord {
 	var out []DaemonRecord
 	for id, record := range m.lastKnown {
--- a/member/succession_test.go
+++ b/member/succession_test.go
@@ -170,8 +170,8 @@
 	g.Expect(found).To(BeFalse())
 }
 
-// fasterSuccessorCases are the daemons besides "b", which has two cores and owns the pool "p", and
-// the one to which "b" hands it over when it is too slow.
+// fasterSuccessorCases are the other daemons of a deployment in which "b" has two cores and owns the
+// pool "p", and the daemon to which "b" hands over the pool when "b" is too slow.
 var fasterSuccessorCases = map[string]struct {
 	cores map[tw.DaemonID]tw.Cores
 	// pools are the pools of the other daemons, with their owners.
--- a/queue/cap_test.go
+++ b/queue/cap_test.go
@@ -9,8 +9,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// A gang that needs more than its organisation's usage cap must be refused. It was accepted and
-// waited forever, because its subtasks have to start together.
+// A gang that needs more than its organisation's usage cap must be refused. Otherwise it waits
+// forever, because its subtasks have to start together.
 var gangCapCases = map[string]struct {
 	body     string
 	usageCap tw.Resources
--- a/queue_config.go
+++ b/queue_config.go
@@ -95,8 +95,8 @@
 
 // Route returns the route of a request: the one of its host with the longest
 // prefix of the path, or nil. Host has no port. With 1,440 routes, Route and
-// the lookup of a key take 0.3 us and do not allocate; a linear scan of the
-// routes took 13 us (BenchmarkRoute).
+// the lookup of a key take 0.3 us and do not allocate (BenchmarkRoute); a linear
+// scan of the routes takes 13 us (BenchmarkRouteByScan).
 func (c *QueueConfig) Route(host, path string) *QueueRoute {
 	c.Prepare()
 	routes := c.byHost[strings.ToLower(host)]
--- a/subtask.go
+++ b/subtask.go
@@ -35,9 +35,11 @@
 		// Percent is the progress of the work or, for a long-running subtask,
 		// the share of full speed at which it works.
 		Percent int
-		// TailLatency is the measured tail latency of a subtask that serves users.
+		// TailLatency is the measured tail latency of a subtask that serves users. It is
+		// meaningless for other subtasks.
 		TailLatency time.Duration
-		// Usage is the measured processor usage of any other subtask.
+		// Usage is the measured processor usage of a subtask that does not serve users. It
+		// is meaningless for one that does.
 		Usage Millicores
 	}
 
@@ -69,7 +71,7 @@
 	EndGangTimeout EndKind = "alone"
 )
 
-// String formats the id for logs.
+// String formats the id for logs and for the orders to workers.
 func (s SubtaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", s.Submission, s.Repetition, s.Step, s.Index)
 }
--- a/worker.go
+++ b/worker.go
@@ -152,8 +152,8 @@
 	RefusedNoCapacity RefusalReason = "room"
 	// RefusedTicket: the ticket is missing or has expired.
 	RefusedTicket RefusalReason = "ticket"
-	// RefusedOtherIncarnation: another worker, or another incarnation of it, listens at
-	// the address.
+	// RefusedOtherIncarnation: another worker, or another incarnation of the worker,
+	// listens at the address.
 	RefusedOtherIncarnation RefusalReason = "other-life"
 	// RefusedUnhealthy: the worker currently accepts no orders.
 	RefusedUnhealthy RefusalReason = "unhealthy"
--- a/workers.go
+++ b/workers.go
@@ -26,9 +26,9 @@
 		Start(ctx context.Context, task Task) error
 		// Stop ends a task. It does not fail if there is no such task.
 		Stop(ctx context.Context, id TaskID) error
-		// Reboot requests maintenance of an instance. It applies only if the
-		// count Boots in the instance list is boots; if it is larger, the
-		// reboot has already happened.
+		// Reboot requests maintenance of an instance. It has an effect only if
+		// Instance.Boots in the instance list equals boots; if Instance.Boots
+		// is larger, the reboot has already happened.
 		Reboot(ctx context.Context, id InstanceID, boots uint64) error
 	}
 )
