--- a/control/absence.go
+++ b/control/absence.go
@@ -8,8 +8,8 @@
 	tw "github.com/tamarindworks/tamarindworks"
 )
 
-// absenceTracker records since when every read of the platform's instance list has
-// lacked the instance of a registered daemon (by incarnation).
+// absenceTracker records, for each incarnation of a registered daemon, since when every
+// read of the platform's instance list has lacked its instance.
 type absenceTracker struct {
 	clock tw.Clock
 
@@ -20,7 +20,8 @@
 
 // absenceTimeout is how long an entry instance (one that runs a daemon) must be
 // unlisted, and its daemon silent, until handovers stop waiting for the daemon's
-// acknowledgement. The list may be out of date, also for new instances.
+// acknowledgement. They wait this long because the list may be out of date, and may
+// lack new instances.
 const absenceTimeout = 30 * time.Second
 
 func newAbsenceTracker(clock tw.Clock) *absenceTracker {
--- a/control/absence_test.go
+++ b/control/absence_test.go
@@ -34,7 +34,7 @@
 	restarted *Node               // the next incarnation of d2, or nil
 }
 
-// setIsolated isolates d2 from the other daemons and the store, or ends this.
+// setIsolated isolates d2 from the other daemons and the store, or ends the isolation.
 func (a *absenceBed) setIsolated(isolated bool) {
 	a.bed.network.setIsolated("d2", isolated)
 	a.store.setUnavailable(isolated)
--- a/control/busy_meter.go
+++ b/control/busy_meter.go
@@ -17,7 +17,7 @@
 
 const (
 	busyHalfLife = 30 * time.Second
-	// negligibleSlots is the value below which a job is dropped.
+	// negligibleSlots is the value below which a job's value is dropped.
 	negligibleSlots = 0.01
 )
 
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// clearLedgerEntries removes this hall's entries from a service's ledger once none of
-// the service's instances is draining here: from then on the plan itself shows them
-// as unavailable.
+// clearLedgerEntries removes this hall's entries from the ledgers in ledgersToClear,
+// from each once no instance with a job of the service is draining here: the plan
+// itself then shows which replicas are unavailable.
 func (p *planner) clearLedgerEntries(ctx context.Context, config *tw.FleetConfig) {
 	for service := range p.ledgersToClear {
 		if p.hasDraining(config, service) {
--- a/control/local_state.go
+++ b/control/local_state.go
@@ -64,9 +64,10 @@
 }
 
 // updatePlan stores a plan if it is newer, and reports whether it was. A plan of the
-// same generation with a higher epoch, a planner's fence, is also newer: a daemon that
-// ignored it and became planner after the store has lost its leases would conclude
-// from the fence's epoch that it has lost the lease itself (see loadPlan).
+// same generation with a higher epoch, as planner.fence writes it, is also newer. If a
+// daemon ignored such a plan and became planner after the store had lost its leases,
+// loadPlan would find a higher epoch in the store than the daemon knows, and conclude
+// that the daemon has lost the lease.
 func (s *localState) updatePlan(body json.RawMessage) (bool, error) {
 	plan := &tw.Plan{}
 	if err := json.Unmarshal(body, plan); err != nil {
--- a/control/members.go
+++ b/control/members.go
@@ -38,10 +38,10 @@
 }
 
 // update applies a heartbeat, received from the daemon itself (direct) or by gossip.
-// An earlier incarnation or an older beat is ignored; a report is kept until the
-// same incarnation sends a new one. A lower incarnation is accepted directly from a
-// daemon whose known incarnation is down: incarnations come from the wall clock,
-// which may have gone back across a restart.
+// An older beat is ignored; a report is kept until the same incarnation sends a new
+// one. A lower incarnation is ignored unless it comes directly from a daemon whose
+// known incarnation is down: incarnations come from the wall clock, which may have
+// gone back across a restart.
 func (t *memberTable) update(m tw.Member, direct bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,8 +109,8 @@
 
 // claimCandidates returns the daemons that may store claims, in no order: the live
 // ones, and those found in the roster when this one registered, until their first
-// heartbeat or until they count as down. Without the latter, a newly registered
-// daemon would grant keys that they have already granted.
+// heartbeat or until they count as down. Without those from the roster, a newly
+// registered daemon would grant keys that they have already granted.
 func (t *memberTable) claimCandidates(filter func(tw.Member) bool) []tw.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -266,8 +266,8 @@
 		b.applyConfig(0)
 		Eventually(func() int { return servingCount(b.plan()) }, eventualTimeout).Should(Equal(2))
 		Eventually(func() tw.PlacementState { return b.pendingState() }, eventualTimeout).Should(BeEmpty())
-		// The state after a planner took over once the store had lost its leases: its fence
-		// has an epoch above the plan's, and the lease epochs count from 1 again.
+		// The state after the store lost its leases and a planner took over: the planner has
+		// fenced with an epoch above the former plan's, and lease epochs count from 1 again.
 		Expect(b.operator.documents.Update(GinkgoT().Context(), tw.PlanKey("h1"), func(body json.RawMessage) (any, error) {
 			var plan tw.Plan
 			err := json.Unmarshal(body, &plan)
--- a/control/planner.go
+++ b/control/planner.go
@@ -209,8 +209,8 @@
 }
 
 // loadPlan reads the stored plan after the lease was acquired, and again after a
-// failed write. If it is older than the plan that this daemon has, as after a restore
-// of the store, planning continues from the latter.
+// failed write. If the stored plan is older than this daemon's, as after a restore of
+// the store, planning continues from this daemon's plan.
 func (p *planner) loadPlan(ctx context.Context) error {
 	if p.loaded {
 		return nil
@@ -249,8 +249,8 @@
 }
 
 // fence writes the unchanged plan under this planner's epoch before anything else.
-// The compare-and-swap of a paused predecessor then fails, so that it can write
-// neither a plan nor a drain that it has already recorded in a ledger.
+// The compare-and-swap of a paused predecessor then fails, so that it can no longer
+// write a plan, not even with a drain that it has already recorded in a ledger.
 func (p *planner) fence(ctx context.Context) error {
 	p.plan.Epoch = p.planEpoch
 	return p.writePlan(ctx, p.plan)
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -45,8 +45,8 @@
 }
 
 // TestPlannerAfterLeaseExpiry checks that a planner does not stop its successor's tasks.
-// It sees them in a task listing that returns only after its lease has expired, while
-// it cannot reach the store.
+// The planner sees them in a task listing that returns only after its lease has
+// expired, while it cannot reach the store.
 func TestPlannerAfterLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/control/rosters.go
+++ b/control/rosters.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// discoverHalls reads the roster of each hall, including this daemon's, of which no
-// other daemon is known, and adds the daemons in it to the member table. This is how
+// discoverHalls reads the roster of each hall of which no other daemon is known, this
+// daemon's own hall included, and adds its daemons to the member table. This is how
 // halls find each other.
 func (n *Node) discoverHalls(ctx context.Context) {
 	view := n.state.view()
--- a/control/suite_test.go
+++ b/control/suite_test.go
@@ -184,7 +184,7 @@
 	return n, r
 }
 
-// start starts a node with an incarnation, which uses a store.
+// start starts a node with the given incarnation and store.
 func (b *testBed) start(id tw.DaemonID, incarnation tw.Incarnation, store tw.Store) (*Node, *recordingDispatcher) {
 	r := &recordingDispatcher{}
 	n := Config{
--- a/control/sync.go
+++ b/control/sync.go
@@ -22,8 +22,9 @@
 	// remoteSyncOneIn is the mean number of rounds per heartbeat to a daemon of another
 	// hall.
 	remoteSyncOneIn = 4
-	// silentHallOneIn is the inverse of the probability with which a round picks a known
-	// daemon of a hall without live daemons; each of them is tried in turn.
+	// silentHallOneIn is the inverse of the probability of picking a known daemon of a
+	// hall without live daemons. A round goes through these daemons in random order
+	// until it picks one.
 	silentHallOneIn = 2
 	// jobsOneIn is the mean number of messages within the hall per message that lists
 	// the sender's jobs. Messages to other halls always list them.
--- a/fleet/actions.go
+++ b/fleet/actions.go
@@ -52,8 +52,9 @@
 	return orders
 }
 
-// mayStop reports whether the task of a placement may be stopped once it is no
-// longer wanted: no daemon may still have a request in flight on it.
+// mayStop reports whether the task of a placement that is no longer wanted may be
+// stopped. If the instance is draining or the placement is stopping, every daemon
+// must first have acknowledged this and have no request in flight there.
 func (in *Input) mayStop(a *tw.Assignment, placement *tw.Placement) bool {
 	switch {
 	case a.State == tw.InstanceDraining:
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -16,7 +16,7 @@
 	Plans map[tw.HallID]tw.Plan
 }
 
-// Allowances returns how many replicas of each service planned work may take
+// Allowances returns how many replicas of each service planned drains may take
 // down: the available ones, minus the wanted ones, plus MaxUnavailable.
 func Allowances(in BudgetInput) map[tw.ServiceID]int {
 	wanted := map[tw.ServiceID]int{}
--- a/fleet/input.go
+++ b/fleet/input.go
@@ -26,7 +26,7 @@
 		Health map[tw.InstanceID]Health
 		// BusySlots is the measured number of busy slots by job.
 		BusySlots map[tw.JobID]float64
-		// Allowance is the number of replicas of a service that planned work may
+		// Allowance is the number of replicas by service that planned drains may
 		// still take down now. A service that is missing allows none.
 		Allowance map[tw.ServiceID]int
 	}
--- a/fleet/ledger_property_test.go
+++ b/fleet/ledger_property_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// finishDrain ends the drains of a hall; when called again, the instances are back in
-// service.
+// finishDrain takes a hall's draining instances out, and puts those that were already
+// out back into service.
 func (w *ledgerSim) finishDrain(t *rapid.T) {
 	p := w.drawPlanner(t)
 	if p.stage == writingPlan {
--- a/fleet/moves.go
+++ b/fleet/moves.go
@@ -67,8 +67,8 @@
 }
 
 // awaitingReplacement reports whether a pool has an instance that is still joining
-// or a job that is still starting. Planned drains wait for it, as the budget is
-// only for drains without a replacement.
+// or a job that is still starting. Planned drains wait until none is left, as
+// the budget is only for drains without a replacement.
 func (p *pass) awaitingReplacement(pool tw.PoolID) bool {
 	for _, a := range p.poolInstances(pool) {
 		starting := slices.ContainsFunc(a.Jobs, func(placement tw.Placement) bool { return placement.State == tw.PlacementStarting })
@@ -79,8 +79,9 @@
 	return false
 }
 
-// deductLosses subtracts the replicas that this pass has found to be lost from the
-// allowance, which was computed from the last plan written.
+// deductLosses subtracts from the allowance the replicas that this pass has found lost
+// or taken out of service. The allowance was computed from the last plan written, which
+// still has them as running.
 func (p *pass) deductLosses() {
 	delta := map[tw.ServiceID]int{}
 	for i := range p.in.Plan.Instances {
--- a/fleet/pools.go
+++ b/fleet/pools.go
@@ -95,8 +95,8 @@
 	return tw.Reason{}, false
 }
 
-// placementCounts returns the number of instances on which a job has failed and
-// on which it runs.
+// placementCounts returns the number of instances on which a job has failed, and
+// the number on which it runs.
 func (p *pass) placementCounts(job tw.JobID) (failed, runs int) {
 	for i := range p.plan.Instances {
 		placement := p.plan.Instances[i].Placement(job)
@@ -228,8 +228,8 @@
 	return ok && in.Phase == tw.PhaseLive && p.matchingPools[in.ID][pool.ID]
 }
 
-// takeFromSurplus marks instances of pools above their required size to move to a
-// pool below it.
+// takeFromSurplus marks instances of pools that exceed their required size, so that
+// they move to a pool that is short.
 func (p *pass) takeFromSurplus(short *poolNeed) {
 	missing := short.need - short.active - p.incoming(short.pool.ID)
 	for _, n := range p.pools {
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -14,8 +14,8 @@
 
 // quarantine drains instances on which all tasks or requests fail, as an instance
 // that fails fast looks idle and would attract ever more requests. It does so only
-// if the same jobs succeed on another instance, and so never drains the last
-// instance of a pool.
+// if another instance that is not failing runs one of the same jobs, and so never
+// drains the last instance of a pool.
 func (p *pass) quarantine() {
 	allowed := max(1, int(maxQuarantinedFraction*float64(len(p.plan.Instances))))
 	for i := range p.plan.Instances {
--- a/fleet/sim_hall_test.go
+++ b/fleet/sim_hall_test.go
@@ -151,8 +151,9 @@
 	}
 }
 
-// checkPool fails if a daemon sends to an instance under a pool that is not its pool
-// in the stored plan: for all daemons, an instance is in one pool at a time.
+// checkPool fails if the daemon's plan has the instance in another pool than the
+// stored plan: at any time, an instance is in the same pool for all daemons that send
+// requests to it.
 func (w *simHall) checkPool(t *rapid.T, id tw.DaemonID, a *tw.Assignment) {
 	now := w.stored.Find(a.Instance)
 	if now != nil && now.Pool != a.Pool {
--- a/fleet/waves.go
+++ b/fleet/waves.go
@@ -35,8 +35,9 @@
 
 // scheduleWave takes spares out first, as they run no jobs. It then marks serving
 // instances for which there is a spare as replacement. Without a spare, a serving
-// instance is marked only while no other instance of the wave is out, as one that is
-// out will return as a spare. The budgets decide when a marked instance drains.
+// instance is marked only while no other instance of the wave is marked, draining or
+// out, as that one will return as a spare. The budgets decide when a marked instance
+// drains.
 func (p *pass) scheduleWave(w *tw.Wave) {
 	allowed := w.MaxConcurrent
 	for i := range p.plan.Instances {
