--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -14,7 +14,7 @@
 // wait as long as their deadline allows, up to a maximum.
 const (
 	quickWaitFactor       = 0.7                  // multiple of the mean service time
-	minQuickWait          = 5 * time.Millisecond // for short bursts; callers do not notice such a wait
+	minQuickWait          = 5 * time.Millisecond // lowest limit, for short bursts; callers do not notice such a wait
 	maxNormalWait         = 2 * time.Second
 	maxLongWait           = 20 * time.Second
 	maxQueued             = 1024  // waiters per job and class
--- a/gateway/payload.go
+++ b/gateway/payload.go
@@ -30,7 +30,8 @@
 func (singleUseBody) Close() error { return nil }
 
 // readPayload reads a body before a slot is acquired, so that a slow caller
-// does not hold one.
+// does not hold one. Of a body larger than MaxBufferedBody, it reads only the
+// beginning.
 func (g *Gateway) readPayload(w http.ResponseWriter, r *http.Request) (payload, *Refusal) {
 	limit := int64(g.cfg.MaxBody)
 	if r.ContentLength > limit {
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -37,7 +37,7 @@
 	}
 )
 
-// Outcomes. NotRun is used only if it is certain.
+// Outcomes. NotRun is used only if it is certain that the request was not run.
 const (
 	Answered Outcome = "answered"
 	NotRun   Outcome = "not-run"
@@ -114,7 +114,7 @@
 const (
 	retryAfterPromotion = 2 * time.Second // a spare instance joins a pool within this time
 	retryAfterRestart   = time.Second     // the load balancer picks another daemon
-	retryAfterUpstream  = time.Second     // an ejected instance is not used
+	retryAfterUpstream  = time.Second     // a retry is not sent to an ejected instance
 	minRetryAfter       = time.Second     // Retry-After has whole seconds
 )
 
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -62,7 +62,7 @@
 		})
 	}
 
-	It("with a route for no host or path is refused", func() {
+	It("that matches no route is refused", func() {
 		view := newView(8)
 		view.Config.Services[0].Routes = view.Config.Services[0].Routes[1:]
 		g := startGateway(Config{}, view)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -46,9 +46,9 @@
 	return out[:min(len(out), maxAttempts)]
 }
 
-// unconfirmedPeers lists the daemons of other halls that should run a job but
-// have not reported that they do. Trying one that does not costs a hop: it
-// refuses the request as not run.
+// unconfirmedPeers lists the daemons of other halls that have not reported
+// slots for a job although it is configured for their hall. Trying one that has
+// no slots costs a hop: it refuses the request as not run.
 func unconfirmedPeers(view *tw.View, job tw.JobID) []tw.Member {
 	jobConfig := view.Config.Job(job)
 	var out []tw.Member
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -53,7 +53,8 @@
 		workers        []*worker
 		queues         map[tw.Class]*fairQueue
 		serviceSeconds map[tw.Class]float64 // moving average of the time in a slot
-		// arrivals counts all requests, admitted or not.
+		// arrivals counts the requests within their team's quota, admitted or
+		// not.
 		arrivals map[tw.Class]*eventWindow
 	}
 )
--- a/gateway/scheduler_test.go
+++ b/gateway/scheduler_test.go
@@ -14,8 +14,8 @@
 	"github.com/tamarindworks/tamarindworks/internal/fakeclock"
 )
 
-// schedulerHarness is a scheduler with a fake clock, whose steps a test
-// controls.
+// schedulerHarness is a scheduler that a test runs step by step, with a fake
+// clock.
 type schedulerHarness struct {
 	*scheduler
 	clock *fakeclock.Clock
--- a/gateway/worker.go
+++ b/gateway/worker.go
@@ -14,7 +14,7 @@
 		address  string
 		jobs     map[tw.JobID]bool // that the instance serves
 		ownSlots int               // slots of the instance that belong to this daemon
-		since    time.Time         // first seen serving
+		since    time.Time         // start of the slow start; see install
 		perJob   map[tw.JobID]*jobStats
 		byClass  map[tw.Class]int
 		inFlight int
@@ -63,7 +63,7 @@
 
 // hasRoom reports whether the instance has a free slot for a class. The
 // requests of a class and of those less urgent may together use only the slots
-// outside the reserve of that class.
+// that the class need not leave free for more urgent ones.
 func (w *worker) hasRoom(class tw.Class, reserved reserve, now time.Time) bool {
 	slots := w.usableSlots(now)
 	if slots == 0 || now.Before(w.ejectedUntil) {
--- a/internal/delays/delays.go
+++ b/internal/delays/delays.go
@@ -86,7 +86,7 @@
 	Recording Cause = "record"
 )
 
-// Causes lists all causes in that order.
+// Causes lists all causes, in the order in which a submission goes through them.
 var Causes = []Cause{Waiting, Running, Slow, Lost, Recording}
 
 const (
--- a/internal/drain/conn.go
+++ b/internal/drain/conn.go
@@ -153,8 +153,8 @@
 	return c.TCPConn.SetReadDeadline(c.effectiveDeadline())
 }
 
-// deadlinePassed returns the phase, and whether the deadline in effect has passed:
-// setStopStage may change it during a read.
+// deadlinePassed returns the phase, and whether the deadline in effect has passed. A read may
+// time out earlier, as setStopStage and changeState may change the deadline during the read.
 func (c *conn) deadlinePassed() (phase, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +182,8 @@
 }
 
 // readOrShutdown reads data that has arrived, without waiting. If there is none, it shuts
-// down the connection's sending side at once, so that no request arrives between the two steps.
+// down the connection's sending side immediately after the read, so that hardly any request
+// arrives between the two steps.
 func (c *conn) readOrShutdown(p []byte) (int, error) {
 	if err := c.TCPConn.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
--- a/internal/logsink/sink.go
+++ b/internal/logsink/sink.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// put writes a line, and the number of lines dropped before it.
+// put writes a line and, if lines were dropped since the last report, their number.
 func (s *Sink) put(line []byte) {
 	s.write(line)
 	if n := s.dropped.Load() - s.reported; n > 0 {
--- a/internal/membertest/membertest.go
+++ b/internal/membertest/membertest.go
@@ -27,7 +27,7 @@
 	return &member.PingResponse{}, nil
 }
 
-// Announce writes the record of another daemon into a store, as if it were running.
+// Announce writes the record of another daemon into a store, as if that daemon were running.
 func Announce(kv *standin.KV, record member.DaemonRecord) {
 	value, err := json.Marshal(record)
 	if err != nil {
--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -1,5 +1,5 @@
 // Package tcp provides a dialer whose connections detect a peer that has become
-// unreachable without closing them.
+// unreachable without closing the connection.
 package tcp
 
 import (
