--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -139,7 +139,8 @@
 }
 
 // waitServing waits until all pools serve in their halls, every daemon has acknowledged the
-// current plan, and every gateway answers requests for maps, which those of h1 relay to h2.
+// current plan, and every gateway answers requests for the service maps, which the gateways of
+// h1 relay to h2.
 func (f *fleet) waitServing() {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
--- a/e2e/silent_test.go
+++ b/e2e/silent_test.go
@@ -16,9 +16,9 @@
 
 const (
 	// silenceWindow is how long callers are observed after the first connections are
-	// silenced. After secondSilenceAfter, the connections opened since then are silenced too.
-	// After workerSilenceAfter, when daemons reach the store again, only the connections to
-	// workers are silenced once more.
+	// silenced. secondSilenceAfter into the window, the connections opened in the meantime are
+	// silenced too. workerSilenceAfter into the window, when daemons reach the store again,
+	// only the connections to workers are silenced once more.
 	silenceWindow      = 5 * time.Second
 	secondSilenceAfter = time.Second
 	workerSilenceAfter = 2500 * time.Millisecond
@@ -52,7 +52,8 @@
 		ownerBefore, ownerAfter              string
 	}
 
-	// acceptance records when an accepted submission was sent and how long the answer took.
+	// acceptance records when an accepted submission was first sent and how long its
+	// acceptance took, including retries.
 	acceptance struct {
 		sent time.Time
 		took time.Duration
--- a/internal/experiment/control.go
+++ b/internal/experiment/control.go
@@ -56,9 +56,9 @@
 )
 
 // Control measures a daemon's resource use when idle and how long a configuration change
-// needs to take effect, for each of deploymentSizes. The figures per daemon are those of
-// this process divided by the number of daemons. They are upper bounds, since they include
-// the fake platform.
+// needs to take effect, for each of deploymentSizes. The CPU time and the heap size per
+// daemon are those of this process divided by the number of daemons. They are upper bounds,
+// since they include the fake platform.
 func Control(ctx context.Context, out io.Writer) error {
 	for _, size := range deploymentSizes {
 		if err := size.measure(ctx, out); err != nil {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -15,7 +15,8 @@
 		Duration time.Duration
 		// Fails makes each run fail at its end.
 		Fails bool
-		// Hangs makes each run report no progress and never end by itself.
+		// Hangs makes each run report no progress and never end by itself. It does not
+		// affect long-running subtasks.
 		Hangs bool
 		// Crashes makes each run crash its worker shortly after its start.
 		Crashes     bool
@@ -89,7 +90,8 @@
 		LateStarts int
 		// FailAll makes every run on this worker fail.
 		FailAll bool
-		// Hang makes every run on this worker report no progress and never end by itself.
+		// Hang makes every run on this worker report no progress and never end by itself. It
+		// does not affect long-running subtasks.
 		Hang bool
 		// TailLatency is that of the latency-sensitive runs on this worker while no filler
 		// runs there. FillerInterference is what a filler at full pace adds to it.
@@ -126,8 +128,8 @@
 
 	// crashCount counts the crashes and starts of a subtask that crashes its workers.
 	crashCount struct {
-		workers int // crashed while it ran on them
-		starts  int // after crashLimit crashes, with callers in contact with the store
+		workers int // that crashed while they ran the subtask
+		starts  int // after crashLimit crashes, while callers were in contact with the store
 	}
 
 	simRun struct {
--- a/internal/standin/fleet_orders.go
+++ b/internal/standin/fleet_orders.go
@@ -14,7 +14,7 @@
 	// fullPercent is the full pace of a long-running subtask and the full progress of any
 	// other.
 	fullPercent = 100
-	// noAnswerTimeout is how long callers wait for a silent worker.
+	// noAnswerTimeout is how long a call to a silent or dead worker waits before it fails.
 	noAnswerTimeout = time.Second
 )
 
@@ -185,8 +185,8 @@
 	}
 }
 
-// connect returns the worker that a reference identifies, or fails as the network would.
-// If it succeeds, f.mu is held.
+// connect returns the worker that a reference identifies, or the error that a call over the
+// network would get. If it succeeds, f.mu is held.
 func (f *Fleet) connect(ctx context.Context, to tw.WorkerRef) (*SimWorker, error) {
 	if f.config.Latency > 0 {
 		select {
--- a/internal/standin/fleet_worker.go
+++ b/internal/standin/fleet_worker.go
@@ -159,8 +159,8 @@
 	return pace
 }
 
-// percent returns what the worker reports for a run: the pace of a long-running one, 0
-// until it is ready, or the progress of any other.
+// percent returns the percentage that the worker reports for a run: the pace of a
+// long-running run, which counts as 0 until the run is ready, or the progress of any other.
 func (w *SimWorker) percent(f *Fleet, r *simRun, now time.Time) int {
 	ran := now.Sub(r.started)
 	switch {
@@ -172,7 +172,8 @@
 	return int(fullPercent * ran / r.profile.Duration)
 }
 
-// nextChange returns when a run may end next, or until if none may end before.
+// nextChange returns when a run may end next. If none may end before the time given by
+// until, it returns that time.
 func (w *SimWorker) nextChange(now, until time.Time) time.Time {
 	next := until
 	for _, r := range w.runs {
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -117,14 +117,14 @@
 func (k *KV) Put(key tw.Key, value []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	_, _ = k.apply(tw.KVTxn{Puts: []tw.KVPut{{Key: key, Value: value}}}) // has no condition
+	_, _ = k.apply(tw.KVTxn{Puts: []tw.KVPut{{Key: key, Value: value}}}) // cannot fail without conditions and leases
 }
 
 // Remove removes a key, as operators and workers do.
 func (k *KV) Remove(key tw.Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	_, _ = k.apply(tw.KVTxn{Removes: []tw.Key{key}}) // has no condition
+	_, _ = k.apply(tw.KVTxn{Removes: []tw.Key{key}}) // cannot fail without conditions and leases
 }
 
 // Get implements tw.KV.
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -27,8 +27,8 @@
 		Targets  []string // gateway addresses, used in turn in place of a load balancer
 		Streams  []Stream
 		Requests int // in total
-		// Warmup is how many of the requests, the first ones, warm up. Their latency is not
-		// recorded, nor is work that is answered before they have all been sent.
+		// Warmup is the number of warm-up requests, which are sent first. Their latency is
+		// not recorded. Work that is answered before they have all been sent is not counted.
 		Warmup  int
 		Rate    float64 // requests per second, open loop
 		Timeout time.Duration
@@ -71,7 +71,7 @@
 	// callerOutcome summarizes the responses to one request and its repeats.
 	callerOutcome struct {
 		answered      bool
-		notRun        bool // every attempt was not sent or refused as not run
+		notRun        bool // each attempt was either not sent or refused as not run
 		keyed         bool
 		nonIdempotent bool // POST, must not run twice
 	}
--- a/internal/standin/recorder.go
+++ b/internal/standin/recorder.go
@@ -16,7 +16,7 @@
 
 type (
 	// Recorder records each run of a request before its work begins, so that
-	// duplicate and lost runs are counted even if the upstream is killed.
+	// duplicate runs and lost requests are counted even if the upstream is killed.
 	Recorder struct {
 		mu   sync.Mutex
 		out  io.Writer // nil to keep the records in memory only
