--- a/e2e/proxy_test.go
+++ b/e2e/proxy_test.go
@@ -16,7 +16,7 @@
 const (
 	linkHealthy linkFault = iota
 	linkSlow              // each read is delayed by linkDelay
-	linkSilent            // no data is forwarded in either direction
+	linkBlocked           // no data is forwarded in either direction
 	linkOneWay            // requests are forwarded, answers are not
 	linkReset             // connections are reset
 )
@@ -197,7 +197,7 @@
 		case fault == linkSlow:
 			time.Sleep(linkDelay)
 			return true
-		case fault == linkSilent, fault == linkOneWay && answers:
+		case fault == linkBlocked, fault == linkOneWay && answers:
 			time.Sleep(linkPollInterval)
 		default:
 			return true
