--- a/run/capacity_test.go
+++ b/run/capacity_test.go
@@ -19,8 +19,8 @@
 
 // capacityCases guard against placement beyond a worker's reduced capacity. A worker that does
 // not enforce its capacity starts whatever it is ordered to. Its capacity may shrink while it
-// runs, which it reports in its entry. An owner that does not reach the store does not learn of
-// that, and went on for 6 s with the previous capacity.
+// runs, which it reports in its entry. An owner that did not reach the store did not learn of the
+// new capacity, and went on for 6 s with the previous one.
 var capacityCases = map[string]func(r *rig){
 	"starts nothing beyond a worker's reduced capacity": func(r *rig) {
 		o := r.newOwner("a")
--- a/run/caps_test.go
+++ b/run/caps_test.go
@@ -148,7 +148,7 @@
 		}
 		r.watch(7 * time.Second) // the work takes 3.0 s at the cap
 		r.Expect(r.unfinished()).To(BeEmpty())
-		r.Expect(r.maxUsage).To(BeNumerically(">=", 1000*(redCap-2))) // the shares reserved for two pools come to one subtask
+		r.Expect(r.maxUsage).To(BeNumerically(">=", 1000*(redCap-2))) // 1.3 subtasks are reserved for the other two pools
 	},
 	"the share follows the demand within a second": func(r *capRig) {
 		for range 2 {
@@ -192,7 +192,7 @@
 		r.send("boards", "red", 30, 2*time.Second)
 		r.watch(5 * time.Second)
 	},
-	"a worker that holds inherited work is silent": func(r *capRig) {
+	"the workers that run inherited work are silent": func(r *capRig) {
 		r.send("checks", "red", 30, 4*time.Second)
 		r.watch(time.Second)
 		for n := range capWorkers {
@@ -343,7 +343,8 @@
 	}
 }
 
-// cancelAny cancels a random submission. Runs that are being stopped count until they have ended.
+// cancelAny cancels a random submission. Runs that are being stopped count against the cap until
+// they have ended.
 func (r *capRig) cancelAny(random *rand.Rand) {
 	id := tw.SubmissionID(fmt.Sprintf("%016x", 1+random.IntN(1+r.submissionCount)))
 	if _, accepted := r.accepted[id]; !accepted {
--- a/run/crash_test.go
+++ b/run/crash_test.go
@@ -43,9 +43,10 @@
 		r.poison(o, s, 0)
 		r.runWithReboots(o, 20*time.Second, func() bool { return r.state(o, "s1") == tw.SubmissionFailed })
 	},
-	// A suspect whose worker does not answer must get no copy, as the run may be crashing that
-	// worker. Without this rule, a copy was started after a second, and at the highest crash count
-	// its start was not counted, so that a third start was made after the third crash.
+	// A suspect is a subtask that may have crashed a worker. It must get no copy while the worker
+	// that runs it does not answer, as the run may be crashing that worker too. Without this rule, a
+	// copy was started after a second, and at the highest crash count its start was not counted, so
+	// that a third start was made after the third crash.
 	"starts no copy of a suspect before it is cleared": func(r *rig) {
 		o := r.newOwner("a")
 		s := submission("s1", 1)
--- a/run/duplicate_submissions_test.go
+++ b/run/duplicate_submissions_test.go
@@ -90,8 +90,8 @@
 
 // TestTwoTries runs random sequences of what may happen to a submission that is submitted several
 // times: at owners, without an owner, with writes that are executed late, stalls of the store,
-// takeovers and cancels. A submission that was accepted for a caller or is in the store must end;
-// one that was not stored must never begin.
+// takeovers and cancels. A submission that an owner accepted or that is in the store must end; one
+// that was not stored must never begin.
 func TestTwoTries(t *testing.T) {
 	for seed := range uint64(triesSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/run/evacuation_test.go
+++ b/run/evacuation_test.go
@@ -123,7 +123,7 @@
 		r.submit(next, submission("s1", 16))
 		r.eventually(next, "s1", tw.SubmissionSucceeded, 8*time.Second)
 	},
-	"where all halls are evacuated, work is refused at once": func(r *rig, o *run.Owner) {
+	"where all halls are evacuated, work that is not long-running is refused at once": func(r *rig, o *run.Owner) {
 		r.evacuate(o, "h0", "h1")
 		time.Sleep(evacuateTime)
 		began := time.Now()
--- a/run/inbox_test.go
+++ b/run/inbox_test.go
@@ -34,7 +34,7 @@
 		b := r.newOwner("b")
 		r.eventually(b, "s1", tw.SubmissionSucceeded, 2*time.Second)
 	},
-	"starts nothing while its message is still in the inbox": func(r *rig) {
+	"does not start a submission while its message is still in the inbox": func(r *rig) {
 		o := r.newOwner("a")
 		r.storeViaInbox(submission("s1", 2))
 		r.kv.SetFaults(standin.KVFaults{LateWrites: 1000})
--- a/run/owner_test.go
+++ b/run/owner_test.go
@@ -153,7 +153,7 @@
 		r.eventually(o, "low", tw.SubmissionSucceeded, 60*time.Second)
 		r.Expect(r.fleet.Starts()).To(Equal(16 + 1 + 2 + 2)) // two were stopped
 	},
-	"refreshes the list of workers for one that it should know": func(r *rig) {
+	"refreshes the list of workers if a running worker is missing from it": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		_, err := o.Report(r.ctx, run.Directions{Running: []tw.WorkerID{workerID(0)}})
@@ -179,7 +179,7 @@
 			r.eventually(b, tw.SubmissionID(fmt.Sprintf("s%d", n)), tw.SubmissionSucceeded, 60*time.Second)
 		}
 	},
-	"restarts no run that a partitioned owner may still extend": func(r *rig) {
+	"does not restart a run while cut off from the store, as a new owner may extend it": func(r *rig) {
 		partitioned := &partitionedOrders{WorkerOrders: r.fleet}
 		a := r.newPartitionableOwner("a", partitioned)
 		r.submit(a, longRunning("s1", 1))
@@ -188,7 +188,8 @@
 		partitioned.cutOffWorker(on[0])
 		time.Sleep(3 * time.Second) // the ownership is confirmed meanwhile
 		partitioned.cutOffStore()
-		// The new owner reaches no other worker, so no worker refuses the old owner's fencing token.
+		// The new owner reaches only the worker of the run, so none of the other workers refuses the
+		// old owner's fencing token.
 		only := &partitionedOrders{WorkerOrders: r.fleet}
 		for id := range r.list {
 			if id != on[0] {
@@ -236,7 +237,7 @@
 		r.submit(o, submission("s2", 1))
 		r.Eventually(func() bool { return r.fleet.EverStarted("s2") }, 500*time.Millisecond, 10*time.Millisecond).Should(BeTrue())
 	},
-	"starts at once what a daemon with a fast clock accepted": func(r *rig) {
+	"starts at once what a daemon whose clock is ahead accepted": func(r *rig) {
 		o := r.newOwner("a")
 		time.Sleep(time.Second)
 		s := submission("s1", 1)
--- a/run/recorded_test.go
+++ b/run/recorded_test.go
@@ -88,7 +88,7 @@
 // successor found 1,773 of them to handle in the first second.
 func TestEndsAreConfirmedUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const workers, submissions = 24, 96 // each has one subtask at a time
+		const workers, submissions = 24, 96 // each submission has one subtask at a time
 		r := newRig(t, workers)
 		defer r.end()
 		o := r.newOwner("a")
@@ -112,7 +112,7 @@
 		for n, sequence := range lastBefore {
 			listed := r.listedEnds(o, n)
 			unacknowledged += len(listed)
-			r.Expect(listed).To(HaveEach(HaveField("Sequence", BeNumerically(">", sequence))), "older than 3 s")
+			r.Expect(listed).To(HaveEach(HaveField("Sequence", BeNumerically(">", sequence))), "ends older than 3 s are not acknowledged")
 		}
 		t.Log("ended", ended, "ends not acknowledged", unacknowledged)
 		r.Expect(unacknowledged).To(BeNumerically("<=", ended/5), "the platform's bound: a fifth of the ends")
--- a/run/rig_test.go
+++ b/run/rig_test.go
@@ -25,8 +25,9 @@
 	maxHold  = 6 * time.Second
 	stopTime = 400 * time.Millisecond
 	latency  = 2 * time.Millisecond
-	// evacuateTime is longer than a start waits to be sent, and shorter than the platform's
-	// limit of 5 s minus the time that the change takes to arrive.
+	// evacuateTime is how long after a hall's evacuation starts there are not yet a violation. It
+	// is longer than a start waits to be sent, and shorter than the platform's limit of 5 s minus
+	// the time that the change takes to arrive.
 	evacuateTime = time.Second
 )
 
--- a/run/send_window_test.go
+++ b/run/send_window_test.go
@@ -71,7 +71,7 @@
 				}
 				now = now.Add(targetStartLatency)
 			}
-			g.Expect(c.want(defaultWindow, w.limit)).To(BeTrue(), "it is %d", w.limit)
+			g.Expect(c.want(defaultWindow, w.limit)).To(BeTrue(), "the limit is %d", w.limit)
 			g.Expect(w.outstanding).To(BeZero())
 		})
 	}
--- a/run/shortage_test.go
+++ b/run/shortage_test.go
@@ -326,9 +326,9 @@
 	})
 }
 
-// TestBurstAtAFastOwner checks that a fast owner does not take itself for short at the beginning
-// of a burst, when its window is still small: one refused 28 submissions while orders were
-// answered within 5 ms. Where there is capacity, accepted work must start within 50 ms.
+// TestBurstAtAFastOwner checks that a fast owner does not consider itself short of resources at
+// the beginning of a burst, when its window is still small: one refused 28 submissions while orders
+// were answered within 5 ms. Where there is capacity, accepted work must start within 50 ms.
 func TestBurstAtAFastOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const burst, within = 40, 50 * time.Millisecond
--- a/run/soak_all_test.go
+++ b/run/soak_all_test.go
@@ -10,11 +10,11 @@
 	}
 }
 
-// TestAllSoakGivesNobodyUp runs seeds that gave up work under which three workers in a
-// row had ended by chance; of 1,000 seeds, 8 did. An owner that is short polls its workers late,
-// so it does not learn in time that they have survived a start for the 0.15 s that clear a subtask:
-// the third worker ended 1.27 s after the order. Each seed failed in about four runs of ten, as the
-// order of simultaneous events differs.
+// TestAllSoakGivesNobodyUp runs seeds that gave up work under which three workers in a row had
+// ended by chance; of 1,000 seeds, 8 did. An owner that is short of processor time or link
+// bandwidth polls its workers late. It does not learn in time that they have survived a start for
+// 0.15 s, after which a subtask is no longer suspected: the third worker ended 1.27 s after the
+// order. Each seed failed in about four runs of ten, as the order of simultaneous events differs.
 func TestAllSoakGivesNobodyUp(t *testing.T) {
 	for range 10 {
 		for _, seed := range []uint64{52, 217, 235, 566, 689, 691, 813, 851} {
@@ -35,10 +35,10 @@
 	}
 }
 
-// TestAllSoakEndsInTime runs seeds that left work unfinished 40 s after the last fault, in 11 of
-// 60 runs of the second. The owner is so short that an answer takes 0.5 s. It timed each order
-// out after 0.4 s, five times the longest recent answer time, and so never observed a longer one,
-// and unanswered starts did not reduce its window. It sent some ten starts per second, all of
+// TestAllSoakEndsInTime runs seeds that left work unfinished 40 s after the last fault, in 11 of 60
+// runs of the second. The owner has so few resources that an answer takes 0.5 s. It timed each
+// order out after 0.4 s, five times the longest recent answer time, and so never observed a longer
+// one, and unanswered starts did not reduce its window. It sent some ten starts per second, all of
 // them unanswered, and as many stops, and no pending work began.
 func TestAllSoakEndsInTime(t *testing.T) {
 	for range 10 {
@@ -49,9 +49,9 @@
 }
 
 // TestAllSoakCountsEveryStart runs seeds in which a subtask that crashes its workers got a third
-// start after the third crash, as the higher limit for uncertain crashes allowed for more starts
-// than were counted: one start was executed before its stop was answered, and one copy had a first
-// run that was not counted when both owners were replaced.
+// start after the third crash. The higher limit for uncertain crashes relies on every start being
+// counted, and two were not: one start was executed before its stop was answered, and one copy had
+// a first run that was not counted when both owners were replaced.
 func TestAllSoakCountsEveryStart(t *testing.T) {
 	for range 10 {
 		for _, seed := range []uint64{204, 2306} {
--- a/run/soak_test.go
+++ b/run/soak_test.go
@@ -43,7 +43,7 @@
 
 var regressions = map[uint64]string{
 	1379: "the stand-in carried out late starts on a worker that had died",
-	3001: "the stand-in counted an end that came before its worker's deadline passed against a start that came after",
+	3001: "the stand-in reported a restart after a worker's deadline as a violation, though the owner could not yet know of an end before it",
 }
 
 // TestSoak injects random, overlapping faults into a pool: workers that die, go silent, hang or
@@ -136,19 +136,19 @@
 	submissionCount int
 	// workersByMachine are the successive workers of each machine, the current one last.
 	workersByMachine [][]tw.WorkerEntry
-	// replaceWorkers: machines start new workers.
+	// replaceWorkers makes machines start new workers.
 	replaceWorkers bool
-	// poisonous: some subtasks crash their workers.
+	// poisonous makes some subtasks crash their workers.
 	poisonous bool
-	// slowStore: at times the store takes 100 to 300 ms for each call.
+	// slowStore makes the store take 100 to 300 ms for each call at times.
 	slowStore bool
-	// short: at times owners lack processor time or bandwidth.
+	// short makes owners lack processor time or bandwidth at times.
 	short bool
-	// mayGiveUp: work may be given up although its workers ended for other reasons.
+	// mayGiveUp allows work to be given up although its workers ended for other reasons.
 	mayGiveUp bool
 	// restartRand is the random source for restarts of workers under their IDs; nil for none.
 	restartRand *rand.Rand
-	// evacuating: at times halls are evacuated.
+	// evacuating makes halls be evacuated at times.
 	evacuating bool
 	// actions is the number of random actions before the faults end.
 	actions int
@@ -213,7 +213,8 @@
 	s.kv.SetFaults(faults)
 }
 
-// newOwner ends the faults of the store and makes a daemon the owner, which may be short.
+// newOwner ends the faults of the store and makes a daemon the owner, which may lack processor time
+// or bandwidth.
 func (s *soak) newOwner(daemon tw.DaemonID) *run.Owner {
 	s.setFaults(standin.KVFaults{})
 	if !s.short {
--- a/run/termination_test.go
+++ b/run/termination_test.go
@@ -147,7 +147,7 @@
 		time.Sleep(takeoverSettleTime)
 		previous := r.list[workerID(0)]
 		current := r.fleet.RestartWithNewID(previous.ID, "present") // the list of machines names the previous worker
-		r.relist(o, current)                                        // and so does the list of workers
+		r.relist(o, current)                                        // the list of workers names both
 		time.Sleep(time.Second)
 		r.listAsRunning(current)
 		delete(r.list, previous.ID)
--- a/run/worker_restart_test.go
+++ b/run/worker_restart_test.go
@@ -40,7 +40,8 @@
 
 // restartCases restart workers under the ID and the address that they had, in a pool of two. A
 // restarted worker numbers its ends from one again. An owner that ignored the start time took
-// them for ends that it had already seen, and acknowledged them unseen by the old sequence numbers.
+// them for ends that it had already seen, and its acknowledgements up to the old sequence numbers
+// covered new ends that it had not handled.
 var restartCases = map[string]func(r *rig, o *run.Owner){
 	"restarts the runs of the previous incarnation": func(r *rig, o *run.Owner) {
 		r.submit(o, submission("s1", 8))
