--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -27,7 +27,7 @@
 // s.mu.
 func (s *scheduler) admit(req slotRequest) (*grant, *waiter, *Refusal) {
 	js := s.jobs[req.job]
-	if js == nil || len(js.workers) == 0 {
+	if js == nil || len(js.instances) == 0 {
 		return nil, nil, notRunRetryAfter(ReasonNoInstance, retryAfterPromotion, "no instance carries the job now")
 	}
 	if !js.hasUntried(req.tried) {
@@ -41,7 +41,7 @@
 	js.arrivals[req.class].count(false, now)
 	queue := js.queues[req.class]
 	if s.noWaiterAhead(js, req.class) {
-		if w := s.pickWorker(js, req, now); w != nil {
+		if w := s.pickInstance(js, req, now); w != nil {
 			return s.grant(w, req, now), nil, nil
 		}
 	}
@@ -122,7 +122,7 @@
 	now := s.clock.Now()
 	reserved := js.computeReserve(now)
 	slots := 0
-	for _, w := range js.workers {
+	for _, w := range js.instances {
 		if n := w.usableSlots(now); n > 0 {
 			slots += reserved.limit(class, n)
 		}
@@ -144,7 +144,7 @@
 
 // hasUntried reports whether the job has an instance that is not in tried.
 func (js *jobState) hasUntried(tried map[tw.InstanceID]bool) bool {
-	return slices.ContainsFunc(js.workers, func(w *worker) bool { return !tried[w.id] })
+	return slices.ContainsFunc(js.instances, func(w *instanceState) bool { return !tried[w.id] })
 }
 
 // meanServiceSeconds is the moving average of the time in a slot, in seconds.
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -15,13 +15,13 @@
 	releaseUnused                    // nothing was sent to the instance
 )
 
-// pickWorker picks two instances with free slots at random and returns the less
+// pickInstance picks two instances with free slots at random and returns the less
 // loaded one (power of two choices), or nil. The caller holds s.mu.
-func (s *scheduler) pickWorker(js *jobState, req slotRequest, now time.Time) *worker {
-	var first, second *worker
+func (s *scheduler) pickInstance(js *jobState, req slotRequest, now time.Time) *instanceState {
+	var first, second *instanceState
 	reserved := js.computeReserve(now)
 	seen := 0
-	for _, w := range js.workers {
+	for _, w := range js.instances {
 		if req.tried[w.id] || !w.hasRoom(req.class, reserved, now) {
 			continue
 		}
@@ -46,11 +46,11 @@
 	return first
 }
 
-func (s *scheduler) grant(w *worker, req slotRequest, now time.Time) *grant {
+func (s *scheduler) grant(w *instanceState, req slotRequest, now time.Time) *grant {
 	w.begin(req.job, req.class)
 	s.running++
 	s.teamRequests[req.team]++
-	return &grant{worker: w, address: w.address, req: req, start: now}
+	return &grant{instance: w, address: w.address, req: req, start: now}
 }
 
 // release returns a slot and dispatches waiters to its instance. Repeated calls
@@ -60,13 +60,13 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.finish(g, mode)
-		s.dispatch(g.worker)
+		s.dispatch(g.instance)
 	})
 }
 
 func (s *scheduler) finish(g *grant, mode releaseMode) {
 	now := s.clock.Now()
-	w := g.worker
+	w := g.instance
 	s.running--
 	s.releaseTeam(g.req.team)
 	if mode == releaseUnused {
@@ -90,12 +90,12 @@
 // only one may not.
 func (s *scheduler) mayEject(js *jobState, now time.Time) bool {
 	ejected := 1
-	for _, w := range js.workers {
+	for _, w := range js.instances {
 		if now.Before(w.ejectedUntil) {
 			ejected++
 		}
 	}
-	n := len(js.workers)
+	n := len(js.instances)
 	return n > 1 && ejected <= max(1, int(maxEjectedShare*float64(n)))
 }
 
@@ -107,7 +107,7 @@
 }
 
 // dispatch grants the free slots of an instance to waiters.
-func (s *scheduler) dispatch(w *worker) {
+func (s *scheduler) dispatch(w *instanceState) {
 	now := s.clock.Now()
 	for {
 		next, js := s.nextWaiter(w, now)
@@ -125,7 +125,7 @@
 // nextWaiter returns the waiter to serve next on an instance, and its job. The
 // class with the lowest pass goes first, within it the team with the lowest
 // pass, then the earliest arrival.
-func (s *scheduler) nextWaiter(w *worker, now time.Time) (*waiter, *jobState) {
+func (s *scheduler) nextWaiter(w *instanceState, now time.Time) (*waiter, *jobState) {
 	var best *waiter
 	var bestJob *jobState
 	for job := range w.jobs {
@@ -168,11 +168,11 @@
 // dispatchAll dispatches waiters after the view has changed, and refuses those
 // whose job no longer has an instance.
 func (s *scheduler) dispatchAll() {
-	for _, w := range s.workers {
+	for _, w := range s.instances {
 		s.dispatch(w)
 	}
 	for _, js := range s.jobs {
-		if len(js.workers) > 0 {
+		if len(js.instances) > 0 {
 			continue
 		}
 		for _, q := range js.queues {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -202,7 +202,7 @@
 		if refusal != nil {
 			return earlierRefusal(last, refusal)
 		}
-		ex.tried = withInstance(ex.tried, slot.worker.id)
+		ex.tried = withInstance(ex.tried, slot.instance.id)
 		d := g.tryInstance(ctx, w, ex, slot)
 		if d.refusal == nil && d.retry == "" {
 			return nil
--- a/gateway/worker.go
+++ b/gateway/instance_state.go
@@ -7,9 +7,9 @@
 )
 
 type (
-	// worker is this daemon's state of one instance, guarded by the scheduler's
-	// lock.
-	worker struct {
+	// instanceState is this daemon's state of one instance, guarded by the
+	// scheduler's lock.
+	instanceState struct {
 		id       tw.InstanceID
 		address  string
 		jobs     map[tw.JobID]bool // that the instance serves
@@ -54,7 +54,7 @@
 
 // usableSlots returns how many requests this daemon may have in flight on the
 // instance. The number grows over slowStart for a new instance.
-func (w *worker) usableSlots(now time.Time) int {
+func (w *instanceState) usableSlots(now time.Time) int {
 	if age := now.Sub(w.since); w.ownSlots > 0 && age < slowStart {
 		return max(1, int(float64(w.ownSlots)*float64(age)/float64(slowStart)))
 	}
@@ -64,7 +64,7 @@
 // hasRoom reports whether the instance has a free slot for a class. The
 // requests of a class and of those less urgent may together use only the slots
 // that the class need not leave free for more urgent ones.
-func (w *worker) hasRoom(class tw.Class, reserved reserve, now time.Time) bool {
+func (w *instanceState) hasRoom(class tw.Class, reserved reserve, now time.Time) bool {
 	slots := w.usableSlots(now)
 	if slots == 0 || now.Before(w.ejectedUntil) {
 		return false
@@ -82,18 +82,18 @@
 	return false
 }
 
-// load compares instances for pickWorker; lower is better.
-func (w *worker) load() float64 {
+// load compares instances for pickInstance; lower is better.
+func (w *instanceState) load() float64 {
 	return float64(w.inFlight+1) / float64(max(w.ownSlots, 1)) * (1 + w.penalty)
 }
 
-func (w *worker) begin(job tw.JobID, class tw.Class) {
+func (w *instanceState) begin(job tw.JobID, class tw.Class) {
 	w.inFlight++
 	w.byClass[class]++
 	w.jobStats(job).inFlight++
 }
 
-func (w *worker) finish(job tw.JobID, class tw.Class, failed bool, now time.Time) {
+func (w *instanceState) finish(job tw.JobID, class tw.Class, failed bool, now time.Time) {
 	w.inFlight--
 	w.byClass[class]--
 	stats := w.jobStats(job)
@@ -109,7 +109,7 @@
 	w.penalty += penaltyStep
 }
 
-func (w *worker) jobStats(job tw.JobID) *jobStats {
+func (w *instanceState) jobStats(job tw.JobID) *jobStats {
 	stats := w.perJob[job]
 	if stats == nil {
 		stats = &jobStats{}
@@ -120,7 +120,7 @@
 
 // ejectNow excludes the instance from new requests for a while. The time
 // doubles with each ejection in a row, up to maxEjection.
-func (w *worker) ejectNow(now time.Time) {
+func (w *instanceState) ejectNow(now time.Time) {
 	w.ejectionTime = min(max(2*w.ejectionTime, minEjection), maxEjection)
 	w.ejectedUntil = now.Add(w.ejectionTime)
 	w.consecutiveFailures = 0
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -35,7 +35,7 @@
 // computeReserve computes the reserve from the load that each class offers.
 func (js *jobState) computeReserve(now time.Time) reserve {
 	slots := 0
-	for _, w := range js.workers {
+	for _, w := range js.instances {
 		slots += w.ownSlots
 	}
 	if slots == 0 {
--- a/gateway/scheduler.go
+++ b/gateway/scheduler.go
@@ -20,7 +20,7 @@
 		mu           sync.Mutex
 		rand         *rand.Rand
 		view         tw.View
-		workers      map[tw.InstanceID]*worker
+		instances    map[tw.InstanceID]*instanceState
 		jobs         map[tw.JobID]*jobState
 		classPass    map[tw.Class]float64 // stride scheduling: lowest is served next
 		virtualTime  float64              // pass of the class served last
@@ -40,17 +40,17 @@
 
 	// grant is a slot held on an instance.
 	grant struct {
-		worker  *worker
-		address string // of the instance when the slot was granted
-		req     slotRequest
-		start   time.Time
-		once    sync.Once
+		instance *instanceState
+		address  string // of the instance when the slot was granted
+		req      slotRequest
+		start    time.Time
+		once     sync.Once
 	}
 
 	// jobState holds the instances, queues and load statistics of one job.
 	jobState struct {
 		id             tw.JobID
-		workers        []*worker
+		instances      []*instanceState
 		queues         map[tw.Class]*fairQueue
 		serviceSeconds map[tw.Class]float64 // moving average of the time in a slot
 		// arrivals counts the requests within their team's quota, admitted or
@@ -68,7 +68,7 @@
 	return &scheduler{
 		clock:        cfg.Clock,
 		rand:         rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		workers:      map[tw.InstanceID]*worker{},
+		instances:    map[tw.InstanceID]*instanceState{},
 		jobs:         map[tw.JobID]*jobState{},
 		classPass:    map[tw.Class]float64{},
 		teamRequests: map[tw.TeamID]int{},
@@ -83,24 +83,24 @@
 	// If no instance is known yet, this daemon is new, not the instances: they
 	// need no slow start.
 	since := s.clock.Now()
-	if len(s.workers) == 0 {
+	if len(s.instances) == 0 {
 		since = since.Add(-slowStart)
 	}
-	for _, w := range s.workers {
+	for _, w := range s.instances {
 		w.ownSlots = 0
 		clear(w.jobs)
 	}
 	for _, js := range s.jobs {
-		js.workers = js.workers[:0]
+		js.instances = js.instances[:0]
 	}
 	if view.Registered && view.Plan != nil {
 		for i := range view.Plan.Instances {
 			s.installInstance(&view.Plan.Instances[i], since)
 		}
 	}
-	for id, w := range s.workers {
+	for id, w := range s.instances {
 		if w.ownSlots == 0 && w.inFlight == 0 {
-			delete(s.workers, id)
+			delete(s.instances, id)
 		}
 	}
 	s.dispatchAll()
@@ -110,16 +110,16 @@
 	if a.State != tw.InstanceServing || s.view.Leaving[a.Instance] {
 		return
 	}
-	w := s.workers[a.Instance]
+	w := s.instances[a.Instance]
 	if w == nil {
-		w = &worker{
+		w = &instanceState{
 			id:      a.Instance,
 			since:   since,
 			jobs:    map[tw.JobID]bool{},
 			perJob:  map[tw.JobID]*jobStats{},
 			byClass: map[tw.Class]int{},
 		}
-		s.workers[a.Instance] = w
+		s.instances[a.Instance] = w
 	}
 	w.address = a.Address
 	w.ownSlots = slotShare(s.view.Members, s.view.Self, a.Instance, a.Slots)
@@ -127,7 +127,7 @@
 		if a.Serves(placement.Job) {
 			w.jobs[placement.Job] = true
 			js := s.jobStateFor(placement.Job)
-			js.workers = append(js.workers, w)
+			js.instances = append(js.instances, w)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 }
 
 func (js *jobState) hasSlots() bool {
-	return slices.ContainsFunc(js.workers, func(w *worker) bool { return w.ownSlots > 0 })
+	return slices.ContainsFunc(js.instances, func(w *instanceState) bool { return w.ownSlots > 0 })
 }
 
 // loads lists requests in flight and recently ended, by instance and job.
@@ -225,7 +225,7 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	var out []tw.Load
-	for _, w := range s.workers {
+	for _, w := range s.instances {
 		for job, stats := range w.perJob {
 			sum := stats.recent.sum(now)
 			if stats.inFlight > 0 || sum != (counts{}) {
--- a/gateway/scheduler_test.go
+++ b/gateway/scheduler_test.go
@@ -257,7 +257,7 @@
 			for range 20 {
 				g, _, _ := h.tryAdmit(h.newRequest(tw.ClassNormal, ""))
 				if g != nil {
-					Expect(g.worker.id).NotTo(Equal(tw.InstanceID("w0")))
+					Expect(g.instance.id).NotTo(Equal(tw.InstanceID("w0")))
 				}
 			}
 		})
@@ -287,7 +287,7 @@
 		counts := map[tw.InstanceID]int{}
 		for range 16 {
 			g, _, _ := h.tryAdmit(h.newRequest(tw.ClassQuick, ""))
-			counts[g.worker.id]++
+			counts[g.instance.id]++
 		}
 		for _, n := range counts {
 			Expect(n).To(BeNumerically("~", 4, 2))
@@ -302,14 +302,14 @@
 				break
 			}
 			mode := releaseOK
-			if g.worker.id <= "w3" { // four of six fail
+			if g.instance.id <= "w3" { // four of six fail
 				mode = releaseFailed
 			}
 			h.release(g, mode)
 		}
 		now := h.clock.Now()
 		ejected := 0
-		for _, w := range h.workers {
+		for _, w := range h.instances {
 			if now.Before(w.ejectedUntil) {
 				ejected++
 			}
@@ -327,11 +327,11 @@
 			h.release(g, releaseFailed)
 		}
 		now := h.clock.Now()
-		Expect(now.Before(h.workers["w0"].ejectedUntil)).NotTo(Equal(now.Before(h.workers["w1"].ejectedUntil)))
+		Expect(now.Before(h.instances["w0"].ejectedUntil)).NotTo(Equal(now.Before(h.instances["w1"].ejectedUntil)))
 	})
 
 	It("uses no slot of a new instance whose slots belong to another daemon", func() {
-		w := worker{since: fakeclock.New().Now()}
+		w := instanceState{since: fakeclock.New().Now()}
 		Expect(w.usableSlots(w.since.Add(time.Second))).To(BeZero())
 	})
 
@@ -339,10 +339,10 @@
 		h := newSchedulerHarness(newView(8, "a"))
 		h.install(newView(8, "a", "b"))
 		now := h.clock.Now()
-		Expect(h.workers["w0"].usableSlots(now)).To(Equal(8))
-		Expect(h.workers["w1"].usableSlots(now)).To(Equal(1))
-		Expect(h.workers["w1"].usableSlots(now.Add(slowStart / 2))).To(Equal(4))
-		Expect(h.workers["w1"].usableSlots(now.Add(slowStart))).To(Equal(8))
+		Expect(h.instances["w0"].usableSlots(now)).To(Equal(8))
+		Expect(h.instances["w1"].usableSlots(now)).To(Equal(1))
+		Expect(h.instances["w1"].usableSlots(now.Add(slowStart / 2))).To(Equal(4))
+		Expect(h.instances["w1"].usableSlots(now.Add(slowStart))).To(Equal(8))
 	})
 })
 
--- a/internal/experiment/bench.go
+++ b/internal/experiment/bench.go
@@ -23,9 +23,9 @@
 }
 
 const (
-	benchJob   tw.JobID = "job"
-	benchHost  string   = "bench"
-	benchSlots tw.Slots = 8
+	benchJob      tw.JobID = "job"
+	benchHost     string   = "bench"
+	instanceSlots tw.Slots = 8
 )
 
 func newBench(instances int) (*bench, error) {
@@ -34,7 +34,7 @@
 		u, err := standin.UpstreamConfig{
 			Listen:   "127.0.0.1:0",
 			Recorder: b.recorder,
-			Instance: tw.Instance{ID: tw.InstanceID(fmt.Sprintf("w%d", i)), Slots: benchSlots},
+			Instance: tw.Instance{ID: tw.InstanceID(fmt.Sprintf("w%d", i)), Slots: instanceSlots},
 			Register: func(context.Context, tw.Instance) ([]tw.JobID, error) { return []tw.JobID{benchJob}, nil },
 		}.New()
 		if err != nil {
@@ -77,7 +77,7 @@
 		plan.Instances = append(plan.Instances, tw.Assignment{
 			Instance: tw.InstanceID(fmt.Sprintf("w%d", i)),
 			Address:  address,
-			Slots:    benchSlots,
+			Slots:    instanceSlots,
 			State:    tw.InstanceServing,
 			Jobs:     []tw.Placement{{Job: benchJob, State: tw.PlacementRunning}},
 		})
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -55,7 +55,7 @@
 		Phase:  tw.PhaseLive,
 		Cores:  16,
 		Memory: 32_000,
-		Slots:  benchSlots,
+		Slots:  instanceSlots,
 	}
 }
 
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -55,7 +55,7 @@
 }
 
 func (m mix) run(ctx context.Context, b *bench, out io.Writer) error {
-	capacity := float64(overloadInstances*int(benchSlots)) / m.meanWork().Seconds()
+	capacity := float64(overloadInstances*int(instanceSlots)) / m.meanWork().Seconds()
 	for _, factor := range []float64{0.1, 2} {
 		rate := factor * capacity
 		load := b.load(int(rate*(warmupTime+overloadTime).Seconds()), rate, m.streams)
@@ -68,7 +68,7 @@
 			p := report.Latency(s.Name)
 			fmt.Fprintf(out, "%-18s load=%.1fx %-7s answered=%-5d p50=%-10v p99=%v\n", m.name, factor, s.Name, p.N, p.P50, p.P99)
 		}
-		goodput := report.Worked.Seconds() / (float64(overloadInstances*int(benchSlots)) * overloadTime.Seconds())
+		goodput := report.Worked.Seconds() / (float64(overloadInstances*int(instanceSlots)) * overloadTime.Seconds())
 		fmt.Fprintf(out, "%-18s load=%.1fx goodput=%.1f%% of capacity, faults=%d, refused=%v\n", m.name, factor, 100*goodput, report.Violations(), report.Refused)
 	}
 	return nil
--- a/internal/experiment/schedule_model.go
+++ b/internal/experiment/schedule_model.go
@@ -68,7 +68,7 @@
 	}
 )
 
-// Parameters of the model, close to those of the users' third deployment.
+// Parameters of the model, close to those of a real deployment.
 const (
 	modelTick      = 50 * time.Millisecond
 	decideInterval = 100 * time.Millisecond
